--- a/crates/cli/src/scale/crowd.rs
+++ b/crates/cli/src/scale/crowd.rs
@@ -80,7 +80,7 @@
         };
         let crowd = Crowd::start(&options).context("the hollow balancers")?;
         let scene = Scene { crowd, discovery, balancers, upstreams, changed: 0 };
-        scene.first(|r| r.kind == ListKind::Complete && r.entries == upstreams).await?;
+        scene.first(|r| r.kind == ListKind::Snapshot && r.entries == upstreams).await?;
         scene.all_waiting().await?;
         Ok(scene)
     }
--- a/crates/cli/src/scale/watchers.rs
+++ b/crates/cli/src/scale/watchers.rs
@@ -141,7 +141,7 @@
 
         let (before, crowd) = (scene.all_waiting().await?, scene.crowd.processor());
         let told = scene.discovery.set((0..upstreams).map(entry).collect())?;
-        let first = scene.first(|r| r.kind == ListKind::Complete && r.at > told.at).await?;
+        let first = scene.first(|r| r.kind == ListKind::Snapshot && r.at > told.at).await?;
         let after = scene.all_waiting().await?;
         let passed = after.total.since(&before.total);
         slopes.add("whole list to all", "whole lists", x, passed.whole as f64);
--- a/crates/fleet-model/benches/handle.rs
+++ b/crates/fleet-model/benches/handle.rs
@@ -9,7 +9,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use zincstand_policy::{
-    Action, Balancer, Class, Effect, Event, ListKind, Micros, Outcome, RequestId, ServerEntry, ServerId,
+    Action, Balancer, Class, Event, Idempotency, ListKind, Micros, Outcome, RequestId, ServerEntry, ServerId,
     Settings,
 };
 
@@ -74,30 +74,30 @@
 impl Bench {
     fn new(servers: u32, sender: Sender) -> Bench {
         let class = Class {
-            effect: Effect::Safe,
-            aim: 1_000_000,
-            aim_stretch: 0.0,
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 1_000_000,
+            objective_per_work: 0.0,
             deadline: 1_000_000_000,
-            worth: 1.0,
-            late_worth: 0.5,
-            stream: false,
+            priority_weight: 1.0,
+            late_weight: 0.5,
+            streaming: false,
         };
         let mut settings = Settings::new(vec![class]);
         let zones = ZONES.min(servers);
-        settings.zones = zones;
+        settings.zone_count = zones;
         if sender == Sender::OneOfMany {
-            (settings.balancers, settings.me) = (servers, servers / 2);
-            settings.zone = settings.me % zones;
+            (settings.balancer_count, settings.balancer_index) = (servers, servers / 2);
+            settings.zone = settings.balancer_index % zones;
         }
         let mut balancer = Balancer::new(settings, 1).expect("settings that make sense");
         let mut actions = Vec::new();
         let entry = |id: u32| ServerEntry {
             zone: id % zones,
-            ring: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            ring_position: u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ..ServerEntry::new(id)
         };
         let entries = (0..servers).map(entry).collect();
-        balancer.handle(0, Event::Servers { kind: ListKind::Complete, entries }, &mut actions);
+        balancer.handle(0, Event::EndpointList { kind: ListKind::Snapshot, entries }, &mut actions);
         actions.clear();
         let mut bench = Bench { balancer, now: 0, next: 0, out: VecDeque::new(), held: 0, actions, ended: 0 };
         // Percentiles are known.
@@ -127,8 +127,8 @@
             time_left: 1_000_000_000,
             tenant: None,
             work: None,
-            retry: false,
-            upload: false,
+            marked_retry: false,
+            body_pending: false,
         });
         self.book();
     }
@@ -144,8 +144,8 @@
             server,
             outcome: Outcome::Ok,
             latency,
-            closed: true,
-            spent: false,
+            finished: true,
+            body_consumed: false,
             load: None,
         });
         self.book();
@@ -158,7 +158,7 @@
                     self.held -= 1;
                     self.out.push_back((request, server));
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => self.held -= 1,
+                Action::Reject { .. } | Action::Fail { .. } => self.held -= 1,
                 _ => {}
             }
         }
--- a/crates/fleet-model/src/day.rs
+++ b/crates/fleet-model/src/day.rs
@@ -742,19 +742,20 @@
     /// The settings that balancer `me` of a tier is told.
     pub fn settings(&self, tier: usize, me: u32, zone: u32) -> policy::Settings {
         let class = |c: &Class| policy::Class {
-            effect: match c.effect {
-                Effect::Safe => policy::Effect::Safe,
-                Effect::Keyed => {
-                    policy::Effect::Keyed { group: policy::Group::Cell, window: c.repeats_dropped.0 }
-                }
-                Effect::Unsafe => policy::Effect::Unsafe,
+            idempotency: match c.effect {
+                Effect::Safe => policy::Idempotency::Idempotent,
+                Effect::Keyed => policy::Idempotency::WithKey {
+                    scope: policy::DedupScope::Cell,
+                    window: c.repeats_dropped.0,
+                },
+                Effect::Unsafe => policy::Idempotency::NotIdempotent,
             },
-            aim: c.aim.0,
-            aim_stretch: 0.0,
+            latency_objective: c.aim.0,
+            objective_per_work: 0.0,
             deadline: c.deadline.0,
-            worth: c.worth,
-            late_worth: c.late_worth,
-            stream: false,
+            priority_weight: c.worth,
+            late_weight: c.late_worth,
+            streaming: false,
         };
         let t = &self.tiers[tier];
         let balancers = if tier == 0 {
@@ -764,40 +765,40 @@
         };
         let (p, g, r) = (&self.prices, &self.goal, &self.rules);
         policy::Settings {
-            me,
-            balancers,
+            balancer_index: me,
+            balancer_count: balancers,
             zone,
-            zones: self.zones.len() as u32,
+            zone_count: self.zones.len() as u32,
             tier: tier as u32,
-            tiers: self.tiers.len() as u32,
-            passes_deadline: self.passes_deadline,
+            tier_count: self.tiers.len() as u32,
+            propagates_deadline: self.passes_deadline,
             tenants: self.tenants.iter().map(|t| policy::Tenant { share: t.share, quota: t.quota }).collect(),
-            over_share_worth: self.load.over_share_worth,
-            marks_retry: true,
+            over_quota_weight: self.load.over_share_worth,
+            clients_mark_retries: true,
             discovery: match self.discovery.mode {
-                Asking::Push => policy::Discovery::Push,
-                Asking::Ask => policy::Discovery::Ask,
+                Asking::Push => policy::DiscoveryMode::Push,
+                Asking::Ask => policy::DiscoveryMode::Poll,
             },
             limits: policy::Limits {
                 cancel: true,
-                probes: self.limits.probes,
-                second_copies: self.limits.second_copies,
+                health_checks: self.limits.probes,
+                hedging: self.limits.second_copies,
                 retry_after: self.limits.retry_after,
                 max_retry_after: self.limits.max_retry_after.0,
                 max_attempts: self.limits.max_attempts,
-                max_open: self.limits.max_open,
+                max_open_requests: self.limits.max_open,
                 max_streams: 1,
-                idle_close: t.connections.idle_close.0,
+                idle_timeout: t.connections.idle_close.0,
                 connect_timeout: t.connections.connect_timeout.0,
                 cpu_per_second: (self.balancers.cores * 1e6) as Micros,
                 cpu_per_request: 0.0,
             },
             rules: policy::Rules {
-                cold_from: t.cold_from,
-                warm_after: t.warm_after.0,
+                cold_capacity: t.cold_from,
+                warm_up_time: t.warm_after.0,
                 overload_factor: r.overload_factor,
-                tip_after: r.tip_after.0,
-                ask_within: r.ask_within.0,
+                overload_window: r.tip_after.0,
+                max_poll_interval: r.ask_within.0,
                 drain_grace: r.drain_grace.0,
                 answer_grace: r.answer_grace.0,
             },
--- a/crates/fleet-model/src/failures.rs
+++ b/crates/fleet-model/src/failures.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use serde::{Deserialize, Serialize};
-use zincstand_policy::{Action, Event, Learned, Micros};
+use zincstand_policy::{Action, Event, LearnedState, Micros};
 
 use crate::day::*;
 use crate::depth::{Fit, plain};
@@ -191,12 +191,12 @@
         self.spent.1.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn learned(&self, now: Micros) -> Option<Learned> {
-        self.inner.learned(now)
+    fn learned_state(&self, now: Micros) -> Option<LearnedState> {
+        self.inner.learned_state(now)
     }
 
-    fn resume(&mut self, now: Micros, learned: &Learned) {
-        self.inner.resume(now, learned);
+    fn restore(&mut self, now: Micros, learned: &LearnedState) {
+        self.inner.restore(now, learned);
     }
 }
 
--- a/crates/fleet-model/src/policy.rs
+++ b/crates/fleet-model/src/policy.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use zincstand_policy::{
-    Action, Balancer, Effect, Event, Learned, ListKind, Micros, Outcome, RequestId, ServerEntry, ServerId,
-    ServerState, Settings, SettingsError,
+    Action, Balancer, Event, Idempotency, LearnedState, ListKind, Micros, Outcome, RequestId, ServerEntry,
+    ServerId, ServerState, Settings, SettingsError,
 };
 
 use crate::server::Truth;
@@ -15,12 +15,12 @@
     fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>);
 
     /// What a process that takes this one's place would have to learn anew.
-    fn learned(&self, _now: Micros) -> Option<Learned> {
+    fn learned_state(&self, _now: Micros) -> Option<LearnedState> {
         None
     }
 
     /// Takes that over.
-    fn resume(&mut self, _now: Micros, _learned: &Learned) {}
+    fn restore(&mut self, _now: Micros, _learned: &LearnedState) {}
 }
 
 impl Policy for Balancer {
@@ -28,12 +28,12 @@
         Balancer::handle(self, now, event, actions);
     }
 
-    fn learned(&self, now: Micros) -> Option<Learned> {
-        Some(Balancer::learned(self, now))
+    fn learned_state(&self, now: Micros) -> Option<LearnedState> {
+        Some(Balancer::learned_state(self, now))
     }
 
-    fn resume(&mut self, now: Micros, learned: &Learned) {
-        Balancer::resume(self, now, learned);
+    fn restore(&mut self, now: Micros, learned: &LearnedState) {
+        Balancer::restore(self, now, learned);
     }
 }
 
@@ -78,7 +78,7 @@
             _ => Box::new(Plain {
                 kind: self,
                 rng: fastrand::Rng::with_seed(seed),
-                turn: settings.me as usize,
+                turn: settings.balancer_index as usize,
                 settings,
                 servers: BTreeMap::new(),
                 ready: Vec::new(),
@@ -150,14 +150,14 @@
 impl Policy for Plain {
     fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::Servers { kind, entries } => self.list(kind, entries),
+            Event::EndpointList { kind, entries } => self.list(kind, entries),
             Event::Request { id, class, time_left, .. } => {
                 let open =
                     Open { class, since: now, deadline: now + time_left, sent: 0, ran: None, last: None };
                 self.requests.insert(id, open);
                 self.try_send(now, id, truth, actions);
             }
-            Event::Outcome { request, server, outcome, closed, latency, .. } => {
+            Event::Outcome { request, server, outcome, finished: closed, latency, .. } => {
                 if let Some(known) = self.servers.get_mut(&server) {
                     known.in_flight = known.in_flight.saturating_sub(1);
                 }
@@ -167,11 +167,11 @@
                     self.failed(now, request, (server, outcome, latency), truth, actions);
                 }
             }
-            Event::Gone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.requests.remove(&request);
             }
             Event::Timer { token } => self.try_send(now, token - LOOK_AGAIN, truth, actions),
-            Event::Uploaded { .. } | Event::FirstByte { .. } | Event::Probed { .. } => {}
+            Event::BodyComplete { .. } | Event::FirstByte { .. } | Event::HealthChecked { .. } => {}
         }
     }
 }
@@ -181,12 +181,12 @@
         if kind == ListKind::Failed {
             return;
         }
-        if kind != ListKind::Changes {
+        if kind != ListKind::Delta {
             let listed: std::collections::BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
             self.servers.retain(|id, _| listed.contains(id));
         }
         for entry in entries {
-            if entry.state == ServerState::Gone {
+            if entry.state == ServerState::Removed {
                 self.servers.remove(&entry.id);
                 continue;
             }
@@ -210,9 +210,9 @@
         if !outcome.never_ran() {
             open.ran = open.ran.or(Some((now - latency, cell)));
         }
-        let again = match (self.settings.classes[open.class].effect, open.ran) {
-            (Effect::Unsafe, Some(_)) => false,
-            (Effect::Keyed { window, .. }, Some((at, _))) => now + self.settings.tick < at + window,
+        let again = match (self.settings.classes[open.class].idempotency, open.ran) {
+            (Idempotency::NotIdempotent, Some(_)) => false,
+            (Idempotency::WithKey { window, .. }, Some((at, _))) => now + self.settings.tick < at + window,
             _ => true,
         };
         if again && open.sent < TRIES.min(self.settings.limits.max_attempts) && now < open.deadline {
@@ -224,9 +224,9 @@
 
     fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.remove(&id) else { return };
-        let safe = self.settings.classes[open.class].effect == Effect::Safe;
+        let safe = self.settings.classes[open.class].idempotency == Idempotency::Idempotent;
         actions.push(if safe || open.ran.is_none() {
-            Action::Refuse { request: id, retry_after: 0 }
+            Action::Reject { request: id, retry_after: 0 }
         } else {
             Action::Fail { request: id }
         });
@@ -237,7 +237,7 @@
         if now + 2 * LOOK >= open.deadline || (self.kind == Kind::Oracle && self.late(now, open)) {
             return self.end(id, actions);
         }
-        let keyed = matches!(self.settings.classes[open.class].effect, Effect::Keyed { .. });
+        let keyed = matches!(self.settings.classes[open.class].idempotency, Idempotency::WithKey { .. });
         let cell = open.ran.filter(|_| keyed).map(|(_, cell)| cell);
         let in_cell: Vec<ServerId>;
         let ready = match cell {
@@ -297,9 +297,11 @@
     /// The server that would answer first, among those that would not be crowded or pushed over by one more.
     fn seen(&self, now: Micros, ready: &[ServerId], open: &Open, truth: &Truth<'_>) -> Option<ServerId> {
         let classes = &self.settings.classes;
-        let least = classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
+        let least = classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) as f64;
         // Classes with shorter aims cost less work: they get the last places.
-        let rank = classes.iter().filter(|c| c.aim < classes[open.class].aim).count() as f64;
+        let rank =
+            classes.iter().filter(|c| c.latency_objective < classes[open.class].latency_objective).count()
+                as f64;
         let part = QUEUE[0] + (QUEUE[1] - QUEUE[0]) * rank / (classes.len() - 1).max(1) as f64;
         // What a tier above has worked on already is not given up behind it.
         let most = if self.settings.tier == 0 { least * part } else { f64::INFINITY };
@@ -310,7 +312,7 @@
         for &id in ready {
             let (Some(state), Some(known)) = (truth.of(id), self.servers.get(&id)) else { continue };
             let pressed = state.share < 1.0
-                && state.backlog > COLD_PART * self.settings.rules.tip_after as f64 * state.share;
+                && state.backlog > COLD_PART * self.settings.rules.overload_window as f64 * state.share;
             if !state.takes || state.spare <= 1.0 || state.choked || pressed || state.backlog > most {
                 continue;
             }
@@ -325,7 +327,7 @@
 
     /// Held for too long, or with too little time left.
     fn late(&self, now: Micros, open: &Open) -> bool {
-        let aim = self.settings.classes[open.class].aim as f64;
+        let aim = self.settings.classes[open.class].latency_objective as f64;
         let left = (open.deadline - now) as f64;
         let held = (now - open.since) as f64 > HOLD * aim && self.settings.tier == 0;
         open.sent == 0 && (held || left < LEAST_LEFT * aim / f64::from(1 + self.settings.tier))
@@ -333,8 +335,8 @@
 
     /// A tie-break that draws nothing.
     fn rng_free(&self, server: ServerId, now: Micros) -> f64 {
-        let mixed =
-            (u64::from(server) ^ now ^ u64::from(self.settings.me) << 20).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let mixed = (u64::from(server) ^ now ^ u64::from(self.settings.balancer_index) << 20)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (mixed >> 40) as f64 / (1u64 << 24) as f64
     }
 }
--- a/crates/fleet-model/src/world/calls.rs
+++ b/crates/fleet-model/src/world/calls.rs
@@ -171,7 +171,7 @@
             return;
         }
         if s.draining || s.full() {
-            return self.after(way, Ev::Answer { attempt, outcome: Outcome::Full });
+            return self.after(way, Ev::Answer { attempt, outcome: Outcome::Rejected });
         }
         if draw::unit(self.day.seed, For::Fate, key) < s.failing {
             return self.after(way + FAST, Ev::Answer { attempt, outcome: Outcome::Error });
@@ -323,7 +323,7 @@
             Outcome::Error if job.is_none() => Some(Cause::Error),
             Outcome::Reset => Some(Cause::Reset),
             Outcome::ConnectFailed => Some(Cause::WrongList),
-            Outcome::Full => Some(self.cause(to, Cause::Queueing)),
+            Outcome::Rejected => Some(self.cause(to, Cause::Queueing)),
             _ => None,
         };
         if let Some(cause) = cause {
@@ -334,7 +334,7 @@
             let (count, sum) = &mut self.servers[to as usize].answered;
             (*count, *sum) = (*count + 1, *sum + (self.now - sent));
         }
-        let kept = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
+        let kept = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         self.end_attempt(attempt, kept);
         self.message(process, Message::Outcome(attempt, outcome));
     }
--- a/crates/fleet-model/src/world/faults.rs
+++ b/crates/fleet-model/src/world/faults.rs
@@ -336,7 +336,7 @@
             _ => {
                 let learned = self.edges[target].process.filter(|_| f.learned).and_then(|p| {
                     let p = &self.processes[p as usize];
-                    p.policy.learned(self.now + p.offset)
+                    p.policy.learned_state(self.now + p.offset)
                 });
                 self.start_edge(target, learned);
                 if !replaced {
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -539,13 +539,14 @@
             *in_zone.entry((s.tier, s.zone)).or_default() += f64::from(u8::from(s.up));
         }
         for p in self.processes.iter().filter(|p| p.alive) {
-            let Some(learned) = p.policy.learned(self.now + p.offset) else { continue };
+            let Some(learned) = p.policy.learned_state(self.now + p.offset) else { continue };
             for s in &learned.servers {
                 let open = s.breakers.first().is_some_and(|b| b.1.is_some());
                 samples[s.server as usize].open += u32::from(open);
             }
             for z in &learned.zones {
-                let each = z.window / in_zone.get(&(p.tier, z.zone)).copied().unwrap_or(1.0).max(1.0);
+                let each =
+                    z.concurrency_limit / in_zone.get(&(p.tier, z.zone)).copied().unwrap_or(1.0).max(1.0);
                 for (sample, server) in samples.iter_mut().zip(&self.servers) {
                     if (server.tier, server.zone) == (p.tier, z.zone) {
                         sample.window += each;
--- a/crates/fleet-model/src/world/news.rs
+++ b/crates/fleet-model/src/world/news.rs
@@ -79,7 +79,7 @@
         let tier = self.processes[process as usize].tier;
         let list = self.list(tier, heard);
         self.processes[process as usize].heard = heard;
-        self.tell(process, ListKind::Stale, &list);
+        self.tell(process, ListKind::CachedSnapshot, &list);
     }
 
     /// Discovery tells a process what it has not heard, or everything.
@@ -93,7 +93,7 @@
         if whole {
             let list = self.list(tier, upto);
             self.processes[process as usize].heard = upto;
-            return self.tell(process, ListKind::Complete, &list);
+            return self.tell(process, ListKind::Snapshot, &list);
         }
         if heard >= upto {
             return;
@@ -111,7 +111,7 @@
         }
         let changes = self.log[tier][heard..upto].to_vec();
         self.processes[process as usize].heard = upto;
-        self.tell(process, ListKind::Changes, &changes);
+        self.tell(process, ListKind::Delta, &changes);
     }
 
     /// A process asks discovery, to be kept informed or once.
@@ -131,7 +131,7 @@
         let p = &self.processes[process as usize];
         let (offset, tier) = (p.offset, p.tier);
         let entries: Vec<ServerEntry> = changes.iter().map(|c| self.entry(c, offset, tier)).collect();
-        if kind != ListKind::Changes && kind != ListKind::Failed {
+        if kind != ListKind::Delta && kind != ListKind::Failed {
             // What a whole list leaves out is gone.
             let listed: std::collections::BTreeSet<ServerAt> = entries.iter().map(|e| e.id).collect();
             let now = self.now;
@@ -145,11 +145,11 @@
             self.remember(process, e, offset);
         }
         // A list as last held comes from the process before, and a failed call brings nothing.
-        if matches!(kind, ListKind::Changes | ListKind::Complete) {
+        if matches!(kind, ListKind::Delta | ListKind::Snapshot) {
             let count = self.news_count();
             (count.messages, count.entries) = (count.messages + 1, count.entries + entries.len() as u64);
         }
-        self.handle(process, Event::Servers { kind, entries });
+        self.handle(process, Event::EndpointList { kind, entries });
     }
 
     fn entry(&self, change: &Change, offset: Micros, tier: usize) -> ServerEntry {
@@ -158,13 +158,13 @@
         let (state, started) = match change.state {
             Listed::Ready(started) => (ServerState::Ready, started),
             Listed::Draining => (ServerState::Draining, s.started),
-            Listed::Gone => (ServerState::Gone, s.started),
+            Listed::Gone => (ServerState::Removed, s.started),
         };
         let state = if by_hand && state == ServerState::Ready { ServerState::Draining } else { state };
         ServerEntry {
             zone: s.zone,
             cell: s.cell,
-            ring: draw::pair(s.place as u64 + 1, 0x9e37_79b9).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            ring_position: draw::pair(s.place as u64 + 1, 0x9e37_79b9).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             state,
             started: started.map(|at| at + offset),
             ..ServerEntry::new(change.server)
@@ -189,7 +189,7 @@
         let tier = self.processes[process as usize].tier;
         let latest = self.log[tier].iter().rev().find(|c| c.server == server).copied();
         if let Some(change) = latest.filter(|c| c.state != Listed::Gone) {
-            self.tell(process, ListKind::Changes, &[change]);
+            self.tell(process, ListKind::Delta, &[change]);
         }
     }
 }
--- a/crates/fleet-model/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use zincstand_policy::{Action, Event, Learned, Micros, Outcome};
+use zincstand_policy::{Action, Event, LearnedState, Micros, Outcome};
 
 use super::{
     Attempt, AttemptAt, Caller, Edge, Ev, Message, Note, Process, ProcessAt, REMEMBERED, Reply, Request,
@@ -56,12 +56,12 @@
     }
 
     /// Starts a process of a first-tier balancer, with what another had learned if that is given.
-    pub(super) fn start_edge(&mut self, balancer: usize, learned: Option<Learned>) {
+    pub(super) fn start_edge(&mut self, balancer: usize, learned: Option<LearnedState>) {
         let Edge { zone, process: before, .. } = self.edges[balancer];
         let process = self.start_process(0, balancer as u32, zone, before);
         let p = &mut self.processes[process as usize];
         if let Some(learned) = learned {
-            p.policy.resume(self.now + p.offset, &learned);
+            p.policy.restore(self.now + p.offset, &learned);
         }
         self.edges[balancer].process = Some(process);
     }
@@ -169,8 +169,8 @@
                     time_left,
                     tenant: self.arrivals[arrival as usize].tenant,
                     work: None,
-                    retry,
-                    upload: false,
+                    marked_retry: retry,
+                    body_pending: false,
                 }
             }
             Message::Outcome(attempt, outcome) => {
@@ -195,8 +195,8 @@
                     server,
                     outcome,
                     latency: self.now - sent,
-                    closed: self.requests[request as usize].closed,
-                    spent: false,
+                    finished: self.requests[request as usize].closed,
+                    body_consumed: false,
                     load: None,
                 }
             }
@@ -205,11 +205,11 @@
                     self.requests[request as usize].closed = true;
                     self.processes[process as usize].open.remove(&request);
                 }
-                Event::Gone { request: u64::from(request) }
+                Event::ClientDisconnected { request: u64::from(request) }
             }
             Message::Timer(token) => Event::Timer { token },
             Message::Probed { server, outcome, took } => {
-                Event::Probed { server, outcome, latency: took, load: None }
+                Event::HealthChecked { server, outcome, latency: took, load: None }
             }
         };
         self.handle(process, event);
@@ -232,7 +232,7 @@
             Action::Send { request, server, limit } => {
                 self.send(process, request as RequestAt, server, limit);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let request = request as RequestAt;
                 let r = &self.requests[request as usize];
                 if r.closed {
@@ -260,7 +260,7 @@
                     self.message_later(process, Message::Outcome(at, Outcome::Cancelled));
                 }
             }
-            Action::Probe { server } => {
+            Action::HealthCheck { server } => {
                 self.probe(process, server);
             }
             Action::CloseIdle { server } => {
--- a/crates/fleet-model/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -44,8 +44,8 @@
 
 impl Policy for Scripted {
     fn handle(&mut self, now: Micros, event: Event, _: &Truth<'_>, actions: &mut Vec<Action>) {
-        if let Event::Servers { kind, entries } = &event {
-            if *kind != ListKind::Changes {
+        if let Event::EndpointList { kind, entries } = &event {
+            if *kind != ListKind::Delta {
                 self.servers.clear();
             }
             for e in entries {
@@ -132,10 +132,10 @@
     day.faults.push(fault(FaultKind::FastErrors, 0.0, 10.0));
     let played = scripted(&day, |me, _, event, actions| match event {
         Event::Request { id, .. } => actions.push(send(id, me.servers[0].id)),
-        Event::Outcome { request, closed: false, attempt: 0, .. } => {
+        Event::Outcome { request, finished: false, attempt: 0, .. } => {
             actions.push(send(request, me.servers[1].id));
         }
-        Event::Outcome { request, closed: false, .. } => actions.push(Action::Fail { request }),
+        Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
     });
     assert_eq!(rules(&played), [Rule::Duplicate]);
@@ -153,7 +153,7 @@
             let first = me.servers.iter().map(|s| s.id).min().unwrap();
             actions.push(send(id, first));
         }
-        Event::Outcome { request, closed: false, .. } => actions.push(Action::Fail { request }),
+        Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
     };
     let played = scripted(&day, stubborn);
@@ -181,7 +181,7 @@
                 None => actions.push(Action::Fail { request: id }),
             }
         }
-        Event::Outcome { request, closed: false, .. } => actions.push(Action::Fail { request }),
+        Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
     });
     assert_eq!((played.result.fallen, played.result.broken), (1, 1), "{:?}", played.result.breaches);
@@ -196,15 +196,15 @@
     let decide = |probes: bool| -> Decide {
         if probes {
             |_, now, event, actions| match event {
-                Event::Request { id, .. } => actions.extend([Action::Probe { server: 0 }, send(id, 0)]),
-                Event::Probed { latency, .. } => assert!(latency > 0 && now > latency, "{latency}"),
-                Event::Outcome { request, closed: false, .. } => actions.push(Action::Fail { request }),
+                Event::Request { id, .. } => actions.extend([Action::HealthCheck { server: 0 }, send(id, 0)]),
+                Event::HealthChecked { latency, .. } => assert!(latency > 0 && now > latency, "{latency}"),
+                Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
                 _ => {}
             }
         } else {
             |_, _, event, actions| match event {
                 Event::Request { id, .. } => actions.push(send(id, 0)),
-                Event::Outcome { request, closed: false, .. } => actions.push(Action::Fail { request }),
+                Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
                 _ => {}
             }
         }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -18,30 +18,30 @@
 /// A zone: any small integer, the same for all servers of the zone.
 pub type ZoneId = u32;
 /// A machine kind: any small integer.
-pub type KindId = u32;
+pub type MachineKindId = u32;
 /// Index of a tenant in [`Settings::tenants`].
 pub type TenantId = usize;
 
 /// What may be repeated of a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat anywhere.
-    Safe,
+    Idempotent,
     /// Carries a key: the servers of one group drop repeats, for a window counted from the earliest attempt
     /// that may have run.
-    Keyed {
+    WithKey {
         /// Which servers drop each other's repeats.
-        group: Group,
+        scope: DedupScope,
         /// For how long they remember a request.
         window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The servers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All servers of the tier.
     All,
     /// Servers of the same zone.
@@ -54,19 +54,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// What may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer within this span earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's own work, where a hint tells it.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// How long a client waits in all.
     pub deadline: Micros,
-    /// Worth of one request (or of a unit of its work, see [`Settings::worth_by_work`]).
-    pub worth: f64,
+    /// Worth of one request (or of a unit of its work, see [`Settings::weight_by_work`]).
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// The answer is a stream: [`Event::FirstByte`] tells of its start.
-    pub stream: bool,
+    pub streaming: bool,
 }
 
 /// One of those who share the service.
@@ -75,13 +75,13 @@
     /// Its share of the service.
     pub share: f64,
     /// Requests a second within that share, over all balancers; what exceeds it is worth
-    /// [`Settings::over_share_worth`] of the usual.
+    /// [`Settings::over_quota_weight`] of the usual.
     pub quota: f64,
 }
 
 /// What [`ServerEntry::weight`] says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum ServerWeights {
     /// Nothing: it is always 1.
     #[default]
     None,
@@ -95,16 +95,16 @@
 
 /// How the list of servers arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Push,
     /// Nothing arrives until [`Action::Watch`] or [`Action::Fetch`] asks.
-    Ask,
+    Poll,
 }
 
 /// How servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportMode {
+pub enum LoadReporting {
     /// In outcomes and probe answers.
     Answers,
     /// In probe answers only.
@@ -119,21 +119,21 @@
     /// [`Action::Cancel`] may be used.
     pub cancel: bool,
     /// [`Action::Probe`] may be used.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
-    /// Clients are handed the wait of [`Action::Refuse`].
+    pub hedging: bool,
+    /// Clients are handed the wait of [`Action::Reject`].
     pub retry_after: bool,
     /// The longest wait that a client follows.
     pub max_retry_after: Micros,
     /// Attempts for a request, all told.
     pub max_attempts: u32,
     /// Requests that the balancer may have open; 0 for no limit.
-    pub max_open: u32,
+    pub max_open_requests: u32,
     /// Attempts that one connection carries at once; 0 where nothing is known.
     pub max_streams: u32,
     /// An idle connection is closed after this span; 0 where nothing is known.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not up after this span is [`Outcome::ConnectFailed`]; 0 where nothing is known.
     pub connect_timeout: Micros,
     /// Processing time that the balancer has in a second; 0 for no limit.
@@ -146,15 +146,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A server that starts has at least this share of its capacity.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// It is warm after this span at the latest.
-    pub warm_after: Micros,
+    pub warm_up_time: Micros,
     /// Sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this span, a cold server falls over.
-    pub tip_after: Micros,
+    pub overload_window: Micros,
     /// Where discovery must be asked, it must be asked at least this often unless watched.
-    pub ask_within: Micros,
+    pub max_poll_interval: Micros,
     /// Nothing new may go to a server later than this after the news that it drains or is gone.
     pub drain_grace: Micros,
     /// A final answer still counts this long after the client's time.
@@ -180,7 +180,7 @@
     pub discovery: f64,
 }
 
-/// Weights of the parts of the result.
+/// ServerWeights of the parts of the result.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Goal {
     /// Share of the result that all requests together decide.
@@ -201,42 +201,42 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This balancer's number among those of its tier, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// How many balancers send to this tier.
-    pub balancers: u32,
+    pub balancer_count: u32,
     /// The zone that this balancer is in.
     pub zone: ZoneId,
     /// How many zones there are.
-    pub zones: u32,
+    pub zone_count: u32,
     /// The tier that this balancer sends to, 0 for the first.
     pub tier: u32,
     /// How many tiers there are.
-    pub tiers: u32,
+    pub tier_count: u32,
     /// A call from a tier above carries its caller's time left, not its class's whole deadline.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// The request classes.
     pub classes: Vec<Class>,
     /// Worth counts per unit of work, not per request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Those who share the service; none where it has one owner.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Clients mark their repeats, see [`Event::Request`].
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// What the weights of servers say.
-    pub weights: Weights,
+    pub weights: ServerWeights,
     /// How the list of servers arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// How servers report load.
-    pub report: ReportMode,
+    pub load_reporting: LoadReporting,
     /// What is allowed.
     pub limits: Limits,
     /// Figures of the rules.
     pub rules: Rules,
     /// Prices.
     pub prices: Prices,
-    /// Weights of the result.
+    /// ServerWeights of the result.
     pub goal: Goal,
     /// Shortest span between two calls of `handle` with different times.
     pub tick: Micros,
@@ -259,41 +259,41 @@
     /// allowed; change what differs.
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
-            me: 0,
-            balancers: 1,
+            balancer_index: 0,
+            balancer_count: 1,
             zone: 0,
-            zones: 1,
+            zone_count: 1,
             tier: 0,
-            tiers: 1,
-            passes_deadline: true,
+            tier_count: 1,
+            propagates_deadline: true,
             classes,
-            worth_by_work: false,
+            weight_by_work: false,
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            marks_retry: false,
-            weights: Weights::None,
-            discovery: Discovery::Push,
-            report: ReportMode::None,
+            over_quota_weight: 1.0,
+            clients_mark_retries: false,
+            weights: ServerWeights::None,
+            discovery: DiscoveryMode::Push,
+            load_reporting: LoadReporting::None,
             limits: Limits {
                 cancel: false,
-                probes: false,
-                second_copies: false,
+                health_checks: false,
+                hedging: false,
                 retry_after: false,
                 max_retry_after: 0,
                 max_attempts: 4,
-                max_open: 0,
+                max_open_requests: 0,
                 max_streams: 0,
-                idle_close: 0,
+                idle_timeout: 0,
                 connect_timeout: 0,
                 cpu_per_second: 0,
                 cpu_per_request: 0.0,
             },
             rules: Rules {
-                cold_from: 0.1,
-                warm_after: 30_000_000,
+                cold_capacity: 0.1,
+                warm_up_time: 30_000_000,
                 overload_factor: 2.0,
-                tip_after: 1_000_000,
-                ask_within: 10_000_000,
+                overload_window: 1_000_000,
+                max_poll_interval: 10_000_000,
                 drain_grace: 1_000_000,
                 answer_grace: 20_000,
             },
@@ -308,24 +308,24 @@
         let finite = |x: f64| x.is_finite() && x >= 0.0;
         let test = |ok: bool, why| if ok { Ok(()) } else { Err(SettingsError(why)) };
         test(!self.classes.is_empty(), "no classes")?;
-        test(self.balancers > 0 && self.zones > 0, "no balancers or no zones")?;
-        test(self.tier < self.tiers, "the tier lies beyond the last")?;
+        test(self.balancer_count > 0 && self.zone_count > 0, "no balancers or no zones")?;
+        test(self.tier < self.tier_count, "the tier lies beyond the last")?;
         test(self.limits.max_attempts > 0, "no attempts allowed")?;
         test(self.tick > 0, "the tick is zero")?;
         for c in &self.classes {
-            test(c.aim > 0 && c.deadline > 0, "a class without aim or deadline")?;
+            test(c.latency_objective > 0 && c.deadline > 0, "a class without aim or deadline")?;
             test(
-                finite(c.worth) && finite(c.late_worth) && finite(c.aim_stretch),
+                finite(c.priority_weight) && finite(c.late_weight) && finite(c.objective_per_work),
                 "a class's worth or stretch",
             )?;
         }
         for t in &self.tenants {
             test(finite(t.share) && finite(t.quota), "a tenant's share or quota")?;
         }
-        test(finite(self.over_share_worth), "the worth beyond a tenant's share")?;
+        test(finite(self.over_quota_weight), "the worth beyond a tenant's share")?;
         test(finite(self.limits.cpu_per_request), "the processing time for a request")?;
         let r = &self.rules;
-        test(r.cold_from > 0.0 && r.cold_from <= 1.0, "the cold share is not within 0 to 1")?;
+        test(r.cold_capacity > 0.0 && r.cold_capacity <= 1.0, "the cold share is not within 0 to 1")?;
         test(finite(r.overload_factor), "the overload factor")?;
         let p = &self.prices;
         let prices = [p.cross_zone, p.probe, p.late_fail, p.waste, p.connection, p.handshake, p.discovery];
@@ -345,7 +345,7 @@
     /// Finishes what it has; nothing new may go to it.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
 /// An entry of the list of servers.
@@ -356,11 +356,11 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its machine kind.
-    pub kind: KindId,
+    pub kind: MachineKindId,
     /// Its cell: a small group that drops each other's repeats.
     pub cell: u32,
     /// A hash of its address, the same at every balancer: it spreads the balancers over the servers.
-    pub ring: u64,
+    pub ring_position: u64,
     /// What discovery says of it.
     pub state: ServerState,
     /// Its size beside the others'; 1 where nothing is known.
@@ -372,7 +372,7 @@
 impl ServerEntry {
     /// A ready server of zone, kind and cell 0 that started long ago.
     pub fn new(id: ServerId) -> ServerEntry {
-        ServerEntry { id, ring: u64::from(id), weight: 1.0, ..ServerEntry::default() }
+        ServerEntry { id, ring_position: u64::from(id), weight: 1.0, ..ServerEntry::default() }
     }
 }
 
@@ -380,18 +380,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The complete list: a server not in it is gone.
-    Complete,
+    Snapshot,
     /// The complete list as last held before a restart, perhaps old.
-    Stale,
+    CachedSnapshot,
     /// A call to discovery failed or the watch broke; it has no entries.
     Failed,
 }
 
 /// A server's report of its load; what it does not tell is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests it holds.
     pub in_flight: Option<f64>,
     /// Requests that wait.
@@ -414,7 +414,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen; it never ran.
-    Full,
+    Rejected,
     /// No answer within the attempt's limit; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -430,7 +430,7 @@
 impl Outcome {
     /// Tells whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -438,7 +438,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Servers {
+    EndpointList {
         /// What the entries are.
         kind: ListKind,
         /// The entries.
@@ -457,13 +457,13 @@
         /// Expected work, where the deployment tells it.
         work: Option<Micros>,
         /// The client marks it as a repeat.
-        retry: bool,
-        /// Its body is still coming and goes on as it comes: its time starts with [`Event::Uploaded`], and a
+        marked_retry: bool,
+        /// Its body is still coming and goes on as it comes: its time starts with [`Event::BodyComplete`], and a
         /// server has no work from it before.
-        upload: bool,
+        body_pending: bool,
     },
     /// The last byte of a request whose body was still coming.
-    Uploaded {
+    BodyComplete {
         /// The request.
         request: RequestId,
     },
@@ -487,14 +487,14 @@
         /// How long it took.
         latency: Micros,
         /// The request is finished and nothing more is owed for it.
-        closed: bool,
+        finished: bool,
         /// Its body went on and was not kept: it cannot be sent again.
-        spent: bool,
+        body_consumed: bool,
         /// The server's load, where it reported.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// The client left; nothing more is owed.
-    Gone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -504,7 +504,7 @@
         token: u64,
     },
     /// A probe was answered or not.
-    Probed {
+    HealthChecked {
         /// The server.
         server: ServerId,
         /// `Ok` if it answered.
@@ -512,7 +512,7 @@
         /// How long it took.
         latency: Micros,
         /// The server's load, where it reported.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
 }
 
@@ -529,7 +529,7 @@
         limit: Micros,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 for no wish.
@@ -548,7 +548,7 @@
         attempt: u32,
     },
     /// Probe a server.
-    Probe {
+    HealthCheck {
         /// The server.
         server: ServerId,
     },
@@ -570,19 +570,24 @@
     Fetch,
 }
 
-/// What a balancer has learned, for one that takes its place.
+/// What a balancer has learned, for one that takes its place. Stored files keep the short names of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct LearnedState {
     /// When it was so.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub saved_at: Micros,
     /// When the first balancer of the line began.
-    pub began: Micros,
+    #[serde(rename = "began")]
+    pub first_started_at: Micros,
     /// Attempts sent of late.
-    pub sent: f64,
+    #[serde(rename = "sent")]
+    pub recent_sends: f64,
     /// Share of the attempts that fail.
-    pub failing: f64,
-    /// Latencies of all classes.
-    pub all: Latencies,
+    #[serde(rename = "failing")]
+    pub failure_share: f64,
+    /// LatencyHistogram of all classes.
+    #[serde(rename = "all")]
+    pub all_classes: LatencyHistogram,
     /// What it knows of each class.
     pub classes: Vec<LearnedClass>,
     /// What it knows of each zone.
@@ -591,28 +596,33 @@
     pub servers: Vec<LearnedServer>,
 }
 
-/// Latencies, as a histogram.
+/// LatencyHistogram, as a histogram.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Latencies {
+pub struct LatencyHistogram {
     /// The buckets that are not empty.
     pub counts: Vec<(usize, f64)>,
     /// Factor on the highest percentile.
-    pub widen: f64,
+    #[serde(rename = "widen")]
+    pub tail_factor: f64,
 }
 
 /// What is known of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedClass {
     /// Its latencies.
-    pub latency: Latencies,
+    pub latency: LatencyHistogram,
     /// The lowest median seen lately.
-    pub base: f64,
+    #[serde(rename = "base")]
+    pub lowest_median: f64,
     /// Mean of the hinted work.
-    pub work: f64,
+    #[serde(rename = "work")]
+    pub mean_work: f64,
     /// Requests of late.
-    pub offered: f64,
+    #[serde(rename = "offered")]
+    pub recent_offered: f64,
     /// Those that were served.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub recent_served: f64,
 }
 
 /// What is known of a zone.
@@ -621,9 +631,11 @@
     /// The zone.
     pub zone: ZoneId,
     /// Attempts that may be out at once.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub concurrency_limit: f64,
     /// Attempts that are out or were given up, which its servers may still work on.
-    pub out: f64,
+    #[serde(rename = "out")]
+    pub outstanding: f64,
 }
 
 /// What is known of a server.
--- a/crates/policy/src/brain.rs
+++ b/crates/policy/src/brain.rs
@@ -158,17 +158,17 @@
         self.measure();
     }
 
-    fn learned(&self) -> Latencies {
+    fn learned(&self) -> LatencyHistogram {
         let counts = self.counts.iter().copied().enumerate().filter(|(_, count)| *count > 0.0).collect();
-        Latencies { counts, widen: self.widen }
+        LatencyHistogram { counts, tail_factor: self.widen }
     }
 
-    fn resume(&mut self, at: Micros, learned: &Latencies) {
+    fn resume(&mut self, at: Micros, learned: &LatencyHistogram) {
         for &(bucket, count) in learned.counts.iter().filter(|(_, count)| *count > 0.0) {
             self.counts[bucket.min(BUCKETS - 1)] += count;
             self.total += count;
         }
-        (self.widen, self.faded) = (learned.widen.clamp(1.0, WIDEST), at);
+        (self.widen, self.faded) = (learned.tail_factor.clamp(1.0, WIDEST), at);
         self.measure();
     }
 
@@ -222,20 +222,20 @@
 impl Server {
     fn share(&self, now: Micros, rules: &Rules) -> f64 {
         let Some(started) = self.entry.started else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / rules.warm_after.max(1) as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(started) as f64 / rules.warm_up_time.max(1) as f64;
+        (rules.cold_capacity + (1.0 - rules.cold_capacity) * age).min(1.0)
     }
 
     /// The first pause of one that is heard to be cold.
     fn pause_while_cold(&mut self, now: Micros, pause: f64, rng: &mut fastrand::Rng, rules: &Rules) {
         if self.share(now, rules) < 1.0 {
-            self.hold_while_cold(now + (pause / rules.cold_from * rng.f64()) as Micros, rules);
+            self.hold_while_cold(now + (pause / rules.cold_capacity * rng.f64()) as Micros, rules);
         }
     }
 
     /// Prevents a pause from outlasting the cold: a balancer with few calls would leave it out long after.
     fn hold_while_cold(&mut self, until: Micros, rules: &Rules) {
-        self.not_before = until.min(self.entry.started.unwrap_or(0) + rules.warm_after);
+        self.not_before = until.min(self.entry.started.unwrap_or(0) + rules.warm_up_time);
     }
 
     /// Whether the breakers let a call of the class through, and if it is a trial.
@@ -340,7 +340,7 @@
 /// many times as there are zones. Prevents an own zone filled to the brim where there are fewer balancers
 /// than zones: one has none then, and all share all alike. Hurts where most balancers are in one zone.
 fn part(settings: &Settings, zone: ZoneId, servers: u32) -> f64 {
-    let (zones, balancers) = (settings.zones as f64, settings.balancers as f64);
+    let (zones, balancers) = (settings.zone_count as f64, settings.balancer_count as f64);
     let weight = match (balancers < zones, zone == settings.zone) {
         (true, _) => 1.0,
         (_, true) => zones / (2.0 - 1.0 / zones),
@@ -352,7 +352,7 @@
 /// The window that a balancer is due. A place is held for as long as the tiers behind need too. Covers what
 /// makes answers late and is no queue: long tails, retries behind. Hurts where its own tier alone is slow.
 fn due(settings: &Settings, zone: ZoneId, servers: u32) -> f64 {
-    FIRST_WINDOW * part(settings, zone, servers) * (settings.tiers - settings.tier) as f64
+    FIRST_WINDOW * part(settings, zone, servers) * (settings.tier_count - settings.tier) as f64
 }
 
 /// The decisions of one balancer.
@@ -398,7 +398,7 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(1);
-        let shortest = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1);
+        let shortest = settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(1);
         Ok(Balancer {
             classes: settings.classes.iter().map(|_| ClassState::default()).collect(),
             rng: fastrand::Rng::with_seed(seed),
@@ -433,28 +433,36 @@
             self.started = true;
             (self.housekept, self.began) = (now, now);
             self.housekeep(now, actions);
-            if self.settings.discovery == Discovery::Ask {
+            if self.settings.discovery == DiscoveryMode::Poll {
                 self.ask_within(ASK_FIRST, actions);
             }
         }
         match event {
-            Event::Servers { kind, entries } => self.list(now, kind, entries, actions),
-            Event::Request { id, class, time_left, work, upload, .. } => {
+            Event::EndpointList { kind, entries } => self.list(now, kind, entries, actions),
+            Event::Request { id, class, time_left, work, body_pending: upload, .. } => {
                 self.take(now, id, class, time_left, work, upload, actions);
             }
-            Event::Uploaded { request } => self.uploaded(now, request),
-            Event::Outcome { request, server, outcome, latency, closed, spent, .. } => {
+            Event::BodyComplete { request } => self.uploaded(now, request),
+            Event::Outcome {
+                request,
+                server,
+                outcome,
+                latency,
+                finished: closed,
+                body_consumed: spent,
+                ..
+            } => {
                 self.outcome(now, request, &Ended { server, outcome, latency, closed, spent }, actions);
             }
             // A stream that has begun is the client's: no limit, no retry; its outcome frees the place.
             Event::FirstByte { request, .. } => {
                 self.requests.remove(&request);
             }
-            Event::Gone { request } => self.gone(now, request),
+            Event::ClientDisconnected { request } => self.gone(now, request),
             Event::Timer { token: SWEEP } => self.sweep(now, actions),
             Event::Timer { token: HOUSEKEEP } => self.housekeep(now, actions),
             Event::Timer { token: ASK } => actions.push(Action::Watch),
-            Event::Timer { .. } | Event::Probed { .. } => {}
+            Event::Timer { .. } | Event::HealthChecked { .. } => {}
         }
         self.dispatch(now, actions);
         if !self.sweeping && (!self.retries.is_empty() || self.classes.iter().any(|c| !c.held.is_empty())) {
@@ -464,23 +472,23 @@
     }
 
     /// How many servers it has looked at so far to serve calls: what a call costs, whatever the machine.
-    pub fn looks(&self) -> u64 {
+    pub fn servers_examined(&self) -> u64 {
         self.looks
     }
 
     /// What a balancer that takes this one's place would have to learn anew.
-    pub fn learned(&self, now: Micros) -> Learned {
+    pub fn learned_state(&self, now: Micros) -> LearnedState {
         let class = |c: &ClassState| LearnedClass {
             latency: c.latency.learned(),
-            base: c.base,
-            work: c.work,
-            offered: c.offered,
-            served: c.served,
+            lowest_median: c.base,
+            mean_work: c.work,
+            recent_offered: c.offered,
+            recent_served: c.served,
         };
         let zone = |(&zone, p): (&ZoneId, &Pool)| LearnedZone {
             zone,
-            window: p.window,
-            out: p.in_flight as f64 + p.lingering,
+            concurrency_limit: p.window,
+            outstanding: p.in_flight as f64 + p.lingering,
         };
         let breaker = |b: &Breaker| match b.state {
             State::Closed => (b.failures, None),
@@ -491,12 +499,12 @@
             server: s.entry.id,
             breakers: s.breakers.iter().map(breaker).collect(),
         };
-        Learned {
-            at: now,
-            began: self.began,
-            sent: self.sent,
-            failing: self.failing,
-            all: self.all.learned(),
+        LearnedState {
+            saved_at: now,
+            first_started_at: self.began,
+            recent_sends: self.sent,
+            failure_share: self.failing,
+            all_classes: self.all.learned(),
             classes: self.classes.iter().map(class).collect(),
             zones: self.pools.iter().map(zone).collect(),
             servers: self.servers.iter().map(server).collect(),
@@ -505,21 +513,23 @@
 
     /// Takes over what the balancer before this one had learned of the same classes. Prevents a replaced
     /// process from sending as many as a new fleet would take, each without a bound, to one that is busy.
-    pub fn resume(&mut self, now: Micros, learned: &Learned) {
+    pub fn restore(&mut self, now: Micros, learned: &LearnedState) {
         if learned.classes.len() != self.classes.len() {
             return;
         }
-        (self.began, self.sent, self.failing) = (learned.began, learned.sent, learned.failing);
-        self.all.resume(learned.at, &learned.all);
+        (self.began, self.sent, self.failing) =
+            (learned.first_started_at, learned.recent_sends, learned.failure_share);
+        self.all.resume(learned.saved_at, &learned.all_classes);
         for (c, from) in self.classes.iter_mut().zip(&learned.classes) {
-            c.latency.resume(learned.at, &from.latency);
-            (c.base, c.work, c.offered, c.served) = (from.base, from.work, from.offered, from.served);
+            c.latency.resume(learned.saved_at, &from.latency);
+            (c.base, c.work, c.offered, c.served) =
+                (from.lowest_median, from.mean_work, from.recent_offered, from.recent_served);
         }
         for from in &learned.zones {
             let Some(pool) = self.pools.get_mut(&from.zone) else { continue };
-            pool.window = from.window.max(LEAST_WINDOW);
+            pool.window = from.concurrency_limit.max(LEAST_WINDOW);
             // To the servers both are one: what that one has out still takes its places here.
-            pool.lingering = from.out;
+            pool.lingering = from.outstanding;
         }
         for from in &learned.servers {
             let Some(&at) = self.places.get(&from.server) else { continue };
@@ -590,12 +600,12 @@
             actions.push(Action::Fail { request: id });
             return;
         };
-        let stretch = (c.aim_stretch * work.unwrap_or(0) as f64) as Micros;
+        let stretch = (c.objective_per_work * work.unwrap_or(0) as f64) as Micros;
         // Prevents work for callers that have left: one that does not pass on its time hands down the whole
         // deadline, of which it and the tiers above have used their part.
-        let part = if self.settings.passes_deadline { c.deadline } else { self.split(c.deadline) };
-        let aim = (c.aim + stretch).min(part);
-        let useful = if c.late_worth > 0.0 { part } else { aim.saturating_sub(self.settings.tick) };
+        let part = if self.settings.propagates_deadline { c.deadline } else { self.split(c.deadline) };
+        let aim = (c.latency_objective + stretch).min(part);
+        let useful = if c.late_weight > 0.0 { part } else { aim.saturating_sub(self.settings.tick) };
         let useful = left.min(useful);
         let state = &mut self.classes[class];
         state.offered += 1.0;
@@ -613,7 +623,7 @@
 
     /// The part of a class's span that is for this tier and those below it.
     fn split(&self, span: Micros) -> Micros {
-        let (tier, tiers) = (self.settings.tier as u64, self.settings.tiers as u64);
+        let (tier, tiers) = (self.settings.tier as u64, self.settings.tier_count as u64);
         span * (tiers - tier) / tiers
     }
 
@@ -634,13 +644,16 @@
     fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         let class = &self.settings.classes[request.class];
-        let repeatable = matches!(class.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let repeatable = matches!(
+            class.idempotency,
+            Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. }
+        );
         let may_refuse = request.ran.is_none() || repeatable;
         // What is left for the wait: an answer after it is still to be of use.
         let spare =
             request.useful as f64 - request.clock(now) as f64 - self.classes[request.class].latency.p50;
         actions.push(if may_refuse && spare > 0.0 {
-            Action::Refuse { request: id, retry_after: self.worked_off(now).min(spare) as Micros }
+            Action::Reject { request: id, retry_after: self.worked_off(now).min(spare) as Micros }
         } else {
             Action::Fail { request: id }
         });
@@ -678,7 +691,7 @@
     fn hopeless(&self, now: Micros, request: &Request) -> bool {
         let now = request.clock(now);
         let left = request.useful.saturating_sub(now) as f64;
-        let aim = self.split(self.settings.classes[request.class].aim) as f64;
+        let aim = self.split(self.settings.classes[request.class].latency_objective) as f64;
         let usual = self.percentiles(request.class).map_or(0.0, |p| p.p90.min(p.p50 * LEAST_TIME));
         // Prevents a final answer that comes too late, where looks are further apart than the grace for it.
         let last_look = now + self.look >= request.deadline;
@@ -690,7 +703,7 @@
     /// its part in the goal.
     fn class_order(&mut self) -> Vec<ClassId> {
         let ratio = |c: &ClassState| if c.offered > 0.0 { c.served / c.offered } else { 1.0 };
-        let worth = |i: usize| self.settings.classes[i].worth;
+        let worth = |i: usize| self.settings.classes[i].priority_weight;
         let total: f64 = self.classes.iter().enumerate().map(|(i, c)| worth(i) * c.offered).sum();
         let worst = self.classes.iter().map(ratio).fold(1.0, f64::min);
         let goal = &self.settings.goal;
@@ -698,7 +711,7 @@
             let c = &self.classes[i];
             let own = worth(i) * c.offered;
             let bonus = if ratio(c) <= worst && own > 0.0 { goal.worst_class * total / own } else { 0.0 };
-            let work = if self.settings.worth_by_work || c.latency.total < MIN_SAMPLES {
+            let work = if self.settings.weight_by_work || c.latency.total < MIN_SAMPLES {
                 1.0
             } else {
                 c.latency.p50
@@ -770,17 +783,17 @@
 
     /// Prevents a repeat after the group has forgotten the request.
     fn out_of_window(&self, now: Micros, request: &Request) -> bool {
-        match (self.settings.classes[request.class].effect, request.ran) {
-            (_, None) | (Effect::Safe, _) => false,
-            (Effect::Unsafe, Some(_)) => true,
-            (Effect::Keyed { window, .. }, Some((at, ..))) => now + self.settings.tick >= at + window,
+        match (self.settings.classes[request.class].idempotency, request.ran) {
+            (_, None) | (Idempotency::Idempotent, _) => false,
+            (Idempotency::NotIdempotent, Some(_)) => true,
+            (Idempotency::WithKey { window, .. }, Some((at, ..))) => now + self.settings.tick >= at + window,
         }
     }
 
     fn in_group(&self, request: &Request, entry: &ServerEntry) -> bool {
-        match (self.settings.classes[request.class].effect, request.ran) {
-            (Effect::Keyed { group: Group::Zone, .. }, Some((_, zone, _))) => entry.zone == zone,
-            (Effect::Keyed { group: Group::Cell, .. }, Some((_, _, cell))) => entry.cell == cell,
+        match (self.settings.classes[request.class].idempotency, request.ran) {
+            (Idempotency::WithKey { scope: DedupScope::Zone, .. }, Some((_, zone, _))) => entry.zone == zone,
+            (Idempotency::WithKey { scope: DedupScope::Cell, .. }, Some((_, _, cell))) => entry.cell == cell,
             _ => true,
         }
     }
@@ -883,8 +896,8 @@
         let gap = server.idle.pop().map_or(0, |since| now - since) / FLOOR as Micros;
         let mut idle = gap.checked_ilog2().unwrap_or(0) as usize;
         // Prevents calls on connections that something between dropped unseen.
-        let risky =
-            self.settings.classes[class].effect == Effect::Unsafe && self.stale[1][idle] > MOST_BROKEN;
+        let risky = self.settings.classes[class].idempotency == Idempotency::NotIdempotent
+            && self.stale[1][idle] > MOST_BROKEN;
         if self.stale[0][idle] > MOST_STALE || risky {
             actions.push(Action::CloseIdle { server: server.entry.id });
             server.idle.clear();
@@ -914,7 +927,7 @@
         let tail = p.p99 * request.scale;
         let (limit, learned) = if request.retried {
             (p.p50 * request.scale, false)
-        } else if self.settings.classes[request.class].effect == Effect::Unsafe {
+        } else if self.settings.classes[request.class].idempotency == Idempotency::NotIdempotent {
             (tail * UNREPEATED, tail * UNREPEATED < left)
         } else {
             let reserve = p.p50 * request.scale * (1.0 + BACKOFF);
@@ -977,8 +990,11 @@
         let may = if outcome.never_ran() {
             unused
         } else {
-            let effect = self.settings.classes[request.class].effect;
-            let may = unused && !request.retried && effect != Effect::Unsafe && self.retry_budget >= 1.0;
+            let effect = self.settings.classes[request.class].idempotency;
+            let may = unused
+                && !request.retried
+                && effect != Idempotency::NotIdempotent
+                && self.retry_budget >= 1.0;
             if may {
                 self.retry_budget -= 1.0;
                 request.retried = true;
@@ -999,7 +1015,7 @@
         let base = self.classes[class].base;
         let crowded = if base > 0.0 { CROWDED * base * scale } else { f64::INFINITY };
         // Only what comes on top of the lowest P50 is waiting: a call with tiers behind is long without any.
-        let aim = self.split(self.settings.classes[class].aim) as f64;
+        let aim = self.split(self.settings.classes[class].latency_objective) as f64;
         let unqueued = (base * scale).min(aim);
         let target = unqueued + QUEUE_TARGET * (aim - unqueued);
         let latency = ended.latency as f64;
@@ -1011,7 +1027,7 @@
         match outcome {
             // Prevents a spiral: an attempt cut short because it was held long says nothing of the queues.
             Outcome::TimedOut | Outcome::Error if latency <= target.min(crowded) => None,
-            Outcome::Full => Some(1.0),
+            Outcome::Rejected => Some(1.0),
             Outcome::Ok | Outcome::TimedOut | Outcome::Error if latency > target => Some(1.0),
             Outcome::Ok | Outcome::TimedOut | Outcome::Error if latency > crowded => Some(2.0 * LATE_SHARE),
             Outcome::Ok => Some(0.0),
@@ -1047,7 +1063,7 @@
                 pool.resume = now + (pause * (0.5 + self.rng.f64())) as Micros;
             }
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             // Prevents one that turns all away at once (full; draining before the news) from looking free.
             server.not_before = now + (p50 * REST * (0.5 + self.rng.f64())) as Micros;
         }
@@ -1095,7 +1111,7 @@
     // Discovery.
 
     fn ask_within(&mut self, (share, most): (f64, f64), actions: &mut Vec<Action>) {
-        let span = (self.settings.rules.ask_within as f64 * share).min(most);
+        let span = (self.settings.rules.max_poll_interval as f64 * share).min(most);
         actions.push(Action::Timer { delay: (span * self.rng.f64()) as Micros, token: ASK });
     }
 
@@ -1103,16 +1119,16 @@
         if kind == ListKind::Failed {
             return self.ask_within(ASK_AGAIN, actions);
         }
-        if kind != ListKind::Changes {
+        if kind != ListKind::Delta {
             let listed: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
             let unlisted = self.servers.iter_mut().filter(|s| !listed.contains(&s.entry.id));
-            unlisted.for_each(|s| s.entry.state = ServerState::Gone);
+            unlisted.for_each(|s| s.entry.state = ServerState::Removed);
             self.measure_pools();
         }
         for entry in entries {
             self.place(now, entry);
         }
-        self.servers.retain(|s| s.entry.state != ServerState::Gone);
+        self.servers.retain(|s| s.entry.state != ServerState::Removed);
         self.count_pools();
     }
 
@@ -1120,7 +1136,7 @@
         entry.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
         let at = *self.places.entry(entry.id).or_insert(self.servers.len());
         if at == self.servers.len() {
-            let entry = ServerEntry { state: ServerState::Gone, ..entry.clone() };
+            let entry = ServerEntry { state: ServerState::Removed, ..entry.clone() };
             self.servers.push(Server { entry, ..Server::default() });
         }
         let ready = |entry: &ServerEntry| usize::from(entry.state == ServerState::Ready);
@@ -1161,15 +1177,15 @@
     /// Chooses the preferred servers of each zone: a stretch of the ring of servers, where neighbours among
     /// the balancers take neighbouring stretches.
     fn prefer(&mut self) {
-        self.servers.sort_by_key(|s| (s.entry.zone, s.entry.ring, s.entry.id));
-        let (me, balancers) = (self.settings.me as usize, self.settings.balancers as usize);
+        self.servers.sort_by_key(|s| (s.entry.zone, s.entry.ring_position, s.entry.id));
+        let (me, balancers) = (self.settings.balancer_index as usize, self.settings.balancer_count as usize);
         let mut from = 0;
         while from < self.servers.len() {
             let zone = self.servers[from].entry.zone;
             let n = self.servers[from..].iter().take_while(|s| s.entry.zone == zone).count();
             let places = &mut self.pools.entry(zone).or_default().places;
             places.iter_mut().for_each(Vec::clear);
-            let near = if zone == self.settings.zone { self.settings.zones as f64 } else { 1.0 };
+            let near = if zone == self.settings.zone { self.settings.zone_count as f64 } else { 1.0 };
             let few = (SHARED_BY * n as f64 * near / balancers as f64).ceil() as usize;
             let first = me * n / balancers;
             for (i, server) in self.servers[from..from + n].iter_mut().enumerate() {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,33 +5,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use zincstand_policy::{
-    Action, Balancer, Class, Effect, Event, Group, ListKind, Micros, Outcome, RequestId, ServerEntry,
-    ServerId, ServerState, Settings,
+    Action, Balancer, Class, DedupScope, Event, Idempotency, ListKind, Micros, Outcome, RequestId,
+    ServerEntry, ServerId, ServerState, Settings,
 };
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        effect,
-        aim: 500 * MS,
-        aim_stretch: 0.0,
+        idempotency: effect,
+        latency_objective: 500 * MS,
+        objective_per_work: 0.0,
         deadline: 2 * SECOND,
-        worth: 1.0,
-        late_worth: 0.0,
-        stream: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        streaming: false,
     }
 }
 
-pub fn settings(effects: &[Effect]) -> Settings {
+pub fn settings(effects: &[Idempotency]) -> Settings {
     let mut s = Settings::new(effects.iter().map(|&e| class(e)).collect());
-    (s.balancers, s.limits.cancel, s.limits.probes) = (2, true, true);
-    (s.rules.cold_from, s.rules.warm_after) = (0.2, 20 * SECOND);
+    (s.balancer_count, s.limits.cancel, s.limits.health_checks) = (2, true, true);
+    (s.rules.cold_capacity, s.rules.warm_up_time) = (0.2, 20 * SECOND);
     s
 }
 
-pub const KEYED_CELL: Effect = Effect::Keyed { group: Group::Cell, window: SECOND };
+pub const KEYED_CELL: Idempotency = Idempotency::WithKey { scope: DedupScope::Cell, window: SECOND };
 
 /// An attempt that is out.
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
             told_off: BTreeSet::new(),
             next: 0,
         };
-        world.list(ListKind::Stale, servers);
+        world.list(ListKind::CachedSnapshot, servers);
         world
     }
 
@@ -103,7 +103,7 @@
     }
 
     pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
-        if matches!(kind, ListKind::Complete | ListKind::Stale) {
+        if matches!(kind, ListKind::Snapshot | ListKind::CachedSnapshot) {
             self.told_off.extend(self.servers.keys());
         }
         for e in &entries {
@@ -114,7 +114,7 @@
                 self.told_off.insert(e.id);
             }
         }
-        self.handle(Event::Servers { kind, entries })
+        self.handle(Event::EndpointList { kind, entries })
     }
 
     pub fn request(&mut self, class: usize) -> RequestId {
@@ -130,7 +130,15 @@
         let id = self.next;
         self.next += 1;
         self.open.insert(id, Open { class, deadline: self.now + time_left, attempts: 0, ran: None });
-        self.handle(Event::Request { id, class, time_left, tenant: None, work, retry: false, upload: false });
+        self.handle(Event::Request {
+            id,
+            class,
+            time_left,
+            tenant: None,
+            work,
+            marked_retry: false,
+            body_pending: false,
+        });
         id
     }
 
@@ -145,8 +153,8 @@
             time_left,
             tenant: None,
             work: None,
-            retry: false,
-            upload: true,
+            marked_retry: false,
+            body_pending: true,
         });
         id
     }
@@ -157,7 +165,7 @@
         let open = self.open.get_mut(&request).expect("it is open");
         open.deadline = now + self.settings.classes[open.class].deadline;
         self.out.iter_mut().filter(|o| o.request == request).for_each(|o| o.sent = now);
-        self.handle(Event::Uploaded { request });
+        self.handle(Event::BodyComplete { request });
     }
 
     /// Ends an attempt that is out.
@@ -183,7 +191,16 @@
         }
         let latency = self.now - out.sent;
         let (request, attempt, server) = (out.request, out.attempt, out.server);
-        self.handle(Event::Outcome { request, attempt, server, outcome, latency, closed, spent, load: None })
+        self.handle(Event::Outcome {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            finished: closed,
+            body_consumed: spent,
+            load: None,
+        })
     }
 
     /// A streamed answer begins: the attempt is the client's.
@@ -194,7 +211,7 @@
 
     pub fn gone(&mut self, request: RequestId) {
         self.open.remove(&request);
-        self.handle(Event::Gone { request });
+        self.handle(Event::ClientDisconnected { request });
     }
 
     pub fn is_open(&self, request: RequestId) -> bool {
@@ -236,11 +253,11 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { request, server, limit } => self.check_send(request, server, limit),
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let open = self.open.remove(&request).expect("refused a request that is not open");
                 let repeatable = matches!(
-                    self.settings.classes[open.class].effect,
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. }
+                    self.settings.classes[open.class].idempotency,
+                    Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. }
                 );
                 let out = self.out.iter().any(|o| o.request == request);
                 assert!(repeatable || (open.ran.is_none() && !out), "refused what may have run");
@@ -256,7 +273,9 @@
             }
             Action::Watch | Action::Fetch => self.asked += 1,
             Action::CloseIdle { server } => assert!(self.servers.contains_key(&server), "an unknown server"),
-            Action::Probe { .. } => assert!(self.settings.limits.probes, "probed where it may not"),
+            Action::HealthCheck { .. } => {
+                assert!(self.settings.limits.health_checks, "probed where it may not")
+            }
             Action::Cancel { .. } => assert!(self.settings.limits.cancel, "cancelled where it may not"),
         }
     }
@@ -267,21 +286,21 @@
         let to = &self.servers[&server];
         let out = self.out.iter().filter(|o| o.request == request).count();
         let open = self.open.get_mut(&request).expect("sent for a request that is not open");
-        assert!(self.settings.limits.second_copies || out == 0, "two attempts out at once");
+        assert!(self.settings.limits.hedging || out == 0, "two attempts out at once");
         assert!(open.attempts < self.settings.limits.max_attempts, "too many attempts");
         assert!(now + limit <= open.deadline, "an attempt outlives its request");
         if let Some((at, first)) = open.ran {
             let from = &self.servers[&first];
-            match self.settings.classes[open.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request was sent again"),
-                Effect::Keyed { group, window } => {
+            match self.settings.classes[open.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::WithKey { scope: group, window } => {
                     assert!(now < at + window, "sent again after the group has forgotten it");
                     assert!(
                         match group {
-                            Group::All => true,
-                            Group::Zone => from.zone == to.zone,
-                            Group::Cell => from.cell == to.cell,
+                            DedupScope::All => true,
+                            DedupScope::Zone => from.zone == to.zone,
+                            DedupScope::Cell => from.cell == to.cell,
                         },
                         "sent again outside the group"
                     );
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -4,10 +4,11 @@
 
 use common::{KEYED_CELL, MS, Out, SECOND, World, settings};
 use zincstand_policy::{
-    Action, Balancer, Discovery, Effect, Event, Goal, ListKind, Outcome, ServerEntry, ServerState, Tenant,
+    Action, Balancer, DiscoveryMode, Event, Goal, Idempotency, ListKind, Outcome, ServerEntry, ServerState,
+    Tenant,
 };
 
-fn world(effects: &[Effect], servers: u32) -> World {
+fn world(effects: &[Idempotency], servers: u32) -> World {
     World::new(settings(effects), (0..servers).map(ServerEntry::new).collect(), 7)
 }
 
@@ -33,7 +34,7 @@
 
 #[test]
 fn without_samples_the_time_left_bounds_an_attempt() {
-    let mut world = world(&[Effect::Safe], 3);
+    let mut world = world(&[Idempotency::Idempotent], 3);
     world.request(0);
     assert_eq!(last_out(&world).limit, 499 * MS, "the aim less a tick");
     world.request_with(0, 300 * MS);
@@ -43,9 +44,9 @@
 #[test]
 fn where_callers_pass_no_time_a_tier_takes_its_part_of_the_deadline() {
     for (passes, limit) in [(true, 2 * SECOND), (false, SECOND)] {
-        let mut settings = settings(&[Effect::Safe]);
-        (settings.tier, settings.tiers, settings.passes_deadline) = (1, 2, passes);
-        settings.classes[0].late_worth = 0.3;
+        let mut settings = settings(&[Idempotency::Idempotent]);
+        (settings.tier, settings.tier_count, settings.propagates_deadline) = (1, 2, passes);
+        settings.classes[0].late_weight = 0.3;
         let mut world = World::new(settings, vec![ServerEntry::new(0)], 7);
         world.request(0);
         assert_eq!(last_out(&world).limit, limit, "passed on: {passes}");
@@ -55,7 +56,7 @@
 #[test]
 fn a_handful_of_answers_is_no_p99() {
     // The first answers are the fastest ones: taken for P99 they cut off all the rest.
-    let mut world = world(&[Effect::Unsafe], 3);
+    let mut world = world(&[Idempotency::NotIdempotent], 3);
     warm_up(&mut world, 0, 20, 10 * MS);
     world.request(0);
     assert_eq!(last_out(&world).limit, 499 * MS);
@@ -63,7 +64,7 @@
 
 #[test]
 fn a_rare_classs_retry_is_not_cut_to_what_frequent_ones_take() {
-    let mut world = world(&[Effect::Safe, Effect::Safe], 3);
+    let mut world = world(&[Idempotency::Idempotent, Idempotency::Idempotent], 3);
     warm_up(&mut world, 0, 40, 10 * MS);
     world.request_with(1, 400 * MS);
     let first = last_out(&world);
@@ -75,7 +76,7 @@
 
 #[test]
 fn p99_bounds_the_first_attempt_once_learned() {
-    let mut world = world(&[Effect::Safe], 3);
+    let mut world = world(&[Idempotency::Idempotent], 3);
     warm_up(&mut world, 0, 160, 10 * MS);
     world.request(0);
     let limit = last_out(&world).limit;
@@ -85,7 +86,7 @@
 #[test]
 fn time_outs_widen_p99_again() {
     // The cut-offs must not drag down the percentile that sets them.
-    let mut world = world(&[Effect::Unsafe], 40);
+    let mut world = world(&[Idempotency::NotIdempotent], 40);
     warm_up(&mut world, 0, 160, 10 * MS);
     world.request(0);
     assert!(last_out(&world).limit < 50 * MS);
@@ -100,7 +101,7 @@
 
 #[test]
 fn a_retry_follows_a_time_out_with_p50_and_goes_elsewhere() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     warm_up(&mut world, 0, 160, 10 * MS);
     world.request(0);
     let first = last_out(&world);
@@ -114,12 +115,12 @@
 
 #[test]
 fn what_is_held_is_looked_at_often_however_long_the_aims() {
-    let mut settings = settings(&[Effect::Unsafe]);
-    (settings.classes[0].aim, settings.classes[0].deadline) = (3600 * SECOND, 3600 * SECOND);
+    let mut settings = settings(&[Idempotency::NotIdempotent]);
+    (settings.classes[0].latency_objective, settings.classes[0].deadline) = (3600 * SECOND, 3600 * SECOND);
     let mut world = World::new(settings, vec![ServerEntry::new(0)], 7);
     world.request(0);
     let first = last_out(&world);
-    world.end(&first, Outcome::Full);
+    world.end(&first, Outcome::Rejected);
     let until = world.now + 100 * MS;
     world.run(until, |_| None);
     assert_eq!(last_out(&world).attempt, 1, "its retry waits for the next look");
@@ -127,7 +128,7 @@
 
 #[test]
 fn there_is_one_retry_only() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     let id = world.request(0);
     for _ in 0..2 {
         let out = last_out(&world);
@@ -141,7 +142,7 @@
 
 #[test]
 fn the_retry_budget_runs_out() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     for _ in 0..60 {
         world.request(0);
         for _ in 0..2 {
@@ -158,7 +159,7 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
-    let mut world = world(&[Effect::Unsafe], 4);
+    let mut world = world(&[Idempotency::NotIdempotent], 4);
     let id = world.request(0);
     let out = last_out(&world);
     let actions = world.end(&out, Outcome::Error);
@@ -167,7 +168,7 @@
 
 #[test]
 fn what_never_ran_goes_out_again_even_if_unsafe() {
-    let mut world = world(&[Effect::Unsafe], 4);
+    let mut world = world(&[Idempotency::NotIdempotent], 4);
     let id = world.request(0);
     let out = last_out(&world);
     world.end(&out, Outcome::ConnectFailed);
@@ -199,19 +200,19 @@
 
 #[test]
 fn what_cannot_finish_is_not_sent() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     warm_up_with_a_tail(&mut world, 0, 160, 50 * MS);
     let late = world.request_with(0, 240 * MS);
     assert!(!world.is_open(late), "a client's late try with less than five P50 left is not sent");
     world.request_with(0, 260 * MS);
     assert!(!world.out.is_empty(), "half of its aim is always enough");
-    let mut world = self::world(&[Effect::Safe], 4);
+    let mut world = self::world(&[Idempotency::Idempotent], 4);
     warm_up_with_a_tail(&mut world, 0, 160, 10 * MS);
     let late = world.request_with(0, 40 * MS);
     assert!(!world.is_open(late), "the same where P50 is far under the aim");
     world.request_with(0, 60 * MS);
     assert!(!world.out.is_empty());
-    let mut world = World::new(settings(&[Effect::Safe]), Vec::new(), 7);
+    let mut world = World::new(settings(&[Idempotency::Idempotent]), Vec::new(), 7);
     let id = world.request(0);
     let until = world.now + 500 * MS;
     world.run(until, |_| None);
@@ -220,7 +221,7 @@
 
 #[test]
 fn where_work_is_even_what_nearly_all_calls_need_is_enough() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     warm_up(&mut world, 0, 160, 10 * MS);
     let late = world.request_with(0, 8 * MS);
     assert!(!world.is_open(late), "it cannot finish in less than any call needs");
@@ -231,7 +232,7 @@
 #[test]
 fn hinted_work_scales_what_an_attempt_needs() {
     // Where aims are few mean works, a request of twice the mean cannot finish and still took a place.
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     for i in 0..160 {
         let took = if i % 5 == 4 { 400 * MS } else { 50 * MS };
         world.request_hinted(0, SECOND, Some(50 * MS));
@@ -247,7 +248,7 @@
 #[test]
 fn a_hopeless_request_fails_and_an_early_drop_is_refused() {
     // A refusal makes the client come again: of use only while an answer can still be in time.
-    let mut world = World::new(settings(&[Effect::Safe]), Vec::new(), 7);
+    let mut world = World::new(settings(&[Idempotency::Idempotent]), Vec::new(), 7);
     let id = world.request(0);
     let until = world.now + SECOND;
     world.run(until, |_| None);
@@ -260,18 +261,18 @@
 
 #[test]
 fn a_refusal_tells_when_to_come_back_while_an_answer_is_still_of_use() {
-    let mut settings = settings(&[Effect::Safe]);
+    let mut settings = settings(&[Idempotency::Idempotent]);
     (settings.limits.retry_after, settings.limits.max_retry_after) = (true, 3 * SECOND);
     let mut world = World::new(settings, Vec::new(), 7);
     for _ in 0..30 {
         world.request(0);
     }
-    let aim = world.settings.classes[0].aim;
+    let aim = world.settings.classes[0].latency_objective;
     let waits: Vec<_> = world
         .trace
         .iter()
         .filter_map(|(_, action)| match action {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
         .collect();
@@ -280,7 +281,7 @@
 
 #[test]
 fn the_pick_takes_fewest_own_calls_in_flight() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     for _ in 0..4 {
         world.request(0);
     }
@@ -289,7 +290,7 @@
 
 #[test]
 fn own_time_outs_open_the_breaker_and_a_trial_closes_it() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     for _ in 0..150 {
         world.request(0);
         let until = world.now + 40 * MS;
@@ -307,7 +308,7 @@
 
 #[test]
 fn the_callers_expiry_opens_no_breaker() {
-    let mut world = world(&[Effect::Safe], 2);
+    let mut world = world(&[Idempotency::Idempotent], 2);
     for _ in 0..60 {
         world.request_with(0, 20 * MS);
         let until = world.now + 60 * MS;
@@ -324,7 +325,7 @@
 
 #[test]
 fn the_callers_expiry_far_under_the_patience_opens_no_breaker() {
-    let mut world = world(&[Effect::Safe], 2);
+    let mut world = world(&[Idempotency::Idempotent], 2);
     warm_up(&mut world, 0, 20, 10 * MS);
     // Far under the patience with silent servers, and P99 is not learned: each limit is the caller's.
     for _ in 0..6 {
@@ -344,7 +345,7 @@
 
 #[test]
 fn a_retrys_p50_opens_no_breaker() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     warm_up(&mut world, 0, 40, 10 * MS);
     let sent = |world: &World| world.sends.get(&1).copied().unwrap_or(0);
     // Server 1 turns first attempts away, which tells nothing, and answers no retry; server 0 breaks off what it gets.
@@ -357,7 +358,7 @@
                 ran_out += 1;
                 None
             }
-            1 => Some((MS, Outcome::Full)),
+            1 => Some((MS, Outcome::Rejected)),
             0 => Some((MS, Outcome::Reset)),
             _ => Some((10 * MS, Outcome::Ok)),
         });
@@ -374,7 +375,7 @@
 
 #[test]
 fn when_all_servers_fail_most_stay_in_use() {
-    let mut world = world(&[Effect::Safe], 9);
+    let mut world = world(&[Idempotency::Idempotent], 9);
     for _ in 0..300 {
         world.request(0);
         if let Some(out) = world.out.first().cloned() {
@@ -395,10 +396,10 @@
 
 #[test]
 fn a_draining_server_gets_nothing_new() {
-    let mut world = world(&[Effect::Safe], 2);
+    let mut world = world(&[Idempotency::Idempotent], 2);
     let mut e = ServerEntry::new(0);
     e.state = ServerState::Draining;
-    world.list(ListKind::Changes, vec![e]);
+    world.list(ListKind::Delta, vec![e]);
     for _ in 0..4 {
         world.request(0);
     }
@@ -407,20 +408,20 @@
 
 #[test]
 fn with_all_servers_draining_requests_are_refused_at_once() {
-    let mut world = world(&[Effect::Safe], 2);
+    let mut world = world(&[Idempotency::Idempotent], 2);
     let drains = |id| ServerEntry { state: ServerState::Draining, ..ServerEntry::new(id) };
-    world.list(ListKind::Changes, vec![drains(0), drains(1)]);
+    world.list(ListKind::Delta, vec![drains(0), drains(1)]);
     let refused = world.request(0);
     assert_eq!(world.refused, [refused]);
     // One that is back takes what comes.
-    world.list(ListKind::Changes, vec![ServerEntry::new(1)]);
+    world.list(ListKind::Delta, vec![ServerEntry::new(1)]);
     world.request(0);
     assert_eq!((world.sends.get(&1), world.refused.len()), (Some(&1), 1));
 }
 
 #[test]
 fn a_request_that_is_still_coming_takes_no_place_and_no_time() {
-    let mut world = world(&[Effect::Unsafe], 1);
+    let mut world = world(&[Idempotency::NotIdempotent], 1);
     let uploads: Vec<_> = (0..50).map(|_| world.upload(0)).collect();
     assert_eq!(world.sends[&0], 50, "they wait for places that they do not take");
     world.now += 60 * SECOND;
@@ -438,7 +439,7 @@
 
 #[test]
 fn places_that_uploads_never_took_are_not_given_back() {
-    let mut world = world(&[Effect::Unsafe], 1);
+    let mut world = world(&[Idempotency::NotIdempotent], 1);
     world.request(0);
     let uploads: Vec<_> = (0..50).map(|_| world.upload(0)).collect();
     uploads[..25].iter().for_each(|id| world.gone(*id));
@@ -454,7 +455,7 @@
 
 #[test]
 fn what_cannot_be_sent_again_is_given_up_at_once() {
-    for (outcome, refused) in [(Outcome::Full, 1), (Outcome::ConnectFailed, 1), (Outcome::Reset, 0)] {
+    for (outcome, refused) in [(Outcome::Rejected, 1), (Outcome::ConnectFailed, 1), (Outcome::Reset, 0)] {
         let mut world = world(&[KEYED_CELL], 3);
         world.upload(0);
         let out = last_out(&world);
@@ -465,14 +466,14 @@
     let mut world = world(&[KEYED_CELL], 3);
     world.upload(0);
     let out = last_out(&world);
-    world.end(&out, Outcome::Full);
+    world.end(&out, Outcome::Rejected);
     world.run(world.now + 100 * MS, |_| None);
     assert_eq!(world.sends.values().sum::<u32>(), 2);
 }
 
 #[test]
 fn a_balancer_that_takes_anothers_place_knows_what_that_one_had_learned() {
-    let mut before = world(&[Effect::Unsafe], 3);
+    let mut before = world(&[Idempotency::NotIdempotent], 3);
     warm_up(&mut before, 0, 200, 20 * MS);
     // One server fails all it gets.
     for _ in 0..60 {
@@ -483,14 +484,14 @@
     for _ in 0..4 {
         before.request(0);
     }
-    let learned = before.balancer.learned(before.now);
-    let mut after = world(&[Effect::Unsafe], 3);
+    let learned = before.balancer.learned_state(before.now);
+    let mut after = world(&[Idempotency::NotIdempotent], 3);
     after.now = before.now;
-    after.balancer.resume(after.now, &learned);
-    let again = after.balancer.learned(after.now);
+    after.balancer.restore(after.now, &learned);
+    let again = after.balancer.learned_state(after.now);
     assert_eq!(
-        (&again.all, &again.classes, &again.servers),
-        (&learned.all, &learned.classes, &learned.servers)
+        (&again.all_classes, &again.classes, &again.servers),
+        (&learned.all_classes, &learned.classes, &learned.servers)
     );
     // Bound as the one before bounds it, and away from the server that fails.
     after.request(0);
@@ -501,15 +502,15 @@
     }
     assert_eq!(after.sends.get(&0), None);
     // What the one before still has out takes places.
-    let mut alone = world(&[Effect::Unsafe], 3);
+    let mut alone = world(&[Idempotency::NotIdempotent], 3);
     alone.now = before.now;
-    alone.balancer.resume(
+    alone.balancer.restore(
         before.now,
-        &zincstand_policy::Learned {
+        &zincstand_policy::LearnedState {
             zones: learned
                 .zones
                 .iter()
-                .map(|z| zincstand_policy::LearnedZone { out: 0.0, ..z.clone() })
+                .map(|z| zincstand_policy::LearnedZone { outstanding: 0.0, ..z.clone() })
                 .collect(),
             ..learned.clone()
         },
@@ -521,39 +522,39 @@
     assert_eq!(sent(&alone), sent(&after) + 4);
     // A cold server waits as long as it would have there, not until it is warm.
     let cold = ServerEntry { started: Some(before.now), ..ServerEntry::new(9) };
-    let mut to_cold = World::new(settings(&[Effect::Unsafe]), vec![ServerEntry::new(1), cold], 7);
+    let mut to_cold = World::new(settings(&[Idempotency::NotIdempotent]), vec![ServerEntry::new(1), cold], 7);
     to_cold.now = before.now;
-    to_cold.balancer.resume(before.now, &learned);
+    to_cold.balancer.restore(before.now, &learned);
     warm_up(&mut to_cold, 0, 200, 20 * MS);
     assert!(to_cold.sends.get(&9).is_some_and(|sent| *sent > 5), "{:?}", to_cold.sends);
     // Of other classes nothing is taken over.
-    let mut other = world(&[Effect::Unsafe, Effect::Safe], 3);
-    other.balancer.resume(other.now, &learned);
-    assert_eq!(other.balancer.learned(other.now).all.counts, []);
+    let mut other = world(&[Idempotency::NotIdempotent, Idempotency::Idempotent], 3);
+    other.balancer.restore(other.now, &learned);
+    assert_eq!(other.balancer.learned_state(other.now).all_classes.counts, []);
 }
 
 #[test]
 fn the_places_of_a_server_that_is_out_do_not_all_go_to_the_ones_left() {
     // The window is two places for each server.
-    let mut world = world(&[Effect::Unsafe], 4);
+    let mut world = world(&[Idempotency::NotIdempotent], 4);
     let drains = |id| ServerEntry { state: ServerState::Draining, ..ServerEntry::new(id) };
-    world.list(ListKind::Changes, (1..4).map(drains).collect());
+    world.list(ListKind::Delta, (1..4).map(drains).collect());
     for _ in 0..20 {
         world.request(0);
     }
     assert_eq!(world.sends[&0], 3, "one server takes the places of four");
     // Back, they have their own again.
-    world.list(ListKind::Changes, (1..4).map(ServerEntry::new).collect());
+    world.list(ListKind::Delta, (1..4).map(ServerEntry::new).collect());
     assert_eq!(world.out.len(), 8);
 }
 
 #[test]
 fn a_cold_server_gets_its_cold_share() {
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     warm_up(&mut world, 0, 400, 5 * MS);
     let mut e = ServerEntry::new(9);
     e.started = Some(world.now);
-    world.list(ListKind::Changes, vec![e]);
+    world.list(ListKind::Delta, vec![e]);
     let before = world.sends.clone();
     warm_up(&mut world, 0, 600, 5 * MS);
     let cold = world.sends.get(&9).copied().unwrap_or(0);
@@ -567,9 +568,10 @@
     let now = 1_000 * SECOND;
     let cold = ServerEntry { started: Some(now - SECOND), ..ServerEntry::new(1) };
     for seed in 0..8 {
-        let mut world = World::new(settings(&[Effect::Safe]), vec![ServerEntry::new(0), cold.clone()], seed);
+        let mut world =
+            World::new(settings(&[Idempotency::Idempotent]), vec![ServerEntry::new(0), cold.clone()], seed);
         assert_eq!(world.now, now);
-        let warm_after = world.settings.rules.warm_after;
+        let warm_after = world.settings.rules.warm_up_time;
         for _ in 0..warm_after / (100 * MS) + 20 {
             world.request(0);
             let until = world.now + 100 * MS;
@@ -583,20 +585,20 @@
 fn a_zone_that_returns_cold_is_in_use_while_it_is_cold() {
     // Nothing was sent to it lately that would tell how often calls come: the other zone had them all.
     let entry = |id: u32, zone| ServerEntry { zone, ..ServerEntry::new(id) };
-    let mut settings = settings(&[Effect::Safe]);
-    settings.zones = 2;
+    let mut settings = settings(&[Idempotency::Idempotent]);
+    settings.zone_count = 2;
     for seed in 0..8 {
         let servers = vec![entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 1)];
         let mut world = World::new(settings.clone(), servers, seed);
         warm_up(&mut world, 0, 100, 5 * MS);
-        let gone = |id| ServerEntry { state: ServerState::Gone, ..entry(id, 0) };
-        world.list(ListKind::Changes, vec![gone(0), gone(1)]);
+        let gone = |id| ServerEntry { state: ServerState::Removed, ..entry(id, 0) };
+        world.list(ListKind::Delta, vec![gone(0), gone(1)]);
         warm_up(&mut world, 0, 100, 5 * MS);
         let started = Some(world.now);
         let back = |id| ServerEntry { started, ..entry(id, 0) };
-        world.list(ListKind::Changes, vec![back(0), back(1)]);
+        world.list(ListKind::Delta, vec![back(0), back(1)]);
         let before = world.sends.clone();
-        let until = world.now + world.settings.rules.warm_after / 4;
+        let until = world.now + world.settings.rules.warm_up_time / 4;
         while world.now < until {
             warm_up(&mut world, 0, 1, 5 * MS);
         }
@@ -609,15 +611,15 @@
 #[test]
 fn cold_servers_get_their_share_of_a_large_fleet_whose_balancers_each_send_little() {
     // Each balancer calls a server once in two seconds: pauses as long as its own are most of the warm-up.
-    let mut settings = settings(&[Effect::Safe]);
-    settings.balancers = 17;
-    (settings.rules.cold_from, settings.rules.warm_after) = (0.3, 8_800 * MS);
-    (settings.rules.overload_factor, settings.rules.tip_after) = (4.0, 1_500 * MS);
+    let mut settings = settings(&[Idempotency::Idempotent]);
+    settings.balancer_count = 17;
+    (settings.rules.cold_capacity, settings.rules.warm_up_time) = (0.3, 8_800 * MS);
+    (settings.rules.overload_factor, settings.rules.overload_window) = (4.0, 1_500 * MS);
     let (mut cold, mut warm) = (0, 0);
     for me in 0..17 {
-        settings.me = me;
+        settings.balancer_index = me;
         let ring = |id: u32| u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let entry = |id: u32| ServerEntry { ring: ring(id), ..ServerEntry::new(id) };
+        let entry = |id: u32| ServerEntry { ring_position: ring(id), ..ServerEntry::new(id) };
         let mut world = World::new(settings.clone(), (0..16).map(entry).collect(), u64::from(me));
         let calls = |world: &mut World, n: u32| {
             for _ in 0..n {
@@ -627,11 +629,11 @@
             }
         };
         calls(&mut world, 80);
-        let gone = |id| ServerEntry { state: ServerState::Gone, ..entry(id) };
-        world.list(ListKind::Changes, (0..5).map(gone).collect());
+        let gone = |id| ServerEntry { state: ServerState::Removed, ..entry(id) };
+        world.list(ListKind::Delta, (0..5).map(gone).collect());
         let started = Some(world.now);
         let fresh = |id| ServerEntry { started, ..entry(id) };
-        world.list(ListKind::Changes, (16..21).map(fresh).collect());
+        world.list(ListKind::Delta, (16..21).map(fresh).collect());
         let before = world.sends.clone();
         calls(&mut world, 35);
         let sent = |id: u32| world.sends.get(&id).unwrap_or(&0) - before.get(&id).unwrap_or(&0);
@@ -646,10 +648,10 @@
 #[test]
 fn a_burst_does_not_fall_on_a_cold_server() {
     // With nothing in flight it looks best of all, to every balancer at once.
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     warm_up(&mut world, 0, 200, 5 * MS);
     let cold = ServerEntry { started: Some(world.now), ..ServerEntry::new(9) };
-    world.list(ListKind::Changes, vec![cold]);
+    world.list(ListKind::Delta, vec![cold]);
     for _ in 0..60 {
         for _ in 0..6 {
             world.request(0);
@@ -660,14 +662,14 @@
     let cold = f64::from(world.sends.get(&9).copied().unwrap_or(0));
     // What the rule allows it, if the others are at their full capacity.
     let rules = &world.settings.rules;
-    let most = rules.overload_factor * rules.cold_from * (360.0 - cold) / 4.0;
+    let most = rules.overload_factor * rules.cold_capacity * (360.0 - cold) / 4.0;
     assert!(cold < most, "{cold} of 360 in its first seconds, {most} at the most");
 }
 
 #[test]
 fn places_given_up_do_not_fill_the_window_for_long() {
     // They faded with P99, which a slow spell widens to seconds.
-    let mut world = world(&[Effect::Unsafe], 6);
+    let mut world = world(&[Idempotency::NotIdempotent], 6);
     warm_up(&mut world, 0, 200, 20 * MS);
     for _ in 0..40 {
         world.request(0);
@@ -685,7 +687,7 @@
 
 #[test]
 fn silent_servers_do_not_close_the_window() {
-    let mut world = world(&[Effect::Safe], 12);
+    let mut world = world(&[Idempotency::Idempotent], 12);
     for _ in 0..300 {
         world.request(0);
         let until = world.now + 30 * MS;
@@ -700,8 +702,8 @@
 
 #[test]
 fn own_zone_first_and_away_when_it_has_no_room() {
-    let mut s = settings(&[Effect::Safe]);
-    (s.zones, s.prices.cross_zone) = (2, 0.2);
+    let mut s = settings(&[Idempotency::Idempotent]);
+    (s.zone_count, s.prices.cross_zone) = (2, 0.2);
     let servers = (0..4).map(|id| {
         let mut e = ServerEntry::new(id);
         e.zone = id / 2;
@@ -721,8 +723,8 @@
 #[test]
 fn a_lost_zone_does_not_take_every_call_in_turn() {
     // Its servers refuse connections at once: with a third of a zone ejected at most they looked free for ever.
-    let mut s = settings(&[Effect::Safe]);
-    s.zones = 3;
+    let mut s = settings(&[Idempotency::Idempotent]);
+    s.zone_count = 3;
     let servers = (0..24).map(|id| ServerEntry { zone: id / 8, ..ServerEntry::new(id) });
     let mut world = World::new(s, servers.collect(), 3);
     let play = |world: &mut World, n: u32| {
@@ -744,7 +746,7 @@
 
 #[test]
 fn a_lone_quiet_balancer_keeps_its_last_answers() {
-    let mut world = world(&[Effect::Safe], 3);
+    let mut world = world(&[Idempotency::Idempotent], 3);
     warm_up(&mut world, 0, 30, 25 * MS);
     let until = world.now + 60 * SECOND;
     world.run(until, |_| None);
@@ -755,8 +757,8 @@
 
 #[test]
 fn balancers_that_outnumber_their_servers_pause() {
-    let mut s = settings(&[Effect::Unsafe]);
-    s.balancers = 100;
+    let mut s = settings(&[Idempotency::NotIdempotent]);
+    s.balancer_count = 100;
     let mut world = World::new(s, (0..2).map(ServerEntry::new).collect(), 3);
     let mut play = |n: u32| {
         let before = world.sends.values().sum::<u32>();
@@ -774,8 +776,8 @@
 
 #[test]
 fn the_window_holds_back_a_flood_and_worth_goes_first() {
-    let mut s = settings(&[Effect::Safe, Effect::Safe]);
-    s.classes[1].worth = 10.0;
+    let mut s = settings(&[Idempotency::Idempotent, Idempotency::Idempotent]);
+    s.classes[1].priority_weight = 10.0;
     s.goal = Goal { whole: 1.0, ..Goal::default() };
     let mut world = World::new(s, (0..2).map(ServerEntry::new).collect(), 3);
     for _ in 0..20 {
@@ -791,8 +793,8 @@
 
 #[test]
 fn discovery_is_asked_within_its_span_and_again_after_a_failure() {
-    let mut s = settings(&[Effect::Safe]);
-    s.discovery = Discovery::Ask;
+    let mut s = settings(&[Idempotency::Idempotent]);
+    s.discovery = DiscoveryMode::Poll;
     let mut world = World::new(s, vec![ServerEntry::new(0)], 5);
     let until = world.now + 10 * SECOND;
     world.run(until, |_| None);
@@ -806,9 +808,9 @@
 #[test]
 fn discovery_is_asked_within_seconds_where_the_settings_allow_a_minute() {
     for seed in 0..20 {
-        let mut s = settings(&[Effect::Safe]);
-        s.discovery = Discovery::Ask;
-        s.rules.ask_within = 60 * SECOND;
+        let mut s = settings(&[Idempotency::Idempotent]);
+        s.discovery = DiscoveryMode::Poll;
+        s.rules.max_poll_interval = 60 * SECOND;
         let mut world = World::new(s, vec![ServerEntry::new(0)], seed);
         let until = world.now + 3 * SECOND;
         world.run(until, |_| None);
@@ -824,8 +826,8 @@
 
 #[test]
 fn a_complete_list_removes_what_it_does_not_name() {
-    let mut world = world(&[Effect::Safe], 3);
-    world.list(ListKind::Complete, vec![ServerEntry::new(1)]);
+    let mut world = world(&[Idempotency::Idempotent], 3);
+    world.list(ListKind::Snapshot, vec![ServerEntry::new(1)]);
     for _ in 0..5 {
         world.request(0);
     }
@@ -834,11 +836,11 @@
 
 #[test]
 fn unknown_things_are_passed_over() {
-    let mut world = world(&[Effect::Safe], 2);
+    let mut world = world(&[Idempotency::Idempotent], 2);
     let (request, server) = (99, 77);
     let latency = MS;
     let outcome = Outcome::TimedOut;
-    world.handle(Event::Gone { request });
+    world.handle(Event::ClientDisconnected { request });
     world.handle(Event::FirstByte { request, attempt: 3 });
     world.handle(Event::Outcome {
         request,
@@ -846,11 +848,11 @@
         server,
         outcome,
         latency,
-        closed: false,
-        spent: false,
+        finished: false,
+        body_consumed: false,
         load: None,
     });
-    world.handle(Event::Probed { server, outcome, latency, load: None });
+    world.handle(Event::HealthChecked { server, outcome, latency, load: None });
     let id = world.request_with(0, 0);
     assert!(world.failed.contains(&id) || world.refused.contains(&id));
 }
@@ -858,15 +860,15 @@
 #[test]
 fn settings_that_make_no_sense_are_an_error() {
     let bad = |change: fn(&mut zincstand_policy::Settings)| {
-        let mut s = settings(&[Effect::Safe]);
+        let mut s = settings(&[Idempotency::Idempotent]);
         change(&mut s);
         Balancer::new(s, 1).err().expect("an error").to_string()
     };
     assert!(bad(|s| s.classes.clear()).contains("no classes"));
     assert!(bad(|s| s.tier = 5).contains("tier"));
-    assert!(bad(|s| s.balancers = 0).contains("balancers"));
-    assert!(bad(|s| s.rules.cold_from = f64::NAN).contains("cold share"));
-    assert!(bad(|s| s.classes[0].worth = -1.0).contains("worth"));
+    assert!(bad(|s| s.balancer_count = 0).contains("balancers"));
+    assert!(bad(|s| s.rules.cold_capacity = f64::NAN).contains("cold share"));
+    assert!(bad(|s| s.classes[0].priority_weight = -1.0).contains("worth"));
     assert!(bad(|s| s.limits.max_attempts = 0).contains("attempts"));
     assert!(bad(|s| s.prices.waste = f64::INFINITY).contains("price"));
     assert!(bad(|s| s.goal.tail = -0.1).contains("goal"));
@@ -876,8 +878,9 @@
 #[test]
 fn what_is_held_ends_in_time_where_looks_are_far_apart() {
     // A look every 22 ms left answers 22 ms late where an answer after the aim still earns something.
-    let mut s = settings(&[Effect::Unsafe]);
-    (s.classes[0].aim, s.classes[0].deadline, s.classes[0].late_worth) = (1_400 * MS, 3_600 * MS, 0.2);
+    let mut s = settings(&[Idempotency::NotIdempotent]);
+    (s.classes[0].latency_objective, s.classes[0].deadline, s.classes[0].late_weight) =
+        (1_400 * MS, 3_600 * MS, 0.2);
     s.tick = 5 * MS;
     let mut world = World::new(s, Vec::new(), 7);
     for left in 0..60 {
@@ -891,7 +894,7 @@
 #[test]
 fn crowded_servers_close_the_window_long_before_the_aim() {
     // Servers that slow down when crowded lose capacity while all answers still come within the aim.
-    let mut world = world(&[Effect::Safe], 6);
+    let mut world = world(&[Idempotency::Idempotent], 6);
     let flood = |world: &mut World, took: u64| {
         for _ in 0..400 {
             world.request(0);
@@ -910,7 +913,7 @@
 #[test]
 fn small_hinted_requests_are_given_time_to_wait() {
     // A request of a fiftieth of the mean work waits in the same queues as the others.
-    let mut world = world(&[Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent], 4);
     let half = SECOND / 2;
     for _ in 0..160 {
         world.request_hinted(0, half, Some(50 * MS));
@@ -925,7 +928,7 @@
 #[test]
 fn an_attempt_that_no_retry_may_follow_gets_more_than_p99() {
     // Cut off at P99 at two tiers, one unsafe request in twenty was lost on a quiet day.
-    let mut world = world(&[Effect::Unsafe], 3);
+    let mut world = world(&[Idempotency::NotIdempotent], 3);
     warm_up(&mut world, 0, 160, 10 * MS);
     world.request(0);
     let limit = last_out(&world).limit;
@@ -934,7 +937,7 @@
 
 #[test]
 fn a_heavy_request_keeps_its_time_where_a_retry_would_not_fit() {
-    let mut world = world(&[Effect::Safe], 3);
+    let mut world = world(&[Idempotency::Idempotent], 3);
     warm_up(&mut world, 0, 30, 25 * MS);
     world.request_with(0, 290 * MS);
     assert_eq!(last_out(&world).limit, 290 * MS, "room for a retry would leave less than twelve P50");
@@ -945,7 +948,7 @@
 #[test]
 fn a_server_that_fails_one_class_keeps_the_others() {
     // Each success of another class closed the count, so the failing class went there for ever.
-    let mut world = world(&[Effect::Safe, Effect::Safe], 4);
+    let mut world = world(&[Idempotency::Idempotent, Idempotency::Idempotent], 4);
     let mut play = |n: u64| {
         let mut failing = 0;
         for i in 0..n {
@@ -974,7 +977,7 @@
 fn a_departed_callers_attempt_counts_as_late_only_once_an_answer_would() {
     // It counted so at once: clients that leave early closed the window beside idle servers.
     for (patience, window) in [(10 * MS, 10..13), (400 * MS, 0..4)] {
-        let mut world = world(&[Effect::Safe], 6);
+        let mut world = world(&[Idempotency::Idempotent], 6);
         warm_up(&mut world, 0, 60, 20 * MS);
         for _ in 0..60 {
             let request = world.request(0);
@@ -995,7 +998,7 @@
 #[test]
 fn a_window_under_its_part_opens_faster_than_one_above() {
     // Windows that grew alike whatever their size left all places to the balancers that had them.
-    let mut world = world(&[Effect::Safe], 6);
+    let mut world = world(&[Idempotency::Idempotent], 6);
     let flood = |world: &mut World, n: u32, took: u64| {
         let mut most = 0;
         for _ in 0..n {
@@ -1022,8 +1025,8 @@
 #[test]
 fn a_large_fleet_is_left_alone_while_a_preferred_server_is_free() {
     // Ranking all servers for each call cost one deployment its limit on processing time.
-    let mut s = settings(&[Effect::Safe]);
-    s.balancers = 40;
+    let mut s = settings(&[Idempotency::Idempotent]);
+    s.balancer_count = 40;
     let mut world = World::new(s, (0..160).map(ServerEntry::new).collect(), 3);
     warm_up(&mut world, 0, 400, 10 * MS);
     assert_eq!(world.sends.len(), 16, "four balancers prefer each server");
@@ -1040,13 +1043,15 @@
 #[test]
 fn a_server_that_turns_calls_away_is_left_alone_for_a_while() {
     // It answers at once, so it always had fewest calls in flight and drew most of the traffic.
-    let mut world = world(&[Effect::Unsafe], 4);
+    let mut world = world(&[Idempotency::NotIdempotent], 4);
     warm_up(&mut world, 0, 200, 20 * MS);
     let before = world.sends.clone();
     for _ in 0..200 {
         world.request(0);
         let until = world.now + 5 * MS;
-        world.run(until, |o| Some(if o.server == 1 { (MS, Outcome::Full) } else { (20 * MS, Outcome::Ok) }));
+        world.run(until, |o| {
+            Some(if o.server == 1 { (MS, Outcome::Rejected) } else { (20 * MS, Outcome::Ok) })
+        });
     }
     let full = world.sends[&1] - before[&1];
     assert!(full < 25, "{full} calls in a second to a server that takes none");
@@ -1057,8 +1062,8 @@
 
 #[test]
 fn a_class_of_far_more_worth_passes_a_full_window() {
-    let mut s = settings(&[Effect::Safe, Effect::Safe]);
-    s.classes[1].worth = 12.0;
+    let mut s = settings(&[Idempotency::Idempotent, Idempotency::Idempotent]);
+    s.classes[1].priority_weight = 12.0;
     let mut world = World::new(s, (0..4).map(ServerEntry::new).collect(), 3);
     for _ in 0..40 {
         world.request(0);
@@ -1076,8 +1081,8 @@
 #[test]
 fn silent_servers_are_found_before_p99_is_known() {
     // Bound by the caller's time alone, their time-outs looked like the caller's expiry and tripped nothing.
-    let mut s = settings(&[Effect::Unsafe]);
-    s.classes[0].late_worth = 0.2;
+    let mut s = settings(&[Idempotency::NotIdempotent]);
+    s.classes[0].late_weight = 0.2;
     let mut world = World::new(s, (0..4).map(ServerEntry::new).collect(), 7);
     let mut silent = |n: u32| {
         let before = world.sends.get(&2).copied().unwrap_or(0);
@@ -1096,7 +1101,7 @@
 #[test]
 fn idle_connections_that_swallow_calls_are_closed_before_use() {
     // Something between drops connections unseen after a while without use: the servers are healthy.
-    let mut s = settings(&[Effect::Safe]);
+    let mut s = settings(&[Idempotency::Idempotent]);
     s.classes[0].deadline = 20 * SECOND;
     let mut world = World::new(s, (0..12).map(ServerEntry::new).collect(), 7);
     warm_up(&mut world, 0, 200, 10 * MS);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -7,16 +7,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use zincstand_policy::{
-    Discovery, Effect, Event, Group, ListKind, Outcome, ReportMode, ServerEntry, ServerState, Settings,
+    DedupScope, DiscoveryMode, Event, Idempotency, ListKind, LoadReporting, Outcome, ServerEntry,
+    ServerState, Settings,
 };
 
-fn effects() -> impl Strategy<Value = Effect> {
+fn effects() -> impl Strategy<Value = Idempotency> {
     let window = (50 * MS)..(3 * SECOND);
-    let group = prop_oneof![Just(Group::All), Just(Group::Zone), Just(Group::Cell)];
+    let group = prop_oneof![Just(DedupScope::All), Just(DedupScope::Zone), Just(DedupScope::Cell)];
     prop_oneof![
-        Just(Effect::Safe),
-        Just(Effect::Unsafe),
-        (group, window).prop_map(|(group, window)| Effect::Keyed { group, window }),
+        Just(Idempotency::Idempotent),
+        Just(Idempotency::NotIdempotent),
+        (group, window).prop_map(|(group, window)| Idempotency::WithKey { scope: group, window }),
     ]
 }
 
@@ -25,7 +26,7 @@
         prop::collection::vec((effects(), 50_u64..1_000, 1_u64..4, any::<bool>(), 0.0..1.0_f64), 1..4),
         (1_u32..4, 0_u32..3, 1_u32..400, any::<bool>(), any::<bool>(), any::<bool>()),
         (any::<bool>(), any::<bool>(), any::<bool>(), 1_u32..6),
-        prop_oneof![Just(ReportMode::None), Just(ReportMode::Probe), Just(ReportMode::Answers)],
+        prop_oneof![Just(LoadReporting::None), Just(LoadReporting::Probe), Just(LoadReporting::Answers)],
     )
         .prop_map(
             |(
@@ -39,17 +40,18 @@
                     .into_iter()
                     .map(|(effect, aim, stretch, stream, late)| {
                         let mut c = class(effect);
-                        (c.aim, c.deadline) = (aim * MS, aim * stretch * MS);
-                        (c.stream, c.late_worth) = (stream, if late > 0.7 { late } else { 0.0 });
-                        c.worth = 1.0 + 10.0 * late;
+                        (c.latency_objective, c.deadline) = (aim * MS, aim * stretch * MS);
+                        (c.streaming, c.late_weight) = (stream, if late > 0.7 { late } else { 0.0 });
+                        c.priority_weight = 1.0 + 10.0 * late;
                         c
                     })
                     .collect();
-                (s.tiers, s.tier, s.zones, s.balancers) = (tiers, tier.min(tiers - 1), 3, balancers);
-                s.me = balancers / 2;
-                (s.passes_deadline, s.worth_by_work, s.report) = (passes, by_work, report);
-                s.discovery = if ask { Discovery::Ask } else { Discovery::Push };
-                (s.limits.cancel, s.limits.probes, s.limits.second_copies) = (cancel, probes, copies);
+                (s.tier_count, s.tier, s.zone_count, s.balancer_count) =
+                    (tiers, tier.min(tiers - 1), 3, balancers);
+                s.balancer_index = balancers / 2;
+                (s.propagates_deadline, s.weight_by_work, s.load_reporting) = (passes, by_work, report);
+                s.discovery = if ask { DiscoveryMode::Poll } else { DiscoveryMode::Push };
+                (s.limits.cancel, s.limits.health_checks, s.limits.hedging) = (cancel, probes, copies);
                 s.limits.max_attempts = most;
                 s
             },
@@ -65,7 +67,7 @@
         e
     };
     let entries = (0..servers).map(|id| entry(id, &mut rng)).collect();
-    let (passes, classes) = (settings.passes_deadline, settings.classes.len());
+    let (passes, classes) = (settings.propagates_deadline, settings.classes.len());
     let mut world = World::new(settings, entries, seed);
     let start = world.now;
     let (ill, slow) = (rng.u32(..4), 10 + rng.u64(..200));
@@ -79,14 +81,14 @@
         }
         if rng.u32(..20) == 0 {
             let mut e = entry(rng.u32(..servers + 3), &mut rng);
-            e.state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][rng.usize(..3)];
+            e.state = [ServerState::Ready, ServerState::Draining, ServerState::Removed][rng.usize(..3)];
             e.started = (rng.u32(..2) == 0).then_some(world.now);
-            world.list(ListKind::Changes, vec![e]);
+            world.list(ListKind::Delta, vec![e]);
         }
         if rng.u32(..60) == 0 {
             let ids: Vec<u32> = (0..servers).filter(|_| rng.u32(..4) > 0).collect();
             let all = ids.into_iter().map(|id| entry(id, &mut rng)).collect();
-            world.list(ListKind::Complete, all);
+            world.list(ListKind::Snapshot, all);
         }
         if rng.u32(..40) == 0 {
             world.list(ListKind::Failed, Vec::new());
@@ -98,8 +100,8 @@
         }
         if rng.u32(..10) == 0 {
             world.handle(Event::Timer { token: rng.u64(..) });
-            world.handle(Event::Gone { request: u64::MAX });
-            world.handle(Event::Probed {
+            world.handle(Event::ClientDisconnected { request: u64::MAX });
+            world.handle(Event::HealthChecked {
                 server: rng.u32(..500),
                 outcome: Outcome::Ok,
                 latency: MS,
@@ -107,7 +109,7 @@
             });
         }
         if let Some(out) = world.out.first().cloned()
-            && world.settings.classes.iter().all(|c| c.stream)
+            && world.settings.classes.iter().all(|c| c.streaming)
             && world.is_open(out.request)
         {
             world.first_byte(&out);
@@ -117,7 +119,7 @@
         world.run(until, |out| {
             let mut own = fastrand::Rng::with_seed(luck ^ out.request ^ u64::from(out.attempt) << 32);
             if out.server % 4 == ill && own.u32(..3) > 0 {
-                let bad = [Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset];
+                let bad = [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
                 return (own.u32(..2) == 0).then(|| (own.u64(1..50) * MS, bad[own.usize(..4)]));
             }
             Some((own.u64(1..=slow) * MS, Outcome::Ok))
@@ -144,8 +146,11 @@
 #[test]
 fn same_events_give_the_same_actions() {
     let run = || {
-        let mut world =
-            World::new(settings(&[Effect::Safe, Effect::Unsafe]), (0..9).map(ServerEntry::new).collect(), 3);
+        let mut world = World::new(
+            settings(&[Idempotency::Idempotent, Idempotency::NotIdempotent]),
+            (0..9).map(ServerEntry::new).collect(),
+            3,
+        );
         for i in 0..300_u64 {
             world.request((i % 2) as usize);
             let until = world.now + 5 * MS;
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -4,16 +4,16 @@
 
 use common::{MS, SECOND, settings};
 use zincstand_policy::{
-    Action, Balancer, Effect, Event, ListKind, Outcome, RequestId, ServerEntry, ServerId, ServerState,
+    Action, Balancer, Event, Idempotency, ListKind, Outcome, RequestId, ServerEntry, ServerId, ServerState,
 };
 
 /// A balancer that knows so many servers in `zones` zones, as one of so many.
 fn balancer(servers: u32, zones: u32, balancers: u32) -> Balancer {
-    let mut settings = settings(&[Effect::Safe]);
-    (settings.zones, settings.balancers) = (zones, balancers);
+    let mut settings = settings(&[Idempotency::Idempotent]);
+    (settings.zone_count, settings.balancer_count) = (zones, balancers);
     let mut balancer = Balancer::new(settings, 1).expect("the settings make sense");
     let entries = (0..servers).map(|id| ServerEntry { zone: id % zones, ..ServerEntry::new(id) }).collect();
-    balancer.handle(0, Event::Servers { kind: ListKind::Complete, entries }, &mut Vec::new());
+    balancer.handle(0, Event::EndpointList { kind: ListKind::Snapshot, entries }, &mut Vec::new());
     balancer
 }
 
@@ -21,7 +21,8 @@
     let mut actions = Vec::new();
     let (work, tenant) = (None, None);
     let time_left = 2 * SECOND;
-    let event = Event::Request { id, class: 0, time_left, tenant, work, retry: false, upload: false };
+    let event =
+        Event::Request { id, class: 0, time_left, tenant, work, marked_retry: false, body_pending: false };
     balancer.handle(now, event, &mut actions);
     sent(&actions)
 }
@@ -38,7 +39,7 @@
 fn looks_a_call(servers: u32, zones: u32, balancers: u32) -> f64 {
     let mut balancer = balancer(servers, zones, balancers);
     let (mut out, mut now, mut id) = (Vec::new(), SECOND, 0);
-    let before = balancer.looks();
+    let before = balancer.servers_examined();
     for _ in 0..1_000 {
         now += MS;
         out.extend(ask(&mut balancer, now, id));
@@ -48,12 +49,21 @@
             let mut actions = Vec::new();
             let (outcome, latency) = (Outcome::Ok, 10 * MS);
             let (attempt, closed, spent, load) = (0, true, false, None);
-            let event = Event::Outcome { request, attempt, server, outcome, latency, closed, spent, load };
+            let event = Event::Outcome {
+                request,
+                attempt,
+                server,
+                outcome,
+                latency,
+                finished: closed,
+                body_consumed: spent,
+                load,
+            };
             balancer.handle(now, event, &mut actions);
             out.extend(sent(&actions));
         }
     }
-    (balancer.looks() - before) as f64 / 1_000.0
+    (balancer.servers_examined() - before) as f64 / 1_000.0
 }
 
 #[test]
@@ -76,6 +86,6 @@
     let entries = (0..3_000).filter(|id| *id != 1_777);
     let entries = entries.map(|id| ServerEntry { state: ServerState::Draining, ..ServerEntry::new(id) });
     let entries = entries.collect();
-    balancer.handle(SECOND, Event::Servers { kind: ListKind::Changes, entries }, &mut Vec::new());
+    balancer.handle(SECOND, Event::EndpointList { kind: ListKind::Delta, entries }, &mut Vec::new());
     assert_eq!(ask(&mut balancer, 2 * SECOND, 1), [(1, 1_777)]);
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -132,7 +132,7 @@
                 state: match i.lifecycle {
                     Lifecycle::Serving => ServerState::Ready,
                     Lifecycle::Draining => ServerState::Draining,
-                    Lifecycle::Deleted => ServerState::Gone,
+                    Lifecycle::Deleted => ServerState::Removed,
                 },
                 weight: i.weight,
                 started: (i.started_at_ms > 0.0 && i.started_at_ms.is_finite())
@@ -307,7 +307,7 @@
                     let whole = list.reset || self.generation.get().is_none();
                     self.generation.set(Some(list.generation));
                     (again, pause) = (0, first_pause);
-                    tell(if whole { ListKind::Complete } else { ListKind::Changes }, list.entries());
+                    tell(if whole { ListKind::Snapshot } else { ListKind::Delta }, list.entries());
                 }
                 Err((why, call)) => {
                     eprintln!("discovery: {} does not answer: {why}", self.address.get());
@@ -344,7 +344,7 @@
                         && this.generation.get().is_some_and(|g| list.generation < g) => {}
                 Ok((list, _)) => {
                     this.generation.set(Some(list.generation));
-                    tell(ListKind::Complete, list.entries());
+                    tell(ListKind::Snapshot, list.entries());
                 }
                 Err(why) => {
                     eprintln!("discovery: the list did not come: {why}");
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -91,7 +91,7 @@
                 this.heard.set(Some(Instant::now()));
             }
             if this.asks {
-                this.hand(Event::Servers { kind, entries: Vec::new() });
+                this.hand(Event::EndpointList { kind, entries: Vec::new() });
             }
         }
     }
@@ -150,17 +150,17 @@
         let discovery =
             Discovery::new(first, case.known.then_some(41), case.ask_within.is_none(), case.grace);
         let class = zincstand_policy::Class {
-            effect: zincstand_policy::Effect::Safe,
-            aim: 20_000_000,
-            aim_stretch: 0.0,
+            idempotency: zincstand_policy::Idempotency::Idempotent,
+            latency_objective: 20_000_000,
+            objective_per_work: 0.0,
             deadline: 20_000_000,
-            worth: 1.0,
-            late_worth: 0.0,
-            stream: false,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            streaming: false,
         };
         let mut settings = zincstand_policy::Settings::new(vec![class]);
-        settings.discovery = zincstand_policy::Discovery::Ask;
-        settings.rules.ask_within = case.ask_within.unwrap_or_default().as_micros() as u64;
+        settings.discovery = zincstand_policy::DiscoveryMode::Poll;
+        settings.rules.max_poll_interval = case.ask_within.unwrap_or_default().as_micros() as u64;
         let balancer =
             RefCell::new(zincstand_policy::Balancer::new(settings, case.seed).expect("good settings"));
         let asks = case.ask_within.is_some();
@@ -175,7 +175,7 @@
             }
         });
         if asks {
-            module.hand(Event::Servers { kind: ListKind::Stale, entries: Vec::new() });
+            module.hand(Event::EndpointList { kind: ListKind::CachedSnapshot, entries: Vec::new() });
         } else {
             module.discovery.watch(module.tell());
         }
--- a/crates/proxy/src/engine.rs
+++ b/crates/proxy/src/engine.rs
@@ -34,7 +34,7 @@
 /// What a process leaves to the one that takes its place: what the module has learned, and what its numbers mean.
 #[derive(Serialize, Deserialize)]
 pub struct Legacy {
-    learned: policy::Learned,
+    learned: policy::LearnedState,
     zones: HashMap<u32, String>,
     servers: HashMap<ServerId, String>,
 }
@@ -107,7 +107,7 @@
 
 impl<W: Wire> Report<W> {
     /// The attempt ended.
-    pub fn end(mut self, outcome: Outcome, load: Option<policy::Load>, reply: Option<W::Reply>) {
+    pub fn end(mut self, outcome: Outcome, load: Option<policy::LoadReport>, reply: Option<W::Reply>) {
         self.told = true;
         self.engine.ended(self.request, self.attempt, outcome, load, reply);
     }
@@ -221,7 +221,15 @@
             self.set_timer(deadline.saturating_sub(LAST_RESORT), Due::LastResort(id));
         }
         let time_left = time_left.saturating_sub(MARGIN);
-        self.feed(Event::Request { id, class, time_left, tenant, work, retry, upload });
+        self.feed(Event::Request {
+            id,
+            class,
+            time_left,
+            tenant,
+            work,
+            marked_retry: retry,
+            body_pending: upload,
+        });
         Asking { engine: self.clone(), request: id, answer }
     }
 
@@ -243,12 +251,12 @@
         for (attempt, limit) in limits {
             self.set_timer(now + limit, Due::Limit(id, attempt));
         }
-        self.feed(Event::Uploaded { request: id });
+        self.feed(Event::BodyComplete { request: id });
     }
 
     /// What the module has learned, for the process that takes this one's place.
     pub fn legacy(&self) -> Legacy {
-        let learned = self.balancer.borrow().learned(self.clock.now());
+        let learned = self.balancer.borrow().learned_state(self.clock.now());
         let (zones, servers) = self.tables.borrow().registry.names();
         Legacy { learned, zones, servers }
     }
@@ -258,7 +266,7 @@
     pub fn inherit(&self, legacy: Legacy) {
         let Legacy { mut learned, zones, servers } = legacy;
         let now = self.clock.now();
-        if now.saturating_sub(learned.at) > LEGACY_KEPT {
+        if now.saturating_sub(learned.saved_at) > LEGACY_KEPT {
             return;
         }
         let registry = &self.tables.borrow().registry;
@@ -270,7 +278,7 @@
             let known = servers.get(&s.server).and_then(|name| registry.server(name));
             known.map(|server| s.server = server).is_some()
         });
-        self.balancer.borrow_mut().resume(now, &learned);
+        self.balancer.borrow_mut().restore(now, &learned);
     }
 
     /// Takes an upstream out until [`include`](Self::include), whatever discovery says. False if none has that
@@ -307,7 +315,7 @@
             self.wire.close_idle(server);
         }
         if !entries.is_empty() {
-            self.hand(Event::Servers { kind: ListKind::Changes, entries });
+            self.hand(Event::EndpointList { kind: ListKind::Delta, entries });
             self.recall_shut();
         }
     }
@@ -328,14 +336,14 @@
         if kind != ListKind::Failed {
             self.listed.set(true);
         }
-        self.hand(Event::Servers { kind, entries });
+        self.hand(Event::EndpointList { kind, entries });
         self.recall_shut();
     }
 
     /// Starts the module with no list known. Guards against a module that waits for its first event while
     /// nothing but that event would make it ask discovery.
     pub fn begin(self: &Rc<Self>) {
-        self.feed(Event::Servers { kind: ListKind::Stale, entries: Vec::new() });
+        self.feed(Event::EndpointList { kind: ListKind::CachedSnapshot, entries: Vec::new() });
     }
 
     /// A probe was answered or not.
@@ -344,9 +352,9 @@
         server: ServerId,
         took: Duration,
         outcome: Outcome,
-        load: Option<policy::Load>,
+        load: Option<policy::LoadReport>,
     ) {
-        self.feed(Event::Probed { server, outcome, latency: took.as_micros() as Micros, load });
+        self.feed(Event::HealthChecked { server, outcome, latency: took.as_micros() as Micros, load });
     }
 
     /// Rings the timers; never returns.
@@ -380,7 +388,7 @@
                 eprintln!("defect: the module left request {id} unanswered; failed just before its time");
                 let _ = answer.send(Answer::Failed(Failure::Time));
                 drop(tables);
-                self.feed(Event::Gone { request: id });
+                self.feed(Event::ClientDisconnected { request: id });
                 self.settle(id);
             }
         }
@@ -414,7 +422,7 @@
             tables.open.get_mut(&id).and_then(|o| o.answer.take()).is_some()
         };
         if left {
-            self.feed(Event::Gone { request: id });
+            self.feed(Event::ClientDisconnected { request: id });
             // Guards the upstreams: what waits for a connection is for nobody.
             self.recall(|open, _| open.answer.is_none(), Some(id));
             self.settle(id);
@@ -474,7 +482,7 @@
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
-        load: Option<policy::Load>,
+        load: Option<policy::LoadReport>,
         reply: Option<W::Reply>,
     ) {
         let now = self.clock.now();
@@ -493,7 +501,16 @@
             let (closed, spent) = (open.answer.is_none(), W::spent(&open.call));
             let latency = now.saturating_sub(out.at);
             let server = out.server;
-            Event::Outcome { request: id, attempt, server, outcome, latency, closed, spent, load }
+            Event::Outcome {
+                request: id,
+                attempt,
+                server,
+                outcome,
+                latency,
+                finished: closed,
+                body_consumed: spent,
+                load,
+            }
         };
         self.feed(event);
         self.settle(id);
@@ -533,13 +550,13 @@
     fn act(self: &Rc<Self>, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, limit } => self.send(now, request, server, limit),
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let retry_after = if self.limits.retry_after { retry_after } else { 0 };
                 self.answer(request, |_| Answer::Refused { retry_after });
             }
             Action::Fail { request } => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => self.call_off(request, attempt, Outcome::Cancelled),
-            Action::Probe { server } => {
+            Action::HealthCheck { server } => {
                 if let Some(to) = self.target(server) {
                     self.wire.probe(self, to);
                 }
@@ -586,8 +603,8 @@
                     server,
                     outcome,
                     latency,
-                    closed,
-                    spent: false,
+                    finished: closed,
+                    body_consumed: false,
                     load,
                 };
                 return self.events.borrow_mut().push_back(event);
@@ -597,7 +614,7 @@
             let started = open.deadline.is_some();
             let left = open.deadline.unwrap_or(now + open.time_left).saturating_sub(now + LAST_RESORT);
             let limit = if limit == 0 { left } else { limit.min(left) };
-            let copies = open.out.is_empty() || self.limits.second_copies;
+            let copies = open.out.is_empty() || self.limits.hedging;
             let may = open.answer.is_some() && copies && attempt < self.limits.max_attempts && limit > 0;
             let may = may && !W::spent(&open.call);
             open.out.push(Out { attempt, server, to: target, at: now, limit, handle: None });
--- a/crates/proxy/src/engine/tests.rs
+++ b/crates/proxy/src/engine/tests.rs
@@ -46,13 +46,13 @@
 fn settings() -> policy::Settings {
     let second = 1_000_000;
     let class = policy::Class {
-        effect: policy::Effect::Unsafe,
-        aim: 4 * second,
-        aim_stretch: 0.0,
+        idempotency: policy::Idempotency::NotIdempotent,
+        latency_objective: 4 * second,
+        objective_per_work: 0.0,
         deadline: 4 * second,
-        worth: 1.0,
-        late_worth: 0.0,
-        stream: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        streaming: false,
     };
     let mut settings = policy::Settings::new(vec![class]);
     settings.limits.cancel = true;
@@ -75,7 +75,7 @@
 fn engine(fake: &Fake) -> Rc<Engine<Fake>> {
     let (store, names) = (Rc::default(), Names::default());
     let engine = Engine::new(settings(), &names, 1, store, fake.clone()).expect("good settings");
-    engine.list(ListKind::Complete, vec![listed()]);
+    engine.list(ListKind::Snapshot, vec![listed()]);
     engine
 }
 
@@ -116,24 +116,24 @@
         let heir =
             Engine::new(settings, &Names::default(), 1, Rc::default(), fake.clone()).expect("settings");
         let other = Listed { instance: "s-0".to_owned(), zone: "b".to_owned(), ..listed() };
-        heir.list(ListKind::Complete, vec![other, listed()]);
+        heir.list(ListKind::Snapshot, vec![other, listed()]);
         heir.inherit(legacy());
         let (before, after) = (engine.legacy(), heir.legacy());
-        assert_eq!(after.learned.all, before.learned.all);
+        assert_eq!(after.learned.all_classes, before.learned.all_classes);
         let window = |legacy: &Legacy, name: &str| {
             let zone = legacy.learned.zones.iter().find(|z| legacy.zones[&z.zone] == name);
-            zone.expect("it is known").window
+            zone.expect("it is known").concurrency_limit
         };
         assert_eq!(window(&after, "a"), window(&before, "a"));
         assert_ne!(window(&before, "a"), window(&after, "b"));
         // What is old is no longer so.
         let mut old = legacy();
-        old.learned.at -= 2 * LEGACY_KEPT;
+        old.learned.saved_at -= 2 * LEGACY_KEPT;
         let late =
             Engine::new(self::settings(), &Names::default(), 1, Rc::default(), fake).expect("settings");
-        late.list(ListKind::Complete, vec![listed()]);
+        late.list(ListKind::Snapshot, vec![listed()]);
         late.inherit(old);
-        assert_eq!(late.legacy().learned.all.counts, []);
+        assert_eq!(late.legacy().learned.all_classes.counts, []);
     });
 }
 
@@ -179,7 +179,7 @@
 #[test]
 fn a_silent_module_does_not_keep_a_client_waiting() {
     with(async |fake, engine| {
-        engine.list(ListKind::Complete, Vec::new());
+        engine.list(ListKind::Snapshot, Vec::new());
         let asking = engine.ask(asked(1_000_000));
         // Without its timers the module never looks at what it holds.
         engine.tables.borrow_mut().timers.retain(|Reverse((.., due))| !matches!(due, Due::Token(_)));
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -168,7 +168,7 @@
     /// None yet, and never more than `most`.
     pub fn new(limits: &policy::Limits, most: usize) -> Pool {
         let span = |micros, untold| if micros == 0 { untold } else { Duration::from_micros(micros) };
-        let keep = (limits.idle_close as f64 * KEEP) as Micros;
+        let keep = (limits.idle_timeout as f64 * KEEP) as Micros;
         Pool {
             idle: RefCell::default(),
             open: Rc::default(),
--- a/crates/proxy/src/registry.rs
+++ b/crates/proxy/src/registry.rs
@@ -53,7 +53,7 @@
             kind: self.kind,
             cell: l.cell,
             // Of the instance: its address differs between balancers, the ring must not.
-            ring: ring(&l.instance),
+            ring_position: ring(&l.instance),
             state: match l.state {
                 ServerState::Ready if orders.out.contains(&l.instance) => ServerState::Draining,
                 state => state,
@@ -158,14 +158,14 @@
         let mut named = HashSet::new();
         for l in listed {
             // Guards against names that are only ever mentioned as gone.
-            if l.state == ServerState::Gone && !self.servers.by_name.contains_key(&l.instance) {
+            if l.state == ServerState::Removed && !self.servers.by_name.contains_key(&l.instance) {
                 continue;
             }
             let id = self.servers.number(&l.instance);
             let (zone, kind) = (self.zones.number(&l.zone), self.kinds.number(&l.kind));
             let place = Place { listed: l.clone(), zone, kind };
             entries.push(place.entry(id, &self.orders));
-            let gone = l.state == ServerState::Gone;
+            let gone = l.state == ServerState::Removed;
             let before = if gone {
                 self.servers.by_name.remove(&l.instance);
                 self.pass(l.instance.clone());
@@ -178,7 +178,7 @@
                 left.push(id);
             }
         }
-        if matches!(kind, ListKind::Complete | ListKind::Stale) {
+        if matches!(kind, ListKind::Snapshot | ListKind::CachedSnapshot) {
             left.extend(self.places.keys().filter(|id| !named.contains(id)));
             let gone = self.places.extract_if(|id, _| !named.contains(id));
             let names: Vec<_> = gone.map(|(_, place)| place.listed.instance).collect();
--- a/crates/proxy/src/registry/tests.rs
+++ b/crates/proxy/src/registry/tests.rs
@@ -22,20 +22,20 @@
     let mut seen = HashSet::new();
     for round in 0..1000 {
         let name = format!("s-{}", round % 7);
-        let (entries, left) = registry.take(ListKind::Changes, &[listed(&name, 80, ServerState::Ready)]);
+        let (entries, left) = registry.take(ListKind::Delta, &[listed(&name, 80, ServerState::Ready)]);
         let id = entries[0].id;
         assert!(seen.insert(id) && left.is_empty() && entries[0].weight == 1.0);
         // Draining it is still listed.
-        registry.take(ListKind::Changes, &[listed(&name, 80, ServerState::Draining)]);
+        registry.take(ListKind::Delta, &[listed(&name, 80, ServerState::Draining)]);
         assert!(registry.target(id).is_some());
         let (_, left) = if round % 2 == 0 {
-            registry.take(ListKind::Changes, &[listed(&name, 80, ServerState::Gone)])
+            registry.take(ListKind::Delta, &[listed(&name, 80, ServerState::Removed)])
         } else {
-            registry.take(ListKind::Complete, &[])
+            registry.take(ListKind::Snapshot, &[])
         };
         assert_eq!((left, registry.target(id)), (vec![id], None));
         // Told once more: no news.
-        let again = registry.take(ListKind::Changes, &[listed(&name, 80, ServerState::Gone)]);
+        let again = registry.take(ListKind::Delta, &[listed(&name, 80, ServerState::Removed)]);
         assert_eq!(again, (Vec::new(), Vec::new()));
     }
     assert!(registry.servers.by_name.is_empty() && registry.places.is_empty());
@@ -50,7 +50,7 @@
     let state = |taken: (Vec<policy::ServerEntry>, Vec<ServerId>)| {
         taken.0.iter().map(|e| (e.state, e.started)).collect::<Vec<_>>()
     };
-    registry.take(ListKind::Complete, &[ready(None), listed("b", 81, ServerState::Ready)]);
+    registry.take(ListKind::Snapshot, &[ready(None), listed("b", 81, ServerState::Ready)]);
     let mut orders = Orders::default();
     orders.exclude("a");
     let id = registry.servers.by_name["a"];
@@ -60,25 +60,25 @@
     assert_eq!(registry.obey(&orders), (Vec::new(), Vec::new()), "told once more");
     // A changed entry, the whole list, gone and listed anew: it stays out.
     let out = |started| vec![(ServerState::Draining, started)];
-    assert_eq!(state(registry.take(ListKind::Changes, &[ready(Some(3))])), out(Some(3)));
-    assert_eq!(state(registry.take(ListKind::Complete, &[ready(Some(3))])), out(Some(3)));
-    registry.take(ListKind::Changes, &[listed("a", 80, ServerState::Gone)]);
+    assert_eq!(state(registry.take(ListKind::Delta, &[ready(Some(3))])), out(Some(3)));
+    assert_eq!(state(registry.take(ListKind::Snapshot, &[ready(Some(3))])), out(Some(3)));
+    registry.take(ListKind::Delta, &[listed("a", 80, ServerState::Removed)]);
     assert!(registry.knows("a") && registry.knows("b") && !registry.knows("c"));
-    assert_eq!(state(registry.take(ListKind::Changes, &[ready(Some(4))])), out(Some(4)));
+    assert_eq!(state(registry.take(ListKind::Delta, &[ready(Some(4))])), out(Some(4)));
     // Back, it has started then, until discovery knows of a later start.
     orders.include("a", 7);
     assert_eq!(state(registry.obey(&orders)), [(ServerState::Ready, Some(7))]);
-    assert_eq!(state(registry.take(ListKind::Changes, &[ready(Some(6))])), [(ServerState::Ready, Some(7))]);
-    assert_eq!(state(registry.take(ListKind::Changes, &[ready(Some(8))])), [(ServerState::Ready, Some(8))]);
+    assert_eq!(state(registry.take(ListKind::Delta, &[ready(Some(6))])), [(ServerState::Ready, Some(7))]);
+    assert_eq!(state(registry.take(ListKind::Delta, &[ready(Some(8))])), [(ServerState::Ready, Some(8))]);
 }
 
 #[test]
 fn one_that_moved_or_was_replaced_at_its_address_loses_its_connections() {
     let mut registry = Registry::new(&Names::default());
-    let (a, _) = registry.take(ListKind::Complete, &[listed("a", 80, ServerState::Ready)]);
-    let (_, moved) = registry.take(ListKind::Changes, &[listed("a", 81, ServerState::Ready)]);
+    let (a, _) = registry.take(ListKind::Snapshot, &[listed("a", 80, ServerState::Ready)]);
+    let (_, moved) = registry.take(ListKind::Delta, &[listed("a", 81, ServerState::Ready)]);
     assert_eq!(moved, [a[0].id]);
-    let (b, left) = registry.take(ListKind::Complete, &[listed("b", 81, ServerState::Ready)]);
+    let (b, left) = registry.take(ListKind::Snapshot, &[listed("b", 81, ServerState::Ready)]);
     assert_eq!(left, [a[0].id]);
     assert_ne!(b[0].id, a[0].id);
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -22,7 +22,7 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use zincstand_policy as policy;
-use zincstand_policy::{Effect, Micros};
+use zincstand_policy::{Idempotency, Micros};
 
 use crate::engine::Engine;
 use crate::gate::{Crowd, Fault, Gate, IDLE_TIME, Inbound, Progress, Stage, waits};
@@ -595,10 +595,10 @@
         }
         // Method and key say what may be repeated; the class says the same, or one of the two is wrong.
         let key = head.headers.get(KEY).map(|key| !key.is_empty());
-        let fits = match class.effect {
-            Effect::Safe => head.method == Method::GET && key.is_none(),
-            Effect::Keyed { .. } => head.method == Method::POST && key == Some(true),
-            Effect::Unsafe => head.method == Method::POST && key.is_none(),
+        let fits = match class.idempotency {
+            Idempotency::Idempotent => head.method == Method::GET && key.is_none(),
+            Idempotency::WithKey { .. } => head.method == Method::POST && key == Some(true),
+            Idempotency::NotIdempotent => head.method == Method::POST && key.is_none(),
         };
         if !fits {
             return Err(bad("method or Idempotency-Key do not fit the class"));
@@ -612,7 +612,7 @@
                 deadline.ok_or(bad("Req-Deadline-Ms is no number"))?.saturating_mul(1000)
             }
         };
-        let safe = class.effect == Effect::Safe;
+        let safe = class.idempotency == Idempotency::Idempotent;
         // Guards against the kill: what is taken late is answered before it can come.
         let until_kill =
             self.life.ordered.get().filter(|at| at.elapsed() > UNHURRIED).map_or(Micros::MAX, |at| {
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -156,7 +156,7 @@
     let upstreams = Rc::new(Upstreams::new(&settings.limits, connections));
     spawn_local(upstreams.tend());
     let generation = config.known.as_ref().map(|known| known.generation);
-    let unasked = settings.discovery == policy::Discovery::Push;
+    let unasked = settings.discovery == policy::DiscoveryMode::Push;
     let drain_grace = Duration::from_micros(settings.rules.drain_grace);
     let discovery = Discovery::new(config.discovery, generation, unasked, drain_grace);
     let classes: Vec<_> = config
@@ -175,7 +175,7 @@
         Net { upstreams: upstreams.clone(), discovery: discovery.clone() },
     )?;
     match config.known.take() {
-        Some(known) => engine.list(ListKind::Stale, known.entries()),
+        Some(known) => engine.list(ListKind::CachedSnapshot, known.entries()),
         None => engine.begin(),
     }
     let heir = folder.clone().filter(|_| shared);
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -12,7 +12,7 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, timeout};
 use zincstand_policy as policy;
-use zincstand_policy::{Load, Micros, Outcome, ServerId};
+use zincstand_policy::{LoadReport, Micros, Outcome, ServerId};
 
 use crate::engine::Report;
 use crate::gate::Progress;
@@ -197,7 +197,7 @@
 /// How an exchange ended.
 struct Exchanged {
     outcome: Outcome,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     reply: Option<Reply>,
     conn: Option<Conn>,
 }
@@ -259,7 +259,7 @@
     }
 
     /// Asks an upstream how it is.
-    pub fn probe(&self, to: Target, told: impl FnOnce(Duration, Outcome, Option<Load>) + 'static) {
+    pub fn probe(&self, to: Target, told: impl FnOnce(Duration, Outcome, Option<LoadReport>) + 'static) {
         let pool = self.pool.clone();
         let uri = Uri::from_static("/health/live");
         let (headers, body) = (HeaderMap::new(), Payload::Whole(Bytes::new()));
@@ -346,7 +346,7 @@
         let outcome = match head.status {
             // Guards against an answer that is not what it seems: spoilt, it proves nothing, its mark neither.
             _ if !whole => Outcome::Reset,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Rejected,
             _ => Outcome::Error,
         };
         (outcome, None, whole.then_some(lease.conn))
@@ -355,8 +355,8 @@
 }
 
 /// A load report, `name=value,name=value`; what is unknown or unreadable is passed over.
-fn load(text: &str) -> Load {
-    let mut load = Load::default();
+fn load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         // Guards the module's sums: one `NaN` or `inf` would stay in them.
         let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0) else {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -128,12 +128,12 @@
 #[test]
 fn a_load_report_is_read_as_far_as_it_is_known() {
     let read = load("inflight=7,queue=2,util=0.61,latency_ms=1.5,x9=1,eps=?,qps=NaN,eps=-1,util=inf,=,");
-    let expected = Load {
+    let expected = LoadReport {
         in_flight: Some(7.0),
         queue: Some(2.0),
         utilization: Some(0.61),
         latency: Some(1500),
-        ..Load::default()
+        ..LoadReport::default()
     };
     assert_eq!(read, expected);
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -227,26 +227,26 @@
 
 fn class(c: &Category) -> Result<policy::Class, String> {
     let effect = match c.effect {
-        Effect::Retryable => policy::Effect::Safe,
-        Effect::Fragile => policy::Effect::Unsafe,
+        Effect::Retryable => policy::Idempotency::Idempotent,
+        Effect::Fragile => policy::Idempotency::NotIdempotent,
         Effect::Dedup => {
             let group = match c.group.as_deref() {
-                Some("zone") => policy::Group::Zone,
-                Some("cell") => policy::Group::Cell,
-                None | Some("all") => policy::Group::All,
+                Some("zone") => policy::DedupScope::Zone,
+                Some("cell") => policy::DedupScope::Cell,
+                None | Some("all") => policy::DedupScope::All,
                 Some(other) => return Err(format!("unknown group {other:?}")),
             };
-            policy::Effect::Keyed { group, window: micros(c.dedup_window_ms) }
+            policy::Idempotency::WithKey { scope: group, window: micros(c.dedup_window_ms) }
         }
     };
     Ok(policy::Class {
-        effect,
-        aim: micros(c.target_ms),
-        aim_stretch: c.aim_stretch,
+        idempotency: effect,
+        latency_objective: micros(c.target_ms),
+        objective_per_work: c.aim_stretch,
         deadline: micros(c.deadline_ms),
-        worth: c.value,
-        late_worth: c.late_worth,
-        stream: c.streaming,
+        priority_weight: c.value,
+        late_weight: c.late_worth,
+        streaming: c.streaming,
     })
 }
 
@@ -318,54 +318,54 @@
     check(s)?;
     let price = |name: &str| s.tariffs.get(name).copied().unwrap_or(0.0);
     Ok(policy::Settings {
-        me: s.me,
-        balancers: s.balancers,
+        balancer_index: s.me,
+        balancer_count: s.balancers,
         zone: zones.number(&s.zone),
         // A deployment that names no zones is one zone.
-        zones: (s.areas.len() as u32).max(1),
+        zone_count: (s.areas.len() as u32).max(1),
         tier: s.stage,
-        tiers: (s.tiers.len() as u32).max(1),
-        passes_deadline: s.extra.passes_deadline,
+        tier_count: (s.tiers.len() as u32).max(1),
+        propagates_deadline: s.extra.passes_deadline,
         classes: s.categories.iter().map(class).collect::<Result<_, _>>()?,
-        worth_by_work: s.worth_by == "work",
+        weight_by_work: s.worth_by == "work",
         tenants: s.realms.iter().map(|r| policy::Tenant { share: r.share, quota: r.quota_rps }).collect(),
-        over_share_worth: s.over_share_worth,
-        marks_retry: s.client_habits.marks_retry,
+        over_quota_weight: s.over_share_worth,
+        clients_mark_retries: s.client_habits.marks_retry,
         weights: match s.weights.as_str() {
-            "nominal" => policy::Weights::Nominal,
-            "rough" => policy::Weights::Rough,
-            "live" => policy::Weights::Live,
-            _ => policy::Weights::None,
+            "nominal" => policy::ServerWeights::Nominal,
+            "rough" => policy::ServerWeights::Rough,
+            "live" => policy::ServerWeights::Live,
+            _ => policy::ServerWeights::None,
         },
         discovery: match s.discovery {
-            Discovery::Automatic => policy::Discovery::Push,
-            Discovery::Subscribe => policy::Discovery::Ask,
+            Discovery::Automatic => policy::DiscoveryMode::Push,
+            Discovery::Subscribe => policy::DiscoveryMode::Poll,
         },
-        report: match s.stats.how.as_str() {
-            "answers" => policy::ReportMode::Answers,
-            "probe" => policy::ReportMode::Probe,
-            _ => policy::ReportMode::None,
+        load_reporting: match s.stats.how.as_str() {
+            "answers" => policy::LoadReporting::Answers,
+            "probe" => policy::LoadReporting::Probe,
+            _ => policy::LoadReporting::None,
         },
         limits: policy::Limits {
             cancel: s.limits.cancel,
-            probes: s.limits.probing,
-            second_copies: s.limits.second_copies,
+            health_checks: s.limits.probing,
+            hedging: s.limits.second_copies,
             retry_after: s.limits.retry_after,
             max_retry_after: micros(s.limits.max_retry_after_ms),
             max_attempts: s.limits.most_tries,
-            max_open: s.limits.max_open,
+            max_open_requests: s.limits.max_open,
             max_streams: s.limits.max_streams,
-            idle_close: micros(s.limits.idle_close_ms),
+            idle_timeout: micros(s.limits.idle_close_ms),
             connect_timeout: micros(s.limits.connect_timeout_ms),
             cpu_per_second: s.limits.cpu_us_per_s.max(0.0) as policy::Micros,
             cpu_per_request: s.limits.cpu_us_per_request,
         },
         rules: policy::Rules {
-            cold_from: s.rules.cold_from,
-            warm_after: micros(s.rules.warm_after_ms),
+            cold_capacity: s.rules.cold_from,
+            warm_up_time: micros(s.rules.warm_after_ms),
             overload_factor: s.rules.overload_factor,
-            tip_after: micros(s.rules.tip_after_ms),
-            ask_within: micros(s.rules.ask_within_ms),
+            overload_window: micros(s.rules.tip_after_ms),
+            max_poll_interval: micros(s.rules.ask_within_ms),
             drain_grace: micros(s.rules.drain_grace_ms),
             answer_grace: micros(s.rules.grace_to_answer_ms),
         },
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -59,7 +59,7 @@
     match d {
         wire::Disposition::S => policy::Outcome::Ok,
         wire::Disposition::E => policy::Outcome::Error,
-        wire::Disposition::F => policy::Outcome::Full,
+        wire::Disposition::F => policy::Outcome::Rejected,
         wire::Disposition::T => policy::Outcome::TimedOut,
         wire::Disposition::C => policy::Outcome::ConnectFailed,
         wire::Disposition::R => policy::Outcome::Reset,
@@ -68,8 +68,8 @@
     }
 }
 
-fn load(l: wire::Load) -> policy::Load {
-    policy::Load {
+fn load(l: wire::Load) -> policy::LoadReport {
+    policy::LoadReport {
         in_flight: l.outstanding,
         queue: l.backlog,
         utilization: l.utilization,
@@ -130,15 +130,27 @@
                 instance.numbers.insert(rid.clone().into_owned(), id);
                 instance.open.insert(id, Open { name: rid.into_owned(), out: 0, closed: false });
                 let (time_left, work) = (micros(time_left_ms), expected_ms.map(micros));
-                let event =
-                    policy::Event::Request { id, class, time_left, tenant, work, retry, upload: false };
+                let event = policy::Event::Request {
+                    id,
+                    class,
+                    time_left,
+                    tenant,
+                    work,
+                    marked_retry: retry,
+                    body_pending: false,
+                };
                 self.tell(now, balancer_id, event, reply)?;
             }
             Message::Echo { balancer_id, upstream, disposition, time_taken_ms, load: l } => {
                 let Some(instance) = self.instances.get_mut(&balancer_id) else { return Ok(false) };
                 let server = instance.servers.number(&upstream);
                 let (outcome, latency, load) = (outcome(disposition), micros(time_taken_ms), l.map(load));
-                self.tell(now, balancer_id, policy::Event::Probed { server, outcome, latency, load }, reply)?;
+                self.tell(
+                    now,
+                    balancer_id,
+                    policy::Event::HealthChecked { server, outcome, latency, load },
+                    reply,
+                )?;
             }
             Message::AckFirst { balancer_id, rid, trial } => {
                 if let Some(request) = self.request(balancer_id, &rid) {
@@ -163,8 +175,8 @@
                     server: instance.servers.number(&upstream),
                     outcome: outcome(disposition),
                     latency: micros(time_taken_ms),
-                    closed,
-                    spent: false,
+                    finished: closed,
+                    body_consumed: false,
                     load: l.map(load),
                 };
                 if let Some(open) = instance.open.get_mut(&request) {
@@ -178,7 +190,7 @@
             }
             Message::Aborted { balancer_id, rid } => {
                 if let Some(request) = self.request(balancer_id, &rid) {
-                    self.tell(now, balancer_id, policy::Event::Gone { request }, reply)?;
+                    self.tell(now, balancer_id, policy::Event::ClientDisconnected { request }, reply)?;
                     if let Some(instance) = self.instances.get_mut(&balancer_id) {
                         instance.close(request);
                     }
@@ -215,9 +227,9 @@
 
     fn servers(&mut self, balancer: u64, form: wire::Form, set: u64) -> Result<policy::Event, String> {
         let kind = match form {
-            wire::Form::Patch => policy::ListKind::Changes,
-            wire::Form::Whole => policy::ListKind::Complete,
-            wire::Form::StaleCopy => policy::ListKind::Stale,
+            wire::Form::Patch => policy::ListKind::Delta,
+            wire::Form::Whole => policy::ListKind::Snapshot,
+            wire::Form::StaleCopy => policy::ListKind::CachedSnapshot,
             wire::Form::Broken => policy::ListKind::Failed,
         };
         let mut entries = Vec::new();
@@ -228,17 +240,17 @@
                 zone: instance.zones.number(&e.locality),
                 kind: instance.kinds.number(&e.machine),
                 cell: e.group,
-                ring: ring(&e.upstream),
+                ring_position: ring(&e.upstream),
                 state: match e.condition {
                     wire::Condition::On => policy::ServerState::Ready,
                     wire::Condition::Fading => policy::ServerState::Draining,
-                    wire::Condition::Off => policy::ServerState::Gone,
+                    wire::Condition::Off => policy::ServerState::Removed,
                 },
                 weight: e.weight,
                 started: (e.last_start_ms > 0.0).then(|| micros(e.last_start_ms)),
             }));
         }
-        Ok(policy::Event::Servers { kind, entries })
+        Ok(policy::Event::EndpointList { kind, entries })
     }
 
     /// Hands an event to its instance and writes what the instance wants done.
@@ -282,7 +294,7 @@
                 open.out += 1;
             }
         }
-        policy::Action::Refuse { request, retry_after } => {
+        policy::Action::Reject { request, retry_after } => {
             let wait_ms = millis(*retry_after);
             write(reply, &Reply::Refuse { balancer_id, rid: rid(request), wait_ms })?;
             instance.close(*request);
@@ -294,7 +306,7 @@
         policy::Action::Cancel { request, attempt } => {
             write(reply, &Reply::AbortAttempt { balancer_id, rid: rid(request), trial: *attempt })?;
         }
-        policy::Action::Probe { server: to } => {
+        policy::Action::HealthCheck { server: to } => {
             write(reply, &Reply::Touch { balancer_id, upstream: server(*to) })?
         }
         policy::Action::CloseIdle { server: to } => {
--- a/crates/simulator-adapter/src/host/tests.rs
+++ b/crates/simulator-adapter/src/host/tests.rs
@@ -24,11 +24,11 @@
             r#"{"AbortAttempt":{"BalancerId":6,"Rid":"r-0","Trial":2}}"#.to_owned(),
         ),
         (
-            policy::Action::Refuse { request: 1, retry_after: 2_000 },
+            policy::Action::Reject { request: 1, retry_after: 2_000 },
             r#"{"Refuse":{"BalancerId":6,"Rid":"r-1","WaitMs":2.0}}"#.to_owned(),
         ),
         (policy::Action::Fail { request: 2 }, r#"{"FinishError":{"BalancerId":6,"Rid":"r-2"}}"#.to_owned()),
-        (policy::Action::Probe { server }, format!(r#"{{"Touch":{{{upstream}}}}}"#)),
+        (policy::Action::HealthCheck { server }, format!(r#"{{"Touch":{{{upstream}}}}}"#)),
         (policy::Action::CloseIdle { server }, format!(r#"{{"ShutIdle":{{{upstream}}}}}"#)),
         (
             policy::Action::Timer { delay: 500, token: 9 },
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -297,7 +297,7 @@
 
     fn start(&self, number: u32) -> Result<(), String> {
         let mut settings = self.settings.clone();
-        settings.me = number;
+        settings.balancer_index = number;
         settings.zone = number % self.options.zones.max(1);
         let unasked = self.options.learning == Learning::Told;
         let discovery = Discovery::new(self.options.discovery, None, unasked, self.options.drain_grace);
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -31,7 +31,7 @@
         seed: 1,
     };
     let crowd = Crowd::start(&options).expect("balancers");
-    reached(&crowd, |r| assert_eq!((r.kind, r.entries), (ListKind::Complete, upstreams)));
+    reached(&crowd, |r| assert_eq!((r.kind, r.entries), (ListKind::Snapshot, upstreams)));
     waiting(&discovery);
     (discovery, crowd)
 }
@@ -63,7 +63,7 @@
         assert_eq!((before.whole, before.connections), (50, 50));
         crowd.mark("s-00000003", ServerState::Draining);
         discovery.change(vec![entry(3).now(Lifecycle::Draining)]).expect("changed");
-        reached(&crowd, |r| assert!(r.marked && r.kind == ListKind::Changes && r.entries == 1));
+        reached(&crowd, |r| assert!(r.marked && r.kind == ListKind::Delta && r.entries == 1));
         waiting(&discovery).total.since(&before)
     });
     for cost in costs {
@@ -85,5 +85,5 @@
     assert_eq!((after.connections, after.calls, after.whole, after.bytes_out), (50, 50, 0, 0));
     // They are told again.
     discovery.change(vec![entry(3).now(Lifecycle::Draining)]).expect("changed");
-    reached(&crowd, |r| assert_eq!((r.kind, r.entries), (ListKind::Changes, 1)));
+    reached(&crowd, |r| assert_eq!((r.kind, r.entries), (ListKind::Delta, 1)));
 }
