--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -18,9 +18,9 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use crate::engine::Engine;
-use crate::server::Life;
-use crate::wire::Wire;
+use crate::dispatch::Dispatcher;
+use crate::dispatch::transport::Transport;
+use crate::downstream::Lifecycle;
 
 /// Callers at once; one more takes the place of the one that has been there longest.
 const MOST_CALLERS: usize = 12;
@@ -37,7 +37,7 @@
 
 /// What a call asks for.
 #[derive(Debug, PartialEq)]
-enum Order {
+enum AdminCall {
     Ready,
     Exclude(String),
     Include(String),
@@ -49,16 +49,16 @@
 type Wrong = (StatusCode, &'static str, Option<&'static str>);
 
 /// Where operators' calls are answered.
-pub struct Management<W: Wire> {
-    engine: Rc<Engine<W>>,
-    life: Rc<Life>,
+pub struct AdminServer<W: Transport> {
+    engine: Rc<Dispatcher<W>>,
+    life: Rc<Lifecycle>,
     callers: RefCell<VecDeque<AbortHandle>>,
 }
 
-impl<W: Wire> Management<W> {
+impl<W: Transport> AdminServer<W> {
     /// No caller yet.
-    pub fn new(engine: Rc<Engine<W>>, life: Rc<Life>) -> Rc<Self> {
-        Rc::new(Management { engine, life, callers: RefCell::default() })
+    pub fn new(engine: Rc<Dispatcher<W>>, life: Rc<Lifecycle>) -> Rc<Self> {
+        Rc::new(AdminServer { engine, life, callers: RefCell::default() })
     }
 
     /// Answers calls; never returns.
@@ -114,7 +114,7 @@
     }
 
     /// Does what is asked; a yes comes once it holds.
-    fn carry_out(&self, order: &Order) -> io::Result<(StatusCode, String)> {
+    fn carry_out(&self, order: &AdminCall) -> io::Result<(StatusCode, String)> {
         let known = |known, said: &str, name: &str| match known {
             true => {
                 eprintln!("management: {name} is {said}");
@@ -123,17 +123,20 @@
             false => (StatusCode::NOT_FOUND, format!("no list has named {name}")),
         };
         Ok(match order {
-            Order::Ready if self.life.takes() && self.life.may_serve(self.engine.listed()) => {
+            AdminCall::Ready
+                if self.life.accepts_connections()
+                    && self.life.may_serve(self.engine.has_endpoint_list()) =>
+            {
                 (StatusCode::OK, "ready".to_owned())
             }
-            Order::Ready => (StatusCode::SERVICE_UNAVAILABLE, "not ready".to_owned()),
-            Order::Exclude(name) => known(self.engine.exclude(name)?, "out", name),
-            Order::Include(name) => known(self.engine.include(name)?, "in use", name),
-            Order::Evacuate => {
+            AdminCall::Ready => (StatusCode::SERVICE_UNAVAILABLE, "not ready".to_owned()),
+            AdminCall::Exclude(name) => known(self.engine.exclude(name)?, "out", name),
+            AdminCall::Include(name) => known(self.engine.include(name)?, "in use", name),
+            AdminCall::Evacuate => {
                 self.life.evacuate(true)?;
                 (StatusCode::OK, "clients are sent away".to_owned())
             }
-            Order::Rejoin => {
+            AdminCall::Rejoin => {
                 self.life.evacuate(false)?;
                 (StatusCode::OK, "clients are taken".to_owned())
             }
@@ -142,18 +145,18 @@
 }
 
 /// What a call asks for, if method and path say nothing else.
-fn order(method: &Method, uri: &hyper::Uri) -> Result<Order, Wrong> {
+fn order(method: &Method, uri: &hyper::Uri) -> Result<AdminCall, Wrong> {
     let unknown = (StatusCode::NOT_FOUND, "no such path", None);
     let path = uri.path();
     let (order, allow) = match path {
-        "/api/ready" => (Order::Ready, "GET"),
-        "/api/evacuate" => (Order::Evacuate, "POST"),
-        "/api/rejoin" => (Order::Rejoin, "POST"),
+        "/api/ready" => (AdminCall::Ready, "GET"),
+        "/api/evacuate" => (AdminCall::Evacuate, "POST"),
+        "/api/rejoin" => (AdminCall::Rejoin, "POST"),
         _ => {
-            let (make, text): (fn(String) -> Order, _) =
+            let (make, text): (fn(String) -> AdminCall, _) =
                 match (path.strip_prefix("/api/exclude/"), path.strip_prefix("/api/include/")) {
-                    (Some(text), _) => (Order::Exclude, text),
-                    (_, Some(text)) => (Order::Include, text),
+                    (Some(text), _) => (AdminCall::Exclude, text),
+                    (_, Some(text)) => (AdminCall::Include, text),
                     _ => return Err(unknown),
                 };
             (make(name(text).ok_or((StatusCode::BAD_REQUEST, "no upstream's name", None))?), "POST")
--- a/crates/proxy/src/management/tests.rs
+++ b/crates/proxy/src/admin/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-fn asked(method: &str, path: &str) -> Result<Order, u16> {
+fn asked(method: &str, path: &str) -> Result<AdminCall, u16> {
     let method = Method::from_bytes(method.as_bytes()).expect("a method");
     order(&method, &path.parse().expect("a path")).map_err(|(status, ..)| status.as_u16())
 }
 
 #[test]
 fn only_the_calls_of_the_page_are_orders() {
-    assert_eq!(asked("GET", "/api/ready"), Ok(Order::Ready));
-    assert_eq!(asked("POST", "/api/evacuate"), Ok(Order::Evacuate));
-    assert_eq!(asked("POST", "/api/rejoin"), Ok(Order::Rejoin));
-    assert_eq!(asked("POST", "/api/exclude/s-5be2a07c"), Ok(Order::Exclude("s-5be2a07c".to_owned())));
-    assert_eq!(asked("POST", "/api/include/10.0.0.1%3a80"), Ok(Order::Include("10.0.0.1:80".to_owned())));
+    assert_eq!(asked("GET", "/api/ready"), Ok(AdminCall::Ready));
+    assert_eq!(asked("POST", "/api/evacuate"), Ok(AdminCall::Evacuate));
+    assert_eq!(asked("POST", "/api/rejoin"), Ok(AdminCall::Rejoin));
+    assert_eq!(asked("POST", "/api/exclude/s-5be2a07c"), Ok(AdminCall::Exclude("s-5be2a07c".to_owned())));
+    assert_eq!(asked("POST", "/api/include/10.0.0.1%3a80"), Ok(AdminCall::Include("10.0.0.1:80".to_owned())));
     for (method, path, status) in [
         ("POST", "/api/ready", 405),
         ("HEAD", "/api/ready", 405),
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use zincstand_settings::Setup;
 
-use crate::discovery::List;
+use crate::discovery::EndpointList;
 
 /// Descriptors where the configuration names no limit.
 const SOCKETS: usize = 1024;
@@ -23,7 +23,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Setup,
 }
 
@@ -50,7 +50,7 @@
     /// Memory that the process may use, in bytes.
     pub memory: usize,
     /// The list of upstreams as last held.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     /// The simulator's start message.
     pub setup: Setup,
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,5 +1,7 @@
 //! The list of upstreams: discovery's form, the watch and the whole list.
 
+pub mod registry;
+
 use std::cell::{Cell, RefCell};
 use std::future::pending;
 use std::net::SocketAddr;
@@ -21,7 +23,7 @@
 use zincstand_policy::{ListKind, ServerState};
 use zincstand_settings::{micros, one};
 
-use crate::wire::Listed;
+use crate::dispatch::transport::Endpoint;
 
 /// What the agent on the same machine has counts as told, whether it is asked or not: all spans between two looks
 /// are parts of the one within which the news of a drain must be heeded. How long a watch waits for news: one that
@@ -48,7 +50,7 @@
 
 /// A list as discovery sends it.
 #[derive(Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     pub generation: u64,
     /// It is the whole list, not only what changed.
@@ -92,13 +94,13 @@
     Deleted,
 }
 
-impl List {
+impl EndpointList {
     /// The entries for the engine. One that cannot be read is logged; where it names an upstream, nothing new is
     /// to go there: that is all which is safe to make of it.
-    pub fn entries(self) -> Vec<Listed> {
+    pub fn entries(self) -> Vec<Endpoint> {
         let unread = |name: &str, what: &dyn std::fmt::Display| {
             eprintln!("discovery: the entry of {name:?} cannot be read and takes nothing new: {what}");
-            Listed {
+            Endpoint {
                 instance: name.to_owned(),
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
                 zone: String::new(),
@@ -123,7 +125,7 @@
             let Ok(address) = i.host_port.parse() else {
                 return Some(unread(&i.instance_id, &i.host_port));
             };
-            Some(Listed {
+            Some(Endpoint {
                 address,
                 instance: i.instance_id,
                 zone: i.zone,
@@ -145,19 +147,19 @@
 
 /// The spans between two looks at what discovery has to tell.
 #[derive(Clone, Copy, Debug)]
-struct Clocks {
+struct PollTiming {
     wait: Duration,
     patience: Duration,
     again: Duration,
     most_pause: Duration,
 }
 
-impl Clocks {
+impl PollTiming {
     /// Such that the news of a drain is heeded within its grace; under a tenth of a second the bounds hold, which
     /// together are 84 ms: looks that follow each other faster cost more than they tell.
-    fn within(drain_grace: Duration) -> Clocks {
+    fn within(drain_grace: Duration) -> PollTiming {
         let part = |part, (least, most)| drain_grace.mul_f64(part).clamp(least, most);
-        Clocks {
+        PollTiming {
             wait: part(WAIT, WAITS),
             patience: part(PATIENCE, PATIENCES),
             again: part(AGAIN, AGAINS),
@@ -167,10 +169,10 @@
 }
 
 /// A call under way: its list, and the connection for the next.
-type Call = Pin<Box<dyn Future<Output = Result<(List, Line), String>>>>;
+type ListCall = Pin<Box<dyn Future<Output = Result<(EndpointList, DiscoveryConnection), String>>>>;
 
 /// The list of a call that is late. One that fails is dropped, and nothing is heard.
-async fn heard_late(late: &mut Option<Call>) -> (List, Line) {
+async fn heard_late(late: &mut Option<ListCall>) -> (EndpointList, DiscoveryConnection) {
     if let Some(call) = late {
         if let Ok(heard) = call.await {
             return heard;
@@ -186,16 +188,16 @@
     Now,
     After(Duration),
     /// Once the module watches again.
-    Asked,
+    IncomingRequest,
 }
 
 /// A connection to discovery, kept between calls.
-struct Line {
+struct DiscoveryConnection {
     sender: SendRequest<Empty<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for Line {
+impl Drop for DiscoveryConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -210,7 +212,7 @@
     generation: Cell<Option<u64>>,
     /// Changes are to arrive unasked: a watch that failed is begun anew here and not left to the module.
     unasked: bool,
-    clocks: Clocks,
+    clocks: PollTiming,
     watch: RefCell<Option<AbortHandle>>,
     /// The watch has failed, and the next call is the module's to choose.
     waits: Cell<bool>,
@@ -227,7 +229,7 @@
         drain_grace: Duration,
     ) -> Rc<Discovery> {
         let (address, generation) = (Cell::new(address), Cell::new(generation));
-        let clocks = Clocks::within(drain_grace);
+        let clocks = PollTiming::within(drain_grace);
         let (moves, watch) = (Cell::new(0), RefCell::default());
         let (waits, asked) = (Cell::new(false), Notify::new());
         Rc::new(Discovery { address, moves, generation, unasked, clocks, watch, waits, asked })
@@ -235,7 +237,11 @@
 
     /// Leaves the present address, its watch and its line: the new one is asked for the whole list at once and
     /// then watched. Guards against versions of another discovery, which say nothing there.
-    pub fn move_to(self: &Rc<Self>, address: SocketAddr, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn change_address(
+        self: &Rc<Self>,
+        address: SocketAddr,
+        tell: impl Fn(ListKind, Vec<Endpoint>) + 'static,
+    ) {
         if self.address.replace(address) == address {
             return;
         }
@@ -246,7 +252,7 @@
 
     /// Watches from now on and tells each list. After a failure that is told the next call waits for this, unless
     /// news is to come unasked. A watch under way goes on: whatever it comes to is told.
-    pub fn watch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn watch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
         if self.waits.replace(false) {
             self.asked.notify_one();
         } else if self.watch.borrow().is_none() {
@@ -255,7 +261,7 @@
     }
 
     /// A watch whose first call is made again up to `again` times before the module is told.
-    fn start(self: &Rc<Self>, again: u32, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    fn start(self: &Rc<Self>, again: u32, tell: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
         self.waits.set(false);
         let task = spawn_local(self.clone().keep_watch(again, tell));
         if let Some(before) = self.watch.replace(Some(task.abort_handle())) {
@@ -265,15 +271,15 @@
 
     /// Calls one after the other. Guards against one that is silent, or whose list never ends, without giving up
     /// one that is only slow: the next call begins beside it, and the list that is whole first counts.
-    async fn keep_watch(self: Rc<Self>, mut again: u32, tell: impl Fn(ListKind, Vec<Listed>)) {
-        let Clocks { wait, patience, again: first_pause, most_pause } = self.clocks;
+    async fn keep_watch(self: Rc<Self>, mut again: u32, tell: impl Fn(ListKind, Vec<Endpoint>)) {
+        let PollTiming { wait, patience, again: first_pause, most_pause } = self.clocks;
         let (mut line, mut late, mut next, mut pause) = (None, None, Next::Now, first_pause);
         loop {
             let call = async {
                 match next {
                     Next::Now => {}
                     Next::After(pause) => sleep(pause).await,
-                    Next::Asked => self.asked.notified().await,
+                    Next::IncomingRequest => self.asked.notified().await,
                 }
                 let (path, patience) = match self.generation.get() {
                     None => ("/registry/instances".to_owned(), patience),
@@ -281,7 +287,7 @@
                         (format!("/registry/instances?index={g}&wait={}", wait.as_millis()), wait + patience)
                     }
                 };
-                let mut call: Call = Box::pin(self.clone().call(line.take(), path));
+                let mut call: ListCall = Box::pin(self.clone().call(line.take(), path));
                 match timeout(patience, &mut call).await {
                     Ok(heard) => heard.map_err(|why| (why, None)),
                     Err(_) => Err(("silence".to_owned(), Some(call))),
@@ -318,7 +324,7 @@
                         next = Next::After(pause);
                         pause = (2 * pause).min(most_pause);
                     } else {
-                        next = Next::Asked;
+                        next = Next::IncomingRequest;
                         self.waits.set(true);
                         tell(ListKind::Failed, Vec::new());
                     }
@@ -328,7 +334,7 @@
     }
 
     /// Asks once for the whole list and tells it.
-    pub fn fetch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn fetch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
         let this = self.clone();
         spawn_local(async move {
             let (before, moves) = (this.generation.get(), this.moves.get());
@@ -355,13 +361,21 @@
     }
 
     /// One call, on the connection kept from the last if there is one.
-    async fn call(self: Rc<Self>, line: Option<Line>, path: String) -> Result<(List, Line), String> {
+    async fn call(
+        self: Rc<Self>,
+        line: Option<DiscoveryConnection>,
+        path: String,
+    ) -> Result<(EndpointList, DiscoveryConnection), String> {
         timeout(CALL_TIME, self.ask(line, &path))
             .await
             .unwrap_or_else(|_| Err("its list does not end".into()))
     }
 
-    async fn ask(&self, line: Option<Line>, path: &str) -> Result<(List, Line), String> {
+    async fn ask(
+        &self,
+        line: Option<DiscoveryConnection>,
+        path: &str,
+    ) -> Result<(EndpointList, DiscoveryConnection), String> {
         let (response, line) = self.begin(line, path).await?;
         if response.status() != StatusCode::OK {
             return Err(format!("status {}", response.status()));
@@ -374,7 +388,11 @@
     }
 
     /// Sends a call and waits for the head of its answer.
-    async fn begin(&self, line: Option<Line>, path: &str) -> Result<(Response<Incoming>, Line), String> {
+    async fn begin(
+        &self,
+        line: Option<DiscoveryConnection>,
+        path: &str,
+    ) -> Result<(Response<Incoming>, DiscoveryConnection), String> {
         let mut line = match line {
             Some(line) if !line.sender.is_closed() => line,
             _ => self.connect().await?,
@@ -387,7 +405,7 @@
         Ok((line.sender.send_request(request).await.map_err(|e| e.to_string())?, line))
     }
 
-    async fn connect(&self) -> Result<Line, String> {
+    async fn connect(&self) -> Result<DiscoveryConnection, String> {
         let stream = TcpStream::connect(self.address.get()).await.map_err(|e| e.to_string())?;
         let _ = stream.set_nodelay(true);
         let shaken = http1::handshake(TokioIo::new(stream)).await;
@@ -395,7 +413,7 @@
         let driver = spawn_local(async move {
             let _ = connection.await;
         });
-        Ok(Line { sender, driver: driver.abort_handle() })
+        Ok(DiscoveryConnection { sender, driver: driver.abort_handle() })
     }
 }
 
--- a/crates/proxy/src/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -6,8 +6,8 @@
 use zincstand_policy::{ListKind, ServerId, ServerState};
 use zincstand_settings::{Names, ring};
 
-use crate::orders::Orders;
-use crate::wire::{Listed, Target};
+use crate::dispatch::transport::{Endpoint, Target};
+use crate::lifecycle::overrides::OperatorOverrides;
 
 /// Names of upstreams that have left the list which are still known to operators.
 const MOST_PAST: usize = 4096;
@@ -36,16 +36,16 @@
 }
 
 /// What discovery last said of an upstream, and which zone and kind it was given.
-struct Place {
-    listed: Listed,
+struct ConnectionPermit {
+    listed: Endpoint,
     zone: u32,
     kind: u32,
 }
 
-impl Place {
+impl ConnectionPermit {
     /// Its entry for the module. What operators have set lies over what discovery says: one that is out drains,
     /// one that came back has started then, or later if discovery says so.
-    fn entry(&self, id: ServerId, orders: &Orders) -> policy::ServerEntry {
+    fn entry(&self, id: ServerId, orders: &OperatorOverrides) -> policy::ServerEntry {
         let l = &self.listed;
         policy::ServerEntry {
             id,
@@ -55,11 +55,11 @@
             // Of the instance: its address differs between balancers, the ring must not.
             ring_position: ring(&l.instance),
             state: match l.state {
-                ServerState::Ready if orders.out.contains(&l.instance) => ServerState::Draining,
+                ServerState::Ready if orders.excluded.contains(&l.instance) => ServerState::Draining,
                 state => state,
             },
             weight: if l.weight.is_finite() && l.weight > 0.0 { l.weight } else { 1.0 },
-            started: l.started.max(orders.back.get(&l.instance).copied()),
+            started: l.started.max(orders.included_at.get(&l.instance).copied()),
         }
     }
 }
@@ -67,12 +67,12 @@
 /// All upstreams that are listed; of those that are gone the names alone are kept, and not without end.
 pub struct Registry {
     servers: Numbers,
-    places: HashMap<ServerId, Place>,
+    places: HashMap<ServerId, ConnectionPermit>,
     zones: Numbers,
     /// Zones that the settings number.
     settled: u32,
     kinds: Numbers,
-    orders: Orders,
+    orders: OperatorOverrides,
     /// Names that left the list, oldest first.
     past: VecDeque<String>,
 }
@@ -90,14 +90,14 @@
             zones,
             settled,
             kinds: none(),
-            orders: Orders::default(),
+            orders: OperatorOverrides::default(),
             past: VecDeque::new(),
         }
     }
 
     /// Where an upstream is, if it is listed and not taken out by hand.
     pub fn target(&self, server: ServerId) -> Option<Target> {
-        let place = self.places.get(&server).filter(|p| !self.orders.out.contains(&p.listed.instance));
+        let place = self.places.get(&server).filter(|p| !self.orders.excluded.contains(&p.listed.instance));
         place.map(|p| Target { server, address: p.listed.address })
     }
 
@@ -109,20 +109,20 @@
 
     /// Whether a list has named the upstream, be it long ago.
     pub fn knows(&self, name: &str) -> bool {
-        let ordered = self.orders.out.contains(name) || self.orders.back.contains_key(name);
+        let ordered = self.orders.excluded.contains(name) || self.orders.included_at.contains_key(name);
         ordered || self.servers.by_name.contains_key(name) || self.past.iter().any(|past| past == name)
     }
 
     /// Takes over what operators have set: the entries that it changes, and those that are out now.
-    pub fn obey(&mut self, orders: &Orders) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
+    pub fn obey(&mut self, orders: &OperatorOverrides) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
         let before = std::mem::replace(&mut self.orders, orders.clone());
-        let changed = |(id, place): (&ServerId, &Place)| {
+        let changed = |(id, place): (&ServerId, &ConnectionPermit)| {
             let entry = place.entry(*id, orders);
             (entry != place.entry(*id, &before)).then_some(entry)
         };
         let mut entries: Vec<_> = self.places.iter().filter_map(changed).collect();
         entries.sort_by_key(|e| e.id);
-        let out = |id: &ServerId| orders.out.contains(&self.places[id].listed.instance);
+        let out = |id: &ServerId| orders.excluded.contains(&self.places[id].listed.instance);
         let left = entries.iter().map(|e| e.id).filter(out).collect();
         (entries, left)
     }
@@ -153,7 +153,7 @@
     }
 
     /// Takes a list over: its entries for the module, and those that moved or are gone.
-    pub fn take(&mut self, kind: ListKind, listed: &[Listed]) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
+    pub fn take(&mut self, kind: ListKind, listed: &[Endpoint]) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
         let (mut entries, mut left) = (Vec::with_capacity(listed.len()), Vec::new());
         let mut named = HashSet::new();
         for l in listed {
@@ -163,7 +163,7 @@
             }
             let id = self.servers.number(&l.instance);
             let (zone, kind) = (self.zones.number(&l.zone), self.kinds.number(&l.kind));
-            let place = Place { listed: l.clone(), zone, kind };
+            let place = ConnectionPermit { listed: l.clone(), zone, kind };
             entries.push(place.entry(id, &self.orders));
             let gone = l.state == ServerState::Removed;
             let before = if gone {
--- a/crates/proxy/src/registry/tests.rs
+++ b/crates/proxy/src/discovery/registry/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::net::SocketAddr;
 
-fn listed(instance: &str, port: u16, state: ServerState) -> Listed {
-    Listed {
+fn listed(instance: &str, port: u16, state: ServerState) -> Endpoint {
+    Endpoint {
         instance: instance.to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         zone: format!("z-{instance}"),
@@ -46,12 +46,12 @@
 #[test]
 fn one_that_is_out_drains_whatever_discovery_lists_and_comes_back_cold() {
     let mut registry = Registry::new(&Names::default());
-    let ready = |started| Listed { started, ..listed("a", 80, ServerState::Ready) };
+    let ready = |started| Endpoint { started, ..listed("a", 80, ServerState::Ready) };
     let state = |taken: (Vec<policy::ServerEntry>, Vec<ServerId>)| {
         taken.0.iter().map(|e| (e.state, e.started)).collect::<Vec<_>>()
     };
     registry.take(ListKind::Snapshot, &[ready(None), listed("b", 81, ServerState::Ready)]);
-    let mut orders = Orders::default();
+    let mut orders = OperatorOverrides::default();
     orders.exclude("a");
     let id = registry.servers.by_name["a"];
     let (entries, left) = registry.obey(&orders);
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -9,7 +9,7 @@
 fn whatever_fails_the_next_look_comes_within_the_grace_of_a_drain() {
     for ms in [1, 120, 250, 1_000, 2_500, 10_000, 90_000] {
         let grace = Duration::from_millis(ms);
-        let Clocks { wait, patience, again, most_pause } = Clocks::within(grace);
+        let PollTiming { wait, patience, again, most_pause } = PollTiming::within(grace);
         // Silence to the end of a watch, and then a pause; or calls that fail at once, one after the other.
         let bounds = Duration::from_millis(85);
         assert!(wait + patience + again < grace.max(bounds), "{ms} ms");
@@ -23,7 +23,7 @@
 
 /// How discovery fails before it can be reached again; a call that it fell upon stays as it is.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum BodyEnd {
     Refused,
     Reset,
     Closed,
@@ -34,14 +34,14 @@
     NoList,
 }
 
-use End::*;
+use BodyEnd::*;
 
-const ENDS: [End; 8] = [Refused, Reset, Closed, Busy, Silent, Half, Trickle, NoList];
+const ENDS: [BodyEnd; 8] = [Refused, Reset, Closed, Busy, Silent, Half, Trickle, NoList];
 
 /// A balancer's discovery on a virtual clock.
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    end: End,
+    end: BodyEnd,
     /// Lists are asked for, and so often; else they are pushed.
     ask_within: Option<Duration>,
     grace: Duration,
@@ -84,7 +84,7 @@
         }
     }
 
-    fn tell(self: &Rc<Self>) -> impl Fn(ListKind, Vec<Listed>) + 'static {
+    fn tell(self: &Rc<Self>) -> impl Fn(ListKind, Vec<Endpoint>) + 'static {
         let this = self.clone();
         move |kind, listed| {
             if kind != ListKind::Failed && !listed.is_empty() && this.heard.get().is_none() {
@@ -181,7 +181,7 @@
         }
         if let Some(moves) = moves {
             sleep(moves).await;
-            module.discovery.move_to(address, module.tell());
+            module.discovery.change_address(address, module.tell());
         }
         while module.heard.get().is_none() && begun.elapsed() < Duration::from_secs(150) {
             sleep(Duration::from_millis(5)).await;
--- a/crates/proxy/src/engine.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -1,5 +1,7 @@
 //! Owns the decision module, the open requests and the timers; the only caller of `Balancer::handle`. What
-//! calls and replies are made of is the business of a [`Wire`].
+//! calls and replies are made of is the business of a [`Transport`].
+
+pub mod transport;
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -15,10 +17,12 @@
 use zincstand_policy::{Action, Event, ListKind, Micros, Outcome, RequestId, ServerId};
 use zincstand_settings::Names;
 
-use crate::orders::{OrderStore, Orders};
-use crate::registry::Registry;
-use crate::stream::End;
-use crate::wire::{Answer, Asked, Clock, Failure, Listed, Target, Wire};
+use crate::discovery::registry::Registry;
+use crate::dispatch::transport::{
+    Clock, Endpoint, Failure, FinalResponse, IncomingRequest, Target, Transport,
+};
+use crate::lifecycle::overrides::{OperatorOverrides, OverrideStore};
+use crate::upstream::stream::BodyEnd;
 
 /// The module is told this much less than the client's time: the answer's way back and the timers' grain.
 const MARGIN: Micros = 10_000;
@@ -33,7 +37,7 @@
 
 /// What a process leaves to the one that takes its place: what the module has learned, and what its numbers mean.
 #[derive(Serialize, Deserialize)]
-pub struct Legacy {
+pub struct SavedState {
     learned: policy::LearnedState,
     zones: HashMap<u32, String>,
     servers: HashMap<ServerId, String>,
@@ -41,13 +45,13 @@
 
 /// What a timer is for.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     Token(u64),
     Limit(RequestId, u32),
     LastResort(RequestId),
 }
 
-struct Out<O> {
+struct AttemptInFlight<O> {
     attempt: u32,
     server: ServerId,
     /// Nothing if it is not sent at all.
@@ -58,22 +62,22 @@
 }
 
 /// A request that is not answered or has attempts out.
-struct Open<W: Wire> {
-    call: Rc<W::Call>,
+struct ActiveRequest<W: Transport> {
+    call: Rc<W::Request>,
     /// Where the final answer goes; nothing once it went or the client left.
-    answer: Option<oneshot::Sender<Answer<W::Reply>>>,
+    answer: Option<oneshot::Sender<FinalResponse<W::Response>>>,
     /// Nothing while its body is still coming.
     deadline: Option<Micros>,
     time_left: Micros,
     sent: u32,
-    out: Vec<Out<W::Out>>,
+    out: Vec<AttemptInFlight<W::Attempt>>,
     failure: Failure,
 }
 
-struct Tables<W: Wire> {
-    open: HashMap<RequestId, Open<W>>,
+struct Tables<W: Transport> {
+    open: HashMap<RequestId, ActiveRequest<W>>,
     next: RequestId,
-    timers: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, u64, TimerKind)>>,
     timer_number: u64,
     /// From as many timers on, those of requests that are answered are dropped.
     most_timers: usize,
@@ -81,11 +85,11 @@
 }
 
 /// The balancer between its sockets.
-pub struct Engine<W: Wire> {
+pub struct Dispatcher<W: Transport> {
     wire: W,
     clock: Clock,
     /// What operators have set; others than this process may have.
-    store: Rc<OrderStore>,
+    store: Rc<OverrideStore>,
     /// The version of it that the module knows.
     obeyed: Cell<u64>,
     limits: policy::Limits,
@@ -93,27 +97,27 @@
     tables: RefCell<Tables<W>>,
     events: RefCell<VecDeque<Event>>,
     handling: Cell<bool>,
-    listed: Cell<bool>,
+    has_endpoint_list: Cell<bool>,
     earlier: Notify,
 }
 
 /// Where an attempt's end is told, once. Dropped untold, as when its task died, it counts as a reset.
-pub struct Report<W: Wire> {
-    engine: Rc<Engine<W>>,
+pub struct AttemptCompletion<W: Transport> {
+    engine: Rc<Dispatcher<W>>,
     request: RequestId,
     attempt: u32,
     told: bool,
 }
 
-impl<W: Wire> Report<W> {
+impl<W: Transport> AttemptCompletion<W> {
     /// The attempt ended.
-    pub fn end(mut self, outcome: Outcome, load: Option<policy::LoadReport>, reply: Option<W::Reply>) {
+    pub fn end(mut self, outcome: Outcome, load: Option<policy::LoadReport>, reply: Option<W::Response>) {
         self.told = true;
         self.engine.ended(self.request, self.attempt, outcome, load, reply);
     }
 }
 
-impl<W: Wire> Drop for Report<W> {
+impl<W: Transport> Drop for AttemptCompletion<W> {
     fn drop(&mut self) {
         if !self.told {
             self.engine.ended(self.request, self.attempt, Outcome::Reset, None, None);
@@ -122,59 +126,62 @@
 }
 
 /// A caller's hold on its request: dropped before the answer, the client is gone.
-pub struct Asking<W: Wire> {
-    engine: Rc<Engine<W>>,
+pub struct PendingRequest<W: Transport> {
+    engine: Rc<Dispatcher<W>>,
     request: RequestId,
-    answer: oneshot::Receiver<Answer<W::Reply>>,
+    answer: oneshot::Receiver<FinalResponse<W::Response>>,
 }
 
-impl<W: Wire> Asking<W> {
+impl<W: Transport> PendingRequest<W> {
     /// The final answer.
-    pub async fn answer(mut self) -> Answer<W::Reply> {
+    pub async fn answer(mut self) -> FinalResponse<W::Response> {
         self.next().await
     }
 
     /// The same for a request whose body is still coming; how it ends without it if the body never does.
-    pub async fn answer_upload(mut self, end: impl Future<Output = End>) -> Result<Answer<W::Reply>, End> {
+    pub async fn answer_upload(
+        mut self,
+        end: impl Future<Output = BodyEnd>,
+    ) -> Result<FinalResponse<W::Response>, BodyEnd> {
         tokio::select! {
             biased;
             answer = self.next() => return Ok(answer),
             end = end => match end {
-                End::Whole => self.engine.uploaded(self.request),
+                BodyEnd::Whole => self.engine.uploaded(self.request),
                 end => return Err(end),
             },
         }
         Ok(self.next().await)
     }
 
-    async fn next(&mut self) -> Answer<W::Reply> {
+    async fn next(&mut self) -> FinalResponse<W::Response> {
         (&mut self.answer).await.unwrap_or_else(|_| {
             eprintln!("defect: request {} was dropped without an answer", self.request);
-            Answer::Failed(Failure::Upstream)
+            FinalResponse::Failed(Failure::Upstream)
         })
     }
 }
 
-impl<W: Wire> Drop for Asking<W> {
+impl<W: Transport> Drop for PendingRequest<W> {
     fn drop(&mut self) {
         self.engine.gone(self.request);
     }
 }
 
-impl<W: Wire> Engine<W> {
+impl<W: Transport> Dispatcher<W> {
     /// A balancer with the given settings; `zones` holds the numbers that the settings use.
     pub fn new(
         settings: policy::Settings,
         zones: &Names,
         seed: u64,
-        store: Rc<OrderStore>,
+        store: Rc<OverrideStore>,
         wire: W,
     ) -> Result<Rc<Self>, String> {
         let mut registry = Registry::new(zones);
-        registry.obey(&store.orders());
+        registry.obey(&store.current());
         let limits = settings.limits.clone();
         let balancer = policy::Balancer::new(settings, seed).map_err(|e| e.to_string())?;
-        Ok(Rc::new(Engine {
+        Ok(Rc::new(Dispatcher {
             wire,
             clock: Clock::new(),
             obeyed: Cell::new(store.version()),
@@ -191,21 +198,21 @@
             }),
             events: RefCell::new(VecDeque::new()),
             handling: Cell::new(false),
-            listed: Cell::new(false),
+            has_endpoint_list: Cell::new(false),
             earlier: Notify::new(),
         }))
     }
 
     /// A list of upstreams has come, be it the known one.
-    pub fn listed(&self) -> bool {
-        self.listed.get()
+    pub fn has_endpoint_list(&self) -> bool {
+        self.has_endpoint_list.get()
     }
 
     /// Takes a request; the answer comes through what is returned.
-    pub fn ask(self: &Rc<Self>, asked: Asked<W::Call>) -> Asking<W> {
+    pub fn submit(self: &Rc<Self>, asked: IncomingRequest<W::Request>) -> PendingRequest<W> {
         let (sender, answer) = oneshot::channel();
         let now = self.clock.now();
-        let Asked { class, time_left, tenant, work, retry, upload, call } = asked;
+        let IncomingRequest { class, time_left, tenant, work, retry, upload, call } = asked;
         let deadline = (!upload).then_some(now + time_left);
         let id = {
             let mut tables = self.tables.borrow_mut();
@@ -213,12 +220,12 @@
             tables.next += 1;
             let (call, answer) = (Rc::new(call), Some(sender));
             let (out, failure) = (Vec::new(), Failure::Time);
-            let open = Open { call, answer, deadline, time_left, sent: 0, out, failure };
+            let open = ActiveRequest { call, answer, deadline, time_left, sent: 0, out, failure };
             tables.open.insert(id, open);
             id
         };
         if let Some(deadline) = deadline {
-            self.set_timer(deadline.saturating_sub(LAST_RESORT), Due::LastResort(id));
+            self.set_timer(deadline.saturating_sub(LAST_RESORT), TimerKind::LastResort(id));
         }
         let time_left = time_left.saturating_sub(MARGIN);
         self.feed(Event::Request {
@@ -230,7 +237,7 @@
             marked_retry: retry,
             body_pending: upload,
         });
-        Asking { engine: self.clone(), request: id, answer }
+        PendingRequest { engine: self.clone(), request: id, answer }
     }
 
     /// A request's last byte has come: its time starts, and that of its attempt.
@@ -241,30 +248,30 @@
             let Some(open) = tables.open.get_mut(&id) else { return };
             let deadline = now + open.time_left;
             open.deadline = Some(deadline);
-            let limit = |out: &mut Out<W::Out>| {
+            let limit = |out: &mut AttemptInFlight<W::Attempt>| {
                 out.at = now;
                 (out.attempt, out.limit.min(open.time_left.saturating_sub(LAST_RESORT)))
             };
             (deadline, open.out.iter_mut().map(limit).collect::<Vec<_>>())
         };
-        self.set_timer(deadline.saturating_sub(LAST_RESORT), Due::LastResort(id));
+        self.set_timer(deadline.saturating_sub(LAST_RESORT), TimerKind::LastResort(id));
         for (attempt, limit) in limits {
-            self.set_timer(now + limit, Due::Limit(id, attempt));
+            self.set_timer(now + limit, TimerKind::Limit(id, attempt));
         }
         self.feed(Event::BodyComplete { request: id });
     }
 
     /// What the module has learned, for the process that takes this one's place.
-    pub fn legacy(&self) -> Legacy {
+    pub fn saved_state(&self) -> SavedState {
         let learned = self.balancer.borrow().learned_state(self.clock.now());
         let (zones, servers) = self.tables.borrow().registry.names();
-        Legacy { learned, zones, servers }
+        SavedState { learned, zones, servers }
     }
 
     /// Takes over what the process before this one had learned, if that is not long ago. To be called once the
     /// first list is known.
-    pub fn inherit(&self, legacy: Legacy) {
-        let Legacy { mut learned, zones, servers } = legacy;
+    pub fn restore(&self, legacy: SavedState) {
+        let SavedState { mut learned, zones, servers } = legacy;
         let now = self.clock.now();
         if now.saturating_sub(learned.saved_at) > LEGACY_KEPT {
             return;
@@ -292,25 +299,29 @@
         self.order(name, |orders, now| orders.include(name, now))
     }
 
-    fn order(self: &Rc<Self>, name: &str, order: impl FnOnce(&mut Orders, Micros)) -> io::Result<bool> {
-        self.obey();
+    fn order(
+        self: &Rc<Self>,
+        name: &str,
+        order: impl FnOnce(&mut OperatorOverrides, Micros),
+    ) -> io::Result<bool> {
+        self.apply_overrides();
         if !self.tables.borrow().registry.knows(name) {
             return Ok(false);
         }
         let now = self.clock.now();
         self.store.change(|orders| order(orders, now))?;
-        self.obey();
+        self.apply_overrides();
         Ok(true)
     }
 
     /// Looks whether operators have set anything new, through whichever process. Done before each event, it
     /// binds this one from the moment in which the other said yes.
-    pub fn obey(self: &Rc<Self>) {
-        self.store.look();
+    pub fn apply_overrides(self: &Rc<Self>) {
+        self.store.refresh();
         if self.obeyed.replace(self.store.version()) == self.store.version() {
             return;
         }
-        let (entries, out) = self.tables.borrow_mut().registry.obey(&self.store.orders());
+        let (entries, out) = self.tables.borrow_mut().registry.obey(&self.store.current());
         for server in out {
             self.wire.close_idle(server);
         }
@@ -327,14 +338,14 @@
     }
 
     /// News of the list of upstreams; those that moved or are gone lose their idle connections.
-    pub fn list(self: &Rc<Self>, kind: ListKind, listed: Vec<Listed>) {
-        self.obey();
+    pub fn update_endpoints(self: &Rc<Self>, kind: ListKind, listed: Vec<Endpoint>) {
+        self.apply_overrides();
         let (entries, stale) = self.tables.borrow_mut().registry.take(kind, &listed);
         for server in stale {
             self.wire.close_idle(server);
         }
         if kind != ListKind::Failed {
-            self.listed.set(true);
+            self.has_endpoint_list.set(true);
         }
         self.hand(Event::EndpointList { kind, entries });
         self.recall_shut();
@@ -342,12 +353,12 @@
 
     /// Starts the module with no list known. Guards against a module that waits for its first event while
     /// nothing but that event would make it ask discovery.
-    pub fn begin(self: &Rc<Self>) {
+    pub fn start_without_list(self: &Rc<Self>) {
         self.feed(Event::EndpointList { kind: ListKind::CachedSnapshot, entries: Vec::new() });
     }
 
     /// A probe was answered or not.
-    pub fn probed(
+    pub fn health_checked(
         self: &Rc<Self>,
         server: ServerId,
         took: Duration,
@@ -378,15 +389,15 @@
         }
     }
 
-    fn ring(self: &Rc<Self>, due: Due) {
+    fn ring(self: &Rc<Self>, due: TimerKind) {
         match due {
-            Due::Token(token) => self.feed(Event::Timer { token }),
-            Due::Limit(id, attempt) => self.call_off(id, attempt, Outcome::TimedOut),
-            Due::LastResort(id) => {
+            TimerKind::Token(token) => self.feed(Event::Timer { token }),
+            TimerKind::Limit(id, attempt) => self.call_off(id, attempt, Outcome::TimedOut),
+            TimerKind::LastResort(id) => {
                 let mut tables = self.tables.borrow_mut();
                 let Some(answer) = tables.open.get_mut(&id).and_then(|o| o.answer.take()) else { return };
                 eprintln!("defect: the module left request {id} unanswered; failed just before its time");
-                let _ = answer.send(Answer::Failed(Failure::Time));
+                let _ = answer.send(FinalResponse::Failed(Failure::Time));
                 drop(tables);
                 self.feed(Event::ClientDisconnected { request: id });
                 self.settle(id);
@@ -394,15 +405,15 @@
         }
     }
 
-    fn set_timer(&self, at: Micros, due: Due) {
+    fn set_timer(&self, at: Micros, due: TimerKind) {
         let mut tables = self.tables.borrow_mut();
         let tables = &mut *tables;
         // Guards the memory: a request is answered long before its last resort is due.
         if tables.timers.len() >= tables.most_timers {
             let open = &tables.open;
             tables.timers.retain(|Reverse((.., due))| match due {
-                Due::Token(_) => true,
-                Due::Limit(id, _) | Due::LastResort(id) => open.contains_key(id),
+                TimerKind::Token(_) => true,
+                TimerKind::Limit(id, _) | TimerKind::LastResort(id) => open.contains_key(id),
             });
             tables.most_timers = (2 * tables.timers.len()).max(LEAST_TIMERS);
         }
@@ -431,12 +442,18 @@
 
     /// Ends the attempts that must not begin any more: those of which nothing has been sent, as chosen, of one
     /// request or of all.
-    fn recall(self: &Rc<Self>, choose: impl Fn(&Open<W>, &Out<W::Out>) -> bool, only: Option<RequestId>) {
+    fn recall(
+        self: &Rc<Self>,
+        choose: impl Fn(&ActiveRequest<W>, &AttemptInFlight<W::Attempt>) -> bool,
+        only: Option<RequestId>,
+    ) {
         let mut waiting = Vec::new();
         {
             let tables = self.tables.borrow();
-            let mut look = |id: RequestId, open: &Open<W>| {
-                let waits = |out: &&Out<W::Out>| out.handle.as_ref().is_some_and(|h| !W::begun(h));
+            let mut look = |id: RequestId, open: &ActiveRequest<W>| {
+                let waits = |out: &&AttemptInFlight<W::Attempt>| {
+                    out.handle.as_ref().is_some_and(|h| !W::has_connection(h))
+                };
                 let chosen = open.out.iter().filter(waits).filter(|out| choose(open, out));
                 waiting.extend(chosen.map(|out| (id, out.attempt)));
             };
@@ -483,7 +500,7 @@
         attempt: u32,
         outcome: Outcome,
         load: Option<policy::LoadReport>,
-        reply: Option<W::Reply>,
+        reply: Option<W::Response>,
     ) {
         let now = self.clock.now();
         let event = {
@@ -496,9 +513,9 @@
             if let (Outcome::Ok, Some(reply)) = (outcome, reply)
                 && let Some(answer) = open.answer.take()
             {
-                let _ = answer.send(Answer::Served(reply));
+                let _ = answer.send(FinalResponse::Forwarded(reply));
             }
-            let (closed, spent) = (open.answer.is_none(), W::spent(&open.call));
+            let (closed, spent) = (open.answer.is_none(), W::body_consumed(&open.call));
             let latency = now.saturating_sub(out.at);
             let server = out.server;
             Event::Outcome {
@@ -518,7 +535,7 @@
 
     /// An event for the module; what operators have set meanwhile goes first.
     fn feed(self: &Rc<Self>, event: Event) {
-        self.obey();
+        self.apply_overrides();
         self.hand(event);
     }
 
@@ -552,23 +569,23 @@
             Action::Send { request, server, limit } => self.send(now, request, server, limit),
             Action::Reject { request, retry_after } => {
                 let retry_after = if self.limits.retry_after { retry_after } else { 0 };
-                self.answer(request, |_| Answer::Refused { retry_after });
+                self.answer(request, |_| FinalResponse::Rejected { retry_after });
             }
-            Action::Fail { request } => self.answer(request, Answer::Failed),
+            Action::Fail { request } => self.answer(request, FinalResponse::Failed),
             Action::Cancel { request, attempt } => self.call_off(request, attempt, Outcome::Cancelled),
             Action::HealthCheck { server } => {
                 if let Some(to) = self.target(server) {
-                    self.wire.probe(self, to);
+                    self.wire.health_check(self, to);
                 }
             }
             Action::CloseIdle { server } => self.wire.close_idle(server),
-            Action::Timer { delay, token } => self.set_timer(now + delay, Due::Token(token)),
+            Action::Timer { delay, token } => self.set_timer(now + delay, TimerKind::Token(token)),
             Action::Watch => self.wire.watch(self),
             Action::Fetch => self.wire.fetch(self),
         }
     }
 
-    fn answer(&self, id: RequestId, answer: impl FnOnce(Failure) -> Answer<W::Reply>) {
+    fn answer(&self, id: RequestId, answer: impl FnOnce(Failure) -> FinalResponse<W::Response>) {
         {
             let mut tables = self.tables.borrow_mut();
             let Some(open) = tables.open.get_mut(&id) else { return };
@@ -586,7 +603,7 @@
     /// Starts an attempt. What the rules forbid whatever the module says is not sent, and told so.
     fn send(self: &Rc<Self>, now: Micros, id: RequestId, server: ServerId, limit: Micros) {
         // Guards the upstream against work for nobody, and against the beginning of a body that will never be whole.
-        let left = self.tables.borrow().open.get(&id).is_some_and(|open| W::departed(&open.call));
+        let left = self.tables.borrow().open.get(&id).is_some_and(|open| W::client_disconnected(&open.call));
         if left {
             self.gone(id);
         }
@@ -616,14 +633,14 @@
             let limit = if limit == 0 { left } else { limit.min(left) };
             let copies = open.out.is_empty() || self.limits.hedging;
             let may = open.answer.is_some() && copies && attempt < self.limits.max_attempts && limit > 0;
-            let may = may && !W::spent(&open.call);
-            open.out.push(Out { attempt, server, to: target, at: now, limit, handle: None });
+            let may = may && !W::body_consumed(&open.call);
+            open.out.push(AttemptInFlight { attempt, server, to: target, at: now, limit, handle: None });
             (may.then(|| open.call.clone()), attempt, limit, started)
         };
         let (Some(call), Some(target)) = (call, target) else {
             return self.ended(id, attempt, Outcome::NotSent, None, None);
         };
-        let report = Report { engine: self.clone(), request: id, attempt, told: false };
+        let report = AttemptCompletion { engine: self.clone(), request: id, attempt, told: false };
         let handle = self.wire.send(target, call, limit, report);
         if let Some(open) = self.tables.borrow_mut().open.get_mut(&id)
             && let Some(out) = open.out.iter_mut().find(|o| o.attempt == attempt)
@@ -632,7 +649,7 @@
         }
         // While its body is still coming, no time of the server's has begun.
         if started {
-            self.set_timer(now + limit, Due::Limit(id, attempt));
+            self.set_timer(now + limit, TimerKind::Limit(id, attempt));
         }
     }
 }
--- a/crates/proxy/src/wire.rs
+++ b/crates/proxy/src/dispatch/transport.rs
@@ -8,34 +8,40 @@
 use zincstand_policy as policy;
 use zincstand_policy::{Micros, ServerId};
 
-use crate::engine::{Engine, Report};
+use crate::dispatch::{AttemptCompletion, Dispatcher};
 
 /// The sockets, as the engine sees them. No method calls the engine back before it returns.
-pub trait Wire: Sized + 'static {
+pub trait Transport: Sized + 'static {
     /// What a caller asks.
-    type Call;
+    type Request;
     /// What an upstream answers.
-    type Reply;
+    type Response;
     /// An attempt under way.
-    type Out;
+    type Attempt;
     /// Starts an attempt; its end is told to the report.
-    fn send(&self, to: Target, call: Rc<Self::Call>, limit: Micros, report: Report<Self>) -> Self::Out;
+    fn send(
+        &self,
+        to: Target,
+        call: Rc<Self::Request>,
+        limit: Micros,
+        report: AttemptCompletion<Self>,
+    ) -> Self::Attempt;
     /// A part of what is asked has gone on and was not kept: it cannot be sent again.
-    fn spent(call: &Self::Call) -> bool;
+    fn body_consumed(call: &Self::Request) -> bool;
     /// The caller has left, as far as the kernel knows at this moment.
-    fn departed(call: &Self::Call) -> bool;
+    fn client_disconnected(call: &Self::Request) -> bool;
     /// The attempt has a connection: its request is being written or is written.
-    fn begun(out: &Self::Out) -> bool;
+    fn has_connection(out: &Self::Attempt) -> bool;
     /// Ends an attempt by closing its connection; tells whether it may have run.
-    fn abort(&self, out: Self::Out) -> bool;
+    fn abort(&self, out: Self::Attempt) -> bool;
     /// Asks an upstream how it is.
-    fn probe(&self, engine: &Rc<Engine<Self>>, to: Target);
+    fn health_check(&self, engine: &Rc<Dispatcher<Self>>, to: Target);
     /// Closes the idle connections to an upstream.
     fn close_idle(&self, server: ServerId);
     /// Watches discovery from now on.
-    fn watch(&self, engine: &Rc<Engine<Self>>);
+    fn watch(&self, engine: &Rc<Dispatcher<Self>>);
     /// Asks discovery once for the whole list.
-    fn fetch(&self, engine: &Rc<Engine<Self>>);
+    fn fetch(&self, engine: &Rc<Dispatcher<Self>>);
 }
 
 /// An upstream and where it is.
@@ -49,7 +55,7 @@
 
 /// An entry of a list, as discovery words it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     /// The same at every balancer.
     pub instance: String,
     /// Its address at this balancer.
@@ -79,11 +85,11 @@
 
 /// The one final answer to a request.
 #[derive(Debug, PartialEq)]
-pub enum Answer<R> {
+pub enum FinalResponse<R> {
     /// An upstream's answer.
-    Served(R),
+    Forwarded(R),
     /// Trying again is harmless.
-    Refused {
+    Rejected {
         /// How long the client should stay away; 0 for no wish.
         retry_after: Micros,
     },
@@ -92,7 +98,7 @@
 }
 
 /// A request as the engine takes it.
-pub struct Asked<C> {
+pub struct IncomingRequest<C> {
     /// Its class.
     pub class: policy::ClassId,
     /// How long its client waits, from now.
@@ -103,7 +109,7 @@
     pub work: Option<Micros>,
     /// Its client marks it as a repeat.
     pub retry: bool,
-    /// Its body is still coming: its time starts when [`Asking::answer`](crate::engine::Asking) is told so.
+    /// Its body is still coming: its time starts when [`PendingRequest::answer`](crate::dispatch::PendingRequest) is told so.
     pub upload: bool,
     /// What goes on to upstreams.
     pub call: C,
--- a/crates/proxy/src/gate.rs
+++ b/crates/proxy/src/downstream/framer.rs
@@ -18,7 +18,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::framing::{Framing, request};
+use crate::downstream::framing::{Framing, request};
 
 /// A connection on which no request is open is kept this long.
 pub const IDLE_TIME: Duration = Duration::from_secs(2);
@@ -49,7 +49,7 @@
 
 /// What a connection is at.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stage {
+pub enum RequestStage {
     /// No byte of a request has come.
     Idle,
     /// A part of a head has come.
@@ -62,7 +62,7 @@
 
 /// What cannot be let through; the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum ProtocolError {
     /// It cannot be read, or where it ends cannot be told.
     Bad,
     /// The head does not end.
@@ -72,20 +72,20 @@
 /// The connections that may be closed for others: those that are idle and those in the middle of a head, each
 /// longest first.
 #[derive(Default)]
-pub struct Crowd {
-    idle: RefCell<BTreeMap<u64, Spare>>,
-    halfway: RefCell<BTreeMap<u64, Spare>>,
+pub struct IdleConnections {
+    idle: RefCell<BTreeMap<u64, IdleConnection>>,
+    halfway: RefCell<BTreeMap<u64, IdleConnection>>,
     next: Cell<u64>,
 }
 
 /// A connection that may be closed for others, and since when it may.
-struct Spare {
+struct IdleConnection {
     since: Instant,
     task: AbortHandle,
-    inbound: Weak<RefCell<Inbound>>,
+    inbound: Weak<RefCell<ClientStream>>,
 }
 
-impl Crowd {
+impl IdleConnections {
     /// Closes the connection that has been idle longest, or else longest in the middle of a head; else, when one
     /// may be. Guards those that have just come, whose request is on its way.
     pub fn close_oldest(&self) -> Result<(), Option<Instant>> {
@@ -94,7 +94,8 @@
             let mut list = list.borrow_mut();
             let Some(at) = list.values().next().map(|spare| spare.since + spared) else { continue };
             // Guards a request that has come and was not read yet: it would be reset with its connection.
-            let unread = |s: &Spare| s.inbound.upgrade().is_some_and(|inbound| inbound.borrow().waits());
+            let unread =
+                |s: &IdleConnection| s.inbound.upgrade().is_some_and(|inbound| inbound.borrow().waits());
             let free = list.iter().take_while(|(_, s)| s.since + spared <= Instant::now());
             let free = free.filter(|(_, s)| spared > SPARED || !unread(s)).map(|(&place, _)| place).next();
             if let Some(spare) = free.and_then(|place| list.remove(&place)) {
@@ -107,27 +108,27 @@
     }
 
     /// The list that connections at this are in.
-    fn list(&self, stage: Stage) -> Option<&RefCell<BTreeMap<u64, Spare>>> {
+    fn list(&self, stage: RequestStage) -> Option<&RefCell<BTreeMap<u64, IdleConnection>>> {
         match stage {
-            Stage::Idle => Some(&self.idle),
-            Stage::Head => Some(&self.halfway),
-            Stage::Body | Stage::Open => None,
+            RequestStage::Idle => Some(&self.idle),
+            RequestStage::Head => Some(&self.halfway),
+            RequestStage::Body | RequestStage::Open => None,
         }
     }
 }
 
 /// How far a connection is, seen from both sides of hyper.
-pub struct Progress {
-    crowd: Rc<Crowd>,
-    inbound: Weak<RefCell<Inbound>>,
+pub struct ConnectionProgress {
+    crowd: Rc<IdleConnections>,
+    inbound: Weak<RefCell<ClientStream>>,
     task: RefCell<Option<AbortHandle>>,
-    stage: Cell<Stage>,
+    stage: Cell<RequestStage>,
     since: Cell<Instant>,
     first_byte: Cell<Instant>,
     /// Until when its first request must have come whole; nothing once one has.
     first_until: Cell<Option<Instant>>,
     place: Cell<Option<u64>>,
-    fault: Cell<Option<Fault>>,
+    fault: Cell<Option<ProtocolError>>,
     chunked: Cell<bool>,
     unread: Cell<bool>,
     /// Since when nothing could be written.
@@ -141,19 +142,19 @@
     answered: Cell<bool>,
 }
 
-impl Progress {
+impl ConnectionProgress {
     /// A connection that has just come.
-    pub fn new(crowd: Rc<Crowd>, inbound: &Rc<RefCell<Inbound>>) -> Rc<Progress> {
-        Progress::from(crowd, Rc::downgrade(inbound))
+    pub fn new(crowd: Rc<IdleConnections>, inbound: &Rc<RefCell<ClientStream>>) -> Rc<ConnectionProgress> {
+        ConnectionProgress::from(crowd, Rc::downgrade(inbound))
     }
 
-    fn from(crowd: Rc<Crowd>, inbound: Weak<RefCell<Inbound>>) -> Rc<Progress> {
+    fn from(crowd: Rc<IdleConnections>, inbound: Weak<RefCell<ClientStream>>) -> Rc<ConnectionProgress> {
         let now = Instant::now();
-        Rc::new(Progress {
+        Rc::new(ConnectionProgress {
             crowd,
             inbound,
             task: RefCell::default(),
-            stage: Cell::new(Stage::Open),
+            stage: Cell::new(RequestStage::Open),
             since: Cell::new(now),
             first_byte: Cell::new(now),
             first_until: Cell::new(Some(now + FIRST_TIME)),
@@ -172,24 +173,24 @@
     /// Its task, to be ended when room is needed while it is idle.
     pub fn of(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
-        self.enter(Stage::Idle);
+        self.enter(RequestStage::Idle);
     }
 
     /// What it is at.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> RequestStage {
         self.stage.get()
     }
 
-    fn enter(&self, stage: Stage) {
+    fn enter(&self, stage: RequestStage) {
         let now = Instant::now();
         match stage {
-            Stage::Head => self.first_byte.set(now),
-            Stage::Body => {
+            RequestStage::Head => self.first_byte.set(now),
+            RequestStage::Body => {
                 self.empty.set(None);
                 self.wanted.set(Some(now));
                 self.credit.set(Duration::ZERO);
             }
-            Stage::Idle | Stage::Open => {}
+            RequestStage::Idle | RequestStage::Open => {}
         }
         self.leave_crowd();
         self.stage.set(stage);
@@ -198,7 +199,7 @@
             let place = self.crowd.next.get();
             self.crowd.next.set(place + 1);
             let (task, inbound) = (task.clone(), self.inbound.clone());
-            list.borrow_mut().insert(place, Spare { since: now, task, inbound });
+            list.borrow_mut().insert(place, IdleConnection { since: now, task, inbound });
             self.place.set(Some(place));
         }
     }
@@ -213,7 +214,7 @@
     pub fn taken(&self) {
         self.unread.set(false);
         self.first_until.set(None);
-        self.enter(Stage::Open);
+        self.enter(RequestStage::Open);
     }
 
     /// It has its answer: once that is written, the next request may pass.
@@ -223,7 +224,7 @@
 
     /// Its answer is its last, and what it may still send is nothing.
     pub fn parting(&self) {
-        self.enter(Stage::Open);
+        self.enter(RequestStage::Open);
     }
 
     /// All that was to be written is.
@@ -231,7 +232,7 @@
         self.stuck.set(None);
         if self.answered.replace(false) {
             self.first_until.set(None);
-            self.enter(Stage::Idle);
+            self.enter(RequestStage::Idle);
         }
     }
 
@@ -277,10 +278,10 @@
         self.chunked.get() || self.inbound.upgrade().is_some_and(|inbound| inbound.borrow().flooded)
     }
 
-    /// Ready once the caller has left whose request has come whole; see [`Inbound::poll_left`].
+    /// Ready once the caller has left whose request has come whole; see [`ClientStream::poll_left`].
     pub fn poll_left(&self, cx: &mut Context<'_>) -> Poll<()> {
         match self.inbound.upgrade() {
-            Some(inbound) if self.stage() == Stage::Open => inbound.borrow_mut().poll_left(cx),
+            Some(inbound) if self.stage() == RequestStage::Open => inbound.borrow_mut().poll_left(cx),
             _ => Poll::Pending,
         }
     }
@@ -288,7 +289,7 @@
     /// The same at this moment, be the runtime's view as old as it may.
     pub async fn left(&self) -> bool {
         let look = |cx: &mut Context<'_>| match self.inbound.upgrade() {
-            Some(inbound) if self.stage() == Stage::Open => inbound.borrow_mut().left(cx),
+            Some(inbound) if self.stage() == RequestStage::Open => inbound.borrow_mut().left(cx),
             _ => false,
         };
         poll_fn(|cx| Poll::Ready(look(cx))).await
@@ -301,9 +302,9 @@
         let Some(inbound) = self.inbound.upgrade() else { return true };
         let mut inbound = inbound.borrow_mut();
         match self.stage() {
-            Stage::Open => inbound.departed(),
-            Stage::Body => inbound.broken_off(),
-            Stage::Idle | Stage::Head => false,
+            RequestStage::Open => inbound.departed(),
+            RequestStage::Body => inbound.broken_off(),
+            RequestStage::Idle | RequestStage::Head => false,
         }
     }
 
@@ -313,19 +314,19 @@
         let whole_until = self.first_until.get();
         let first = |due: Instant| whole_until.map_or(due, |until| due.min(until));
         match self.stage.get() {
-            Stage::Idle => Some(first(self.since.get() + idle_time)),
-            Stage::Head => Some(first(self.first_byte.get() + HEAD_TIME)),
+            RequestStage::Idle => Some(first(self.since.get() + idle_time)),
+            RequestStage::Head => Some(first(self.first_byte.get() + HEAD_TIME)),
             // Only while the caller is waited for: the upstream may be the slow one.
-            Stage::Body => {
+            RequestStage::Body => {
                 let due = first(self.first_byte.get() + BODY_TIME);
                 self.waiting().map(|since| due.max(since + self.credit.get()))
             }
-            Stage::Open => self.stuck.get().map(|since| since + STUCK_TIME),
+            RequestStage::Open => self.stuck.get().map(|since| since + STUCK_TIME),
         }
     }
 
     /// What was not let through.
-    pub fn fault(&self) -> Option<Fault> {
+    pub fn fault(&self) -> Option<ProtocolError> {
         self.fault.get()
     }
 
@@ -340,7 +341,7 @@
     }
 }
 
-impl Drop for Progress {
+impl Drop for ConnectionProgress {
     fn drop(&mut self) {
         self.leave_crowd();
     }
@@ -358,7 +359,7 @@
 
 /// A caller's socket, and what has been read of it and not passed on. Looked at from both sides: hyper reads a
 /// request through the gate, and its connection looks whether the caller is still there.
-pub struct Inbound {
+pub struct ClientStream {
     stream: TcpStream,
     held: Vec<u8>,
     /// Its end was read: nobody waits for an answer.
@@ -369,11 +370,11 @@
     looked: Option<Instant>,
 }
 
-impl Inbound {
+impl ClientStream {
     /// Nothing read yet.
-    pub fn new(stream: TcpStream) -> Rc<RefCell<Inbound>> {
+    pub fn new(stream: TcpStream) -> Rc<RefCell<ClientStream>> {
         let (held, ended, flooded, looked) = (Vec::new(), false, false, None);
-        Rc::new(RefCell::new(Inbound { stream, held, ended, flooded, looked }))
+        Rc::new(RefCell::new(ClientStream { stream, held, ended, flooded, looked }))
     }
 
     /// Reads more into what is held, no more than `most`; tells how much it was.
@@ -487,22 +488,22 @@
 }
 
 /// The connection between the socket and hyper.
-pub struct Gate {
-    inbound: Rc<RefCell<Inbound>>,
-    progress: Rc<Progress>,
+pub struct RequestFramer {
+    inbound: Rc<RefCell<ClientStream>>,
+    progress: Rc<ConnectionProgress>,
     next: Next,
 }
 
-impl Gate {
+impl RequestFramer {
     /// Nothing read yet.
-    pub fn new(inbound: Rc<RefCell<Inbound>>, progress: Rc<Progress>) -> Gate {
-        Gate { inbound, progress, next: Next::Head }
+    pub fn new(inbound: Rc<RefCell<ClientStream>>, progress: Rc<ConnectionProgress>) -> RequestFramer {
+        RequestFramer { inbound, progress, next: Next::Head }
     }
 
     /// Reads more into what is held; tells how much it was.
     fn fill(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<io::Result<usize>> {
         let polled = self.inbound.borrow_mut().fill(cx, most);
-        if self.progress.stage() == Stage::Body {
+        if self.progress.stage() == RequestStage::Body {
             self.progress.body(match &polled {
                 Poll::Ready(read) => Some(read.as_ref().copied().unwrap_or(0)),
                 Poll::Pending => None,
@@ -528,7 +529,7 @@
         n as u64
     }
 
-    fn refuse(&mut self, fault: Fault) -> Poll<io::Result<()>> {
+    fn refuse(&mut self, fault: ProtocolError) -> Poll<io::Result<()>> {
         self.progress.fault.set(Some(fault));
         self.progress.unread.set(true);
         self.inbound.borrow_mut().held = Vec::new();
@@ -537,7 +538,7 @@
     }
 }
 
-impl Read for Gate {
+impl Read for RequestFramer {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -549,7 +550,7 @@
         }
         loop {
             match this.next {
-                Next::Head if matches!(this.progress.stage(), Stage::Body | Stage::Open) => {
+                Next::Head if matches!(this.progress.stage(), RequestStage::Body | RequestStage::Open) => {
                     // Whether the caller has left, and what it sends too early: held until the answer went.
                     ready!(this.inbound.borrow_mut().poll_left(cx));
                     return Poll::Ready(Ok(()));
@@ -557,23 +558,23 @@
                 // An end, as hyper sees it: its last answer has gone.
                 Next::Head if this.inbound.borrow().flooded => return Poll::Ready(Ok(())),
                 Next::Head => {
-                    if this.held() > 0 && this.progress.stage() == Stage::Idle {
-                        this.progress.enter(Stage::Head);
+                    if this.held() > 0 && this.progress.stage() == RequestStage::Idle {
+                        this.progress.enter(RequestStage::Head);
                     }
                     let read = request(&this.inbound.borrow().held);
                     match read {
-                        Err(()) => return this.refuse(Fault::Bad),
+                        Err(()) => return this.refuse(ProtocolError::Bad),
                         Ok(Some((head, framing))) => {
                             let head = head as u64;
                             this.progress.chunked.set(framing == Framing::Chunked);
                             this.progress.unread.set(framing != Framing::Length(0));
-                            this.progress.enter(Stage::Body);
+                            this.progress.enter(RequestStage::Body);
                             this.next = match framing {
                                 Framing::Length(n) => Next::Pass(head.saturating_add(n)),
                                 Framing::Chunked => Next::All,
                             };
                         }
-                        Ok(None) if this.held() >= MOST_HEAD => return this.refuse(Fault::TooLarge),
+                        Ok(None) if this.held() >= MOST_HEAD => return this.refuse(ProtocolError::TooLarge),
                         Ok(None) => {
                             if ready!(this.fill(cx, MOST_HEAD - this.held()))? == 0 {
                                 return Poll::Ready(Ok(()));
@@ -602,7 +603,7 @@
     }
 }
 
-impl Gate {
+impl RequestFramer {
     fn note<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         let since = self.progress.stuck.get().or_else(|| Some(Instant::now()));
         self.progress.stuck.set(since.filter(|_| written.is_pending()));
@@ -610,7 +611,7 @@
     }
 }
 
-impl Write for Gate {
+impl Write for RequestFramer {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inbound.borrow_mut().stream).poll_write(cx, buf);
         self.note(written)
--- a/crates/proxy/src/gate/tests.rs
+++ b/crates/proxy/src/downstream/framer/tests.rs
@@ -7,12 +7,12 @@
 fn silence_and_slowness_before_the_first_request_end_within_3_s_together() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let progress = Progress::from(Rc::default(), Weak::new());
+        let progress = ConnectionProgress::from(Rc::default(), Weak::new());
         progress.of(spawn_local(pending::<()>()).abort_handle());
         let start = Instant::now();
         let silence = IDLE_TIME - Duration::from_millis(100);
         advance(silence).await;
-        for stage in [Stage::Head, Stage::Body] {
+        for stage in [RequestStage::Head, RequestStage::Body] {
             progress.enter(stage);
             progress.body(None);
             assert!(progress.due(IDLE_TIME).expect("an end") < start + Duration::from_secs(3), "{stage:?}");
@@ -22,7 +22,7 @@
         progress.answered();
         progress.flushed();
         advance(silence).await;
-        progress.enter(Stage::Head);
+        progress.enter(RequestStage::Head);
         assert_eq!(progress.due(IDLE_TIME), Some(Instant::now() + HEAD_TIME));
     });
 }
@@ -31,12 +31,12 @@
 fn a_slow_body_is_told_from_a_stuck_one() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let progress = Progress::from(Rc::default(), Weak::new());
+        let progress = ConnectionProgress::from(Rc::default(), Weak::new());
         progress.of(spawn_local(pending::<()>()).abort_handle());
         let late = || progress.due(IDLE_TIME).is_some_and(|due| due <= Instant::now());
-        progress.enter(Stage::Head);
+        progress.enter(RequestStage::Head);
         advance(Duration::from_secs(2)).await;
-        progress.enter(Stage::Body);
+        progress.enter(RequestStage::Body);
         // 64 kB a second, in two parts a second, for as long as it takes.
         for _ in 0..40 {
             progress.body(None);
@@ -60,7 +60,7 @@
 fn an_answer_is_written_before_its_connection_is_idle() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let progress = Progress::from(Rc::default(), Weak::new());
+        let progress = ConnectionProgress::from(Rc::default(), Weak::new());
         progress.of(spawn_local(pending::<()>()).abort_handle());
         progress.taken();
         progress.answered();
@@ -69,6 +69,6 @@
         assert!(progress.due(IDLE_TIME).expect("an end") > Instant::now(), "slow to read is not idle");
         assert_eq!(progress.crowd.close_oldest(), Err(None));
         progress.flushed();
-        assert_eq!(progress.stage(), Stage::Idle);
+        assert_eq!(progress.stage(), RequestStage::Idle);
     });
 }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,5 +1,8 @@
 //! Callers: their connections, their requests and the final answers.
 
+pub mod framer;
+mod framing;
+
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::convert::Infallible;
@@ -24,15 +27,18 @@
 use zincstand_policy as policy;
 use zincstand_policy::{Idempotency, Micros};
 
-use crate::engine::Engine;
-use crate::gate::{Crowd, Fault, Gate, IDLE_TIME, Inbound, Progress, Stage, waits};
-use crate::gauge::{Gauge, Taken};
-use crate::orders::OrderStore;
-use crate::pool::BUFFER;
-use crate::service::BACKLOG;
-use crate::stream::{Answering, Begun, End, MOST_HELD, Upload, begin};
-use crate::upstream::{Answered, Call, Payload, Reply};
-use crate::wire::{Answer, Asked, Failure, Wire};
+use crate::dispatch::Dispatcher;
+use crate::dispatch::transport::{Failure, FinalResponse, IncomingRequest, Transport};
+use crate::downstream::framer::{
+    ClientStream, ConnectionProgress, IDLE_TIME, IdleConnections, ProtocolError, RequestFramer, RequestStage,
+    waits,
+};
+use crate::lifecycle::overrides::OverrideStore;
+use crate::limits::{Permit, ResizableLimit};
+use crate::process::BACKLOG;
+use crate::upstream::pool::BUFFER;
+use crate::upstream::stream::{BodyEnd, BodyPrefix, MOST_HELD, RequestBodyStream, ResponseBody, read_prefix};
+use crate::upstream::{RequestBody, UpstreamBody, UpstreamRequest, UpstreamResponse};
 
 /// From the order to stop to the kill there is the longest deadline, or this where that is longer ...
 const LONGEST_WAIT: Duration = Duration::from_secs(3);
@@ -78,11 +84,11 @@
     /// Clients are sent away, until operators end that: unready, and each answer is its connection's last.
     Evacuated,
     /// Told to stop: unready, but connections still come.
-    Stopping,
+    Draining,
     /// None come any more.
-    Closing,
+    ClosingListener,
     /// The same where another process takes them: callers may keep theirs until the next answer.
-    Leaving,
+    HandingOver,
 }
 
 impl Phase {
@@ -93,34 +99,40 @@
 
     /// Whether each answer is its connection's last.
     fn parts(self) -> bool {
-        !matches!(self, Phase::Running | Phase::Stopping)
+        !matches!(self, Phase::Running | Phase::Draining)
     }
 }
 
 /// The phase of the balancer's life, and the orders that change it.
-pub struct Life {
+pub struct Lifecycle {
     phases: watch::Sender<Phase>,
-    store: Rc<OrderStore>,
+    store: Rc<OverrideStore>,
     /// Another process of this balancer lives.
-    accompanied: Cell<bool>,
+    sibling_running: Cell<bool>,
     /// When the order to stop came.
     ordered: Cell<Option<Instant>>,
     begun: Instant,
 }
 
-impl Life {
+impl Lifecycle {
     /// Just begun.
-    pub fn new(store: Rc<OrderStore>) -> Rc<Life> {
+    pub fn new(store: Rc<OverrideStore>) -> Rc<Lifecycle> {
         let (phases, accompanied) = (watch::Sender::new(Phase::Running), Cell::default());
-        let life = Life { phases, store, accompanied, ordered: Cell::default(), begun: Instant::now() };
+        let life = Lifecycle {
+            phases,
+            store,
+            sibling_running: accompanied,
+            ordered: Cell::default(),
+            begun: Instant::now(),
+        };
         life.follow();
         Rc::new(life)
     }
 
     /// The present phase, once what operators have set has been looked at.
     pub fn follow(&self) -> Phase {
-        self.store.look();
-        let evacuated = self.store.orders().evacuated;
+        self.store.refresh();
+        let evacuated = self.store.current().evacuated;
         self.phases.send_if_modified(|phase| {
             let before = *phase;
             *phase = match before {
@@ -151,15 +163,15 @@
         self.phases.send_if_modified(|phase| {
             !phase.ends() && {
                 self.ordered.set(Some(Instant::now()));
-                *phase = Phase::Stopping;
+                *phase = Phase::Draining;
                 true
             }
         });
     }
 
     /// Whether another process of this balancer lives.
-    pub fn accompany(&self, accompanied: bool) {
-        self.accompanied.set(accompanied);
+    pub fn set_sibling_running(&self, accompanied: bool) {
+        self.sibling_running.set(accompanied);
     }
 
     /// Whether a process may be ready that holds a list of upstreams, or does not.
@@ -168,7 +180,7 @@
     }
 
     /// This process takes connections.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_connections(&self) -> bool {
         !self.phases.borrow().ends()
     }
 }
@@ -190,40 +202,40 @@
 }
 
 /// A connection's place.
-struct Place {
-    _taken: Taken,
+struct ConnectionPermit {
+    _taken: Permit,
     beyond: bool,
 }
 
 /// What the answering of requests needs.
-pub struct Server<W: Wire<Call = Call, Reply = Reply>> {
-    engine: Rc<Engine<W>>,
+pub struct Server<W: Transport<Request = UpstreamRequest, Response = UpstreamResponse>> {
+    engine: Rc<Dispatcher<W>>,
     /// By their names' bytes: those need not be plain text.
     classes: HashMap<Vec<u8>, (policy::ClassId, policy::Class)>,
     tenants: HashMap<Vec<u8>, policy::TenantId>,
-    places: Rc<Gauge>,
+    places: Rc<ResizableLimit>,
     /// Connections beyond the places, where nobody makes room: each hears so at once, or how the balancer is.
-    beyond: Rc<Gauge>,
+    beyond: Rc<ResizableLimit>,
     /// Since when there has been no place.
     full: Cell<Option<Instant>>,
-    crowd: Rc<Crowd>,
+    crowd: Rc<IdleConnections>,
     /// Bytes that bodies and answers take.
-    bodies: Rc<Gauge>,
+    bodies: Rc<ResizableLimit>,
     /// The ids of the requests that are open.
     ids: RefCell<HashSet<HeaderValue>>,
     /// How long after the order to stop the last answer is given.
     leave_within: Duration,
-    life: Rc<Life>,
+    life: Rc<Lifecycle>,
 }
 
-impl<W: Wire<Call = Call, Reply = Reply>> Server<W> {
+impl<W: Transport<Request = UpstreamRequest, Response = UpstreamResponse>> Server<W> {
     /// A server for the named classes and tenants.
     pub fn new(
-        engine: Rc<Engine<W>>,
+        engine: Rc<Dispatcher<W>>,
         classes: Vec<(String, policy::Class)>,
         tenants: Vec<String>,
         limits: ConnectionLimits,
-        life: Rc<Life>,
+        life: Rc<Lifecycle>,
     ) -> Rc<Self> {
         let longest = classes.iter().map(|(_, class)| class.deadline).max().unwrap_or(0);
         let leave_within = Duration::from_micros(longest).min(LONGEST_WAIT) + KILL_MARGIN;
@@ -233,9 +245,9 @@
             .map(|(i, (name, class))| (name.into_bytes(), (i, class)))
             .collect();
         let tenants = tenants.into_iter().enumerate().map(|(i, name)| (name.into_bytes(), i)).collect();
-        let (places, bodies) = (Gauge::new(limits.connections), Gauge::new(limits.bodies));
+        let (places, bodies) = (ResizableLimit::new(limits.connections), ResizableLimit::new(limits.bodies));
         let (crowd, ids) = (Rc::default(), RefCell::default());
-        let (beyond, full) = (Gauge::new(BEYOND), Cell::default());
+        let (beyond, full) = (ResizableLimit::new(BEYOND), Cell::default());
         Rc::new(Server {
             engine,
             classes,
@@ -299,12 +311,16 @@
             drop(listener.socket);
         } else if let Ok(socket) = listener.socket.into_std() {
             // From here on connections that have carried nothing are soon closed, and leave room.
-            self.life.phases.send_replace(Phase::Closing);
+            self.life.phases.send_replace(Phase::ClosingListener);
             let ordered = self.life.ordered.get().unwrap_or_else(Instant::now);
             let _ =
                 timeout_at(ordered + self.leave_within - NOTHING_YET / 2, self.empty_queue(&socket)).await;
         }
-        self.life.phases.send_replace(if listener.shared { Phase::Leaving } else { Phase::Closing });
+        self.life.phases.send_replace(if listener.shared {
+            Phase::HandingOver
+        } else {
+            Phase::ClosingListener
+        });
         self.places.empty().await;
         self.beyond.empty().await;
     }
@@ -327,14 +343,14 @@
 
     /// A place for one that has asked before the listener closed: an idle one makes room, or else it hears at once
     /// that there is none.
-    async fn queued_place(&self) -> Place {
+    async fn queued_place(&self) -> ConnectionPermit {
         loop {
-            if let Some(taken) = self.places.take(1) {
-                return Place { _taken: taken, beyond: false };
+            if let Some(taken) = self.places.try_acquire(1) {
+                return ConnectionPermit { _taken: taken, beyond: false };
             }
             let closing = self.crowd.close_oldest().is_ok();
-            if !closing && let Some(taken) = self.beyond.take(1) {
-                return Place { _taken: taken, beyond: true };
+            if !closing && let Some(taken) = self.beyond.try_acquire(1) {
+                return ConnectionPermit { _taken: taken, beyond: true };
             }
             tokio::select! {
                 () = self.places.freed() => {}
@@ -345,30 +361,30 @@
     }
 
     /// Serves a connection that has a place.
-    fn welcome(self: &Rc<Self>, stream: TcpStream, place: Place) {
+    fn welcome(self: &Rc<Self>, stream: TcpStream, place: ConnectionPermit) {
         let _ = stream.set_nodelay(true);
-        let inbound = Inbound::new(stream);
-        let progress = Progress::new(self.crowd.clone(), &inbound);
+        let inbound = ClientStream::new(stream);
+        let progress = ConnectionProgress::new(self.crowd.clone(), &inbound);
         let task = spawn_local(self.clone().connection(inbound, place, progress.clone()));
         progress.of(task.abort_handle());
     }
 
     /// A place for one that has come before the stop: where there is none, it hears so at once, unless what it
     /// asks was promised an answer by the process that takes over.
-    fn last_place(&self, shared: bool) -> Place {
-        match self.places.take(1) {
-            Some(taken) => Place { _taken: taken, beyond: false },
-            None => Place { _taken: self.places.squeeze(1), beyond: !shared },
+    fn last_place(&self, shared: bool) -> ConnectionPermit {
+        match self.places.try_acquire(1) {
+            Some(taken) => ConnectionPermit { _taken: taken, beyond: false },
+            None => ConnectionPermit { _taken: self.places.acquire_over_limit(1), beyond: !shared },
         }
     }
 
     /// A place for a new connection. Guards against those that say nothing and leave none: the one that has
     /// been idle longest makes room. Where none does for a while, the next few have places beyond.
-    async fn place(&self) -> Place {
+    async fn place(&self) -> ConnectionPermit {
         loop {
-            if let Some(taken) = self.places.take(1) {
+            if let Some(taken) = self.places.try_acquire(1) {
                 self.full.set(None);
-                return Place { _taken: taken, beyond: false };
+                return ConnectionPermit { _taken: taken, beyond: false };
             }
             let now = Instant::now();
             let patience = self.full.get().unwrap_or(now) + FULL_PATIENCE;
@@ -379,9 +395,9 @@
                 Err(ripe) => ripe.unwrap_or(now + FULL_PATIENCE),
             };
             if now >= patience
-                && let Some(taken) = self.beyond.take(1)
+                && let Some(taken) = self.beyond.try_acquire(1)
             {
-                return Place { _taken: taken, beyond: true };
+                return ConnectionPermit { _taken: taken, beyond: true };
             }
             tokio::select! {
                 () = self.places.freed() => {}
@@ -390,7 +406,12 @@
         }
     }
 
-    async fn connection(self: Rc<Self>, inbound: Rc<RefCell<Inbound>>, place: Place, progress: Rc<Progress>) {
+    async fn connection(
+        self: Rc<Self>,
+        inbound: Rc<RefCell<ClientStream>>,
+        place: ConnectionPermit,
+        progress: Rc<ConnectionProgress>,
+    ) {
         let service = hyper::service::service_fn({
             let (server, progress) = (self.clone(), progress.clone());
             move |request| {
@@ -401,7 +422,8 @@
         });
         let mut builder = http1::Builder::new();
         builder.max_buf_size(BUFFER);
-        let mut connection = builder.serve_connection(Gate::new(inbound.clone(), progress.clone()), service);
+        let mut connection =
+            builder.serve_connection(RequestFramer::new(inbound.clone(), progress.clone()), service);
         let mut phase = self.life.phases.subscribe();
         let mut late = Box::pin(sleep(Duration::ZERO));
         loop {
@@ -410,11 +432,11 @@
             let idle_time = if now.parts() { QUICK_IDLE } else { IDLE_TIME };
             // Hyper closes an idle connection at once, be a request unread on it or half come.
             let crossed = match progress.stage() {
-                Stage::Idle => inbound.borrow().waits(),
-                Stage::Head => true,
-                Stage::Body | Stage::Open => false,
+                RequestStage::Idle => inbound.borrow().waits(),
+                RequestStage::Head => true,
+                RequestStage::Body | RequestStage::Open => false,
             };
-            if now == Phase::Closing && !crossed {
+            if now == Phase::ClosingListener && !crossed {
                 Pin::new(&mut connection).graceful_shutdown();
             }
             let closing_at = Instant::now();
@@ -425,10 +447,10 @@
                     return Poll::Ready(false);
                 }
                 let Some(mut due) = progress.due(idle_time) else { return Poll::Pending };
-                if now == Phase::Closing {
+                if now == Phase::ClosingListener {
                     // Guards the stop against callers that say nothing or never end their request.
                     due = due.min(match progress.stage() {
-                        Stage::Idle => closing_at + NOTHING_YET,
+                        RequestStage::Idle => closing_at + NOTHING_YET,
                         _ => self.life.ordered.get().unwrap_or(closing_at) + self.leave_within,
                     });
                 }
@@ -441,15 +463,15 @@
                 too_late = served => too_late,
                 changed = phase.changed() => if changed.is_err() { return } else { continue },
             };
-            if too_late && progress.stage() == Stage::Idle && inbound.borrow().waits() {
+            if too_late && progress.stage() == RequestStage::Idle && inbound.borrow().waits() {
                 // The runtime has not looked yet: what has come is read before the connection may be closed.
                 yield_now().await;
                 continue;
             }
             let error = match (progress.fault(), too_late, progress.stage()) {
-                (Some(Fault::Bad), ..) => Some("400 Bad Request"),
-                (Some(Fault::TooLarge), ..) => Some("431 Request Header Fields Too Large"),
-                (None, true, Stage::Head | Stage::Body) => Some("408 Request Timeout"),
+                (Some(ProtocolError::Bad), ..) => Some("400 Bad Request"),
+                (Some(ProtocolError::TooLarge), ..) => Some("431 Request Header Fields Too Large"),
+                (None, true, RequestStage::Head | RequestStage::Body) => Some("408 Request Timeout"),
                 _ => None,
             };
             // What hyper held goes first, the open request with it.
@@ -467,9 +489,9 @@
     async fn respond(
         &self,
         request: Request<Incoming>,
-        progress: &Rc<Progress>,
+        progress: &Rc<ConnectionProgress>,
         beyond: bool,
-    ) -> Response<Answering> {
+    ) -> Response<ResponseBody> {
         let mut response = match request.uri().path() {
             "/health/ready" => self.ready(),
             "/api" if beyond => plain(StatusCode::SERVICE_UNAVAILABLE, "no place"),
@@ -489,24 +511,28 @@
         response
     }
 
-    fn ready(&self) -> Response<Answering> {
+    fn ready(&self) -> Response<ResponseBody> {
         // A successor answers for both: the address goes on taking clients.
         let taking = match self.life.follow() {
             Phase::Running => true,
-            Phase::Stopping | Phase::Leaving => self.life.accompanied.get(),
-            Phase::Evacuated | Phase::Closing => false,
+            Phase::Draining | Phase::HandingOver => self.life.sibling_running.get(),
+            Phase::Evacuated | Phase::ClosingListener => false,
         };
-        if taking && self.life.may_serve(self.engine.listed()) {
+        if taking && self.life.may_serve(self.engine.has_endpoint_list()) {
             plain(StatusCode::OK, "ready")
         } else {
             plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
         }
     }
 
-    async fn api(&self, request: Request<Incoming>, progress: &Rc<Progress>) -> Response<Answering> {
+    async fn api(
+        &self,
+        request: Request<Incoming>,
+        progress: &Rc<ConnectionProgress>,
+    ) -> Response<ResponseBody> {
         // What is held of it at the most, and of its answer. Guards the memory: past the bound nothing is read.
         let body = request.body().size_hint().exact().unwrap_or(u64::MAX).min(MOST_HELD as u64);
-        let Some(room) = self.bodies.take(body as usize + MOST_HELD) else {
+        let Some(room) = self.bodies.try_acquire(body as usize + MOST_HELD) else {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "no room");
         };
         let asked = match self.read(request, progress).await {
@@ -518,8 +544,8 @@
             return plain(StatusCode::BAD_REQUEST, "this Req-Id is open");
         };
         let upload = match &asked.call.body {
-            Payload::Whole(_) => None,
-            Payload::Passed(upload) => Some(upload.clone()),
+            RequestBody::Whole(_) => None,
+            RequestBody::Streamed(upload) => Some(upload.clone()),
         };
         if upload.is_none() {
             progress.taken();
@@ -528,36 +554,36 @@
                 return plain(StatusCode::BAD_REQUEST, "the caller has left");
             }
         }
-        let asking = self.engine.ask(asked);
+        let asking = self.engine.submit(asked);
         let answer = match upload {
             None => asking.answer().await,
             Some(upload) => {
                 let end = async {
                     let end = upload.end().await;
-                    if end == End::Whole {
+                    if end == BodyEnd::Whole {
                         progress.taken();
                     }
                     end
                 };
                 match asking.answer_upload(end).await {
                     Ok(answer) => answer,
-                    Err(End::TooLong) => return plain(StatusCode::PAYLOAD_TOO_LARGE, TOO_LARGE),
+                    Err(BodyEnd::TooLong) => return plain(StatusCode::PAYLOAD_TOO_LARGE, TOO_LARGE),
                     Err(_) => return plain(StatusCode::BAD_REQUEST, "broken body"),
                 }
             }
         };
         match answer {
-            Answer::Served(reply) => {
+            FinalResponse::Forwarded(reply) => {
                 let mut body = match reply.body {
-                    Answered::Whole(body) => Answering::whole(body),
-                    Answered::Passed(passed) => Answering::passed(passed, progress),
+                    UpstreamBody::Whole(body) => ResponseBody::whole(body),
+                    UpstreamBody::Streamed(passed) => ResponseBody::passed(passed, progress),
                 };
                 body.room = Some(room);
                 let mut response = Response::new(body);
                 *response.headers_mut() = end_to_end(&reply.headers);
                 response
             }
-            Answer::Refused { retry_after } => {
+            FinalResponse::Rejected { retry_after } => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
                 let seconds = format!("{:.3}", retry_after as f64 / 1e6);
                 if let (true, Ok(seconds)) = (retry_after > 0, HeaderValue::from_str(&seconds)) {
@@ -565,8 +591,8 @@
                 }
                 response
             }
-            Answer::Failed(Failure::Time) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
-            Answer::Failed(Failure::Upstream) => plain(StatusCode::BAD_GATEWAY, "upstream failed"),
+            FinalResponse::Failed(Failure::Time) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+            FinalResponse::Failed(Failure::Upstream) => plain(StatusCode::BAD_GATEWAY, "upstream failed"),
         }
     }
 
@@ -574,8 +600,8 @@
     async fn read(
         &self,
         request: Request<Incoming>,
-        progress: &Rc<Progress>,
-    ) -> Result<Asked<Call>, (StatusCode, &'static str)> {
+        progress: &Rc<ConnectionProgress>,
+    ) -> Result<IncomingRequest<UpstreamRequest>, (StatusCode, &'static str)> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
         let (head, body) = request.into_parts();
         // Guards against peers that read the first of two and others that read the last.
@@ -623,22 +649,24 @@
         let (work, retry): (Option<Micros>, _) =
             (text("req-cost").and_then(number), text("req-retry") == Some("1"));
         let headers = end_to_end(&head.headers);
-        let body = match begin(body, None).await {
-            Begun::Whole(body) if safe && !body.is_empty() => {
+        let body = match read_prefix(body, None).await {
+            BodyPrefix::Whole(body) if safe && !body.is_empty() => {
                 return Err(bad("a body that does not fit the class"));
             }
-            Begun::More(..) if safe => return Err(bad("a body that does not fit the class")),
-            Begun::Whole(body) => Payload::Whole(body),
-            Begun::More(kept, rest) => Payload::Passed(Upload::new(kept, rest, progress)),
-            Begun::TooLong => return Err((StatusCode::PAYLOAD_TOO_LARGE, TOO_LARGE)),
-            Begun::Broken => return Err(bad("broken body")),
+            BodyPrefix::More(..) if safe => return Err(bad("a body that does not fit the class")),
+            BodyPrefix::Whole(body) => RequestBody::Whole(body),
+            BodyPrefix::More(kept, rest) => {
+                RequestBody::Streamed(RequestBodyStream::new(kept, rest, progress))
+            }
+            BodyPrefix::TooLong => return Err((StatusCode::PAYLOAD_TOO_LARGE, TOO_LARGE)),
+            BodyPrefix::Broken => return Err(bad("broken body")),
         };
         // A request that names the whole address is for this path all the same.
         let path = head.uri.path_and_query().cloned().ok_or(bad("no path"))?;
-        let upload = matches!(body, Payload::Passed(_));
+        let upload = matches!(body, RequestBody::Streamed(_));
         let caller = Some(Rc::downgrade(progress));
-        let call = Call { method: head.method, uri: path.into(), headers, body, caller };
-        Ok(Asked { class, time_left, tenant, work, retry, upload, call })
+        let call = UpstreamRequest { method: head.method, uri: path.into(), headers, body, caller };
+        Ok(IncomingRequest { class, time_left, tenant, work, retry, upload, call })
     }
 }
 
@@ -694,8 +722,8 @@
     headers.iter().filter(|(name, _)| !hop(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
-fn plain(status: StatusCode, why: &'static str) -> Response<Answering> {
-    let mut response = Response::new(Answering::whole(Bytes::from_static(why.as_bytes())));
+fn plain(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(why.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,21 +1,14 @@
-//! The real balancer as a library: the decisions of `zincstand_policy` between callers, upstreams and discovery. The
-//! binary only starts it; the rig uses the same discovery code and the same engine, many times in one process.
+//! The HTTP/1.1 proxy as a library: the policy's decisions between clients, upstreams and discovery. The binary only
+//! starts it; the testbed uses the same discovery client and the same dispatcher, many times in one process.
 
+mod admin;
 mod config;
 pub mod discovery;
-pub mod engine;
-mod framing;
-mod gate;
-mod gauge;
-mod handover;
-mod management;
-pub mod orders;
-mod pool;
-pub mod registry;
-mod server;
-mod service;
-mod stream;
+pub mod dispatch;
+mod downstream;
+pub mod lifecycle;
+mod limits;
+mod process;
 mod upstream;
-pub mod wire;
 
-pub use service::start;
+pub use process::start;
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/lifecycle/hot_restart.rs
@@ -9,8 +9,8 @@
 
 use socket2::{Domain, SockRef, Type};
 
-use crate::engine::Legacy;
-use crate::orders::replace;
+use crate::dispatch::SavedState;
+use crate::lifecycle::overrides::replace;
 
 /// Processes of one balancer that may live at once: the one that leaves, its successor and a spare.
 const MOST: usize = 4;
@@ -42,14 +42,14 @@
 
 /// This process's sign of life, and those of others. Each is a lock on a file, which the system frees when its
 /// process ends, however it ends.
-pub struct Presence {
+pub struct ProcessPresence {
     _own: File,
     others: Vec<File>,
 }
 
-impl Presence {
+impl ProcessPresence {
     /// Makes this process known in the folder.
-    pub fn enter(folder: &Path) -> io::Result<Presence> {
+    pub fn enter(folder: &Path) -> io::Result<ProcessPresence> {
         let mut files = (0..MOST)
             .map(|n| File::create(folder.join(format!("sloeline-process-{n}.lock"))))
             .collect::<io::Result<Vec<_>>>()?;
@@ -57,7 +57,7 @@
         let free = files.iter().position(|file| file.try_lock().is_ok());
         let own =
             files.remove(free.ok_or_else(|| io::Error::other("too many processes of this balancer live"))?);
-        Ok(Presence { _own: own, others: files })
+        Ok(ProcessPresence { _own: own, others: files })
     }
 
     /// How many others live.
@@ -74,12 +74,12 @@
 const LEGACY: &str = "sloeline-learned.json";
 
 /// Keeps what this process has learned for the one that takes its place.
-pub fn bequeath(folder: &Path, legacy: &Legacy) -> io::Result<()> {
+pub fn save(folder: &Path, legacy: &SavedState) -> io::Result<()> {
     replace(folder, LEGACY, &serde_json::to_vec(legacy)?).map(drop)
 }
 
 /// What the process before this one had learned; nothing if there was none or it cannot be read.
-pub fn legacy(folder: &Path) -> Option<Legacy> {
+pub fn load(folder: &Path) -> Option<SavedState> {
     let text = std::fs::read(folder.join(LEGACY)).ok()?;
     serde_json::from_slice(&text).inspect_err(|e| eprintln!("handover: {LEGACY} is passed over: {e}")).ok()
 }
--- a/crates/proxy/src/handover/tests.rs
+++ b/crates/proxy/src/lifecycle/hot_restart/tests.rs
@@ -33,9 +33,9 @@
 fn what_cannot_be_read_is_passed_over() {
     let folder = std::env::temp_dir().join(format!("zincstand-legacy-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    assert!(legacy(&folder).is_none());
+    assert!(load(&folder).is_none());
     std::fs::write(folder.join(LEGACY), b"{\"learned\":{\"at\":1").expect("a file");
-    assert!(legacy(&folder).is_none());
+    assert!(load(&folder).is_none());
     std::fs::remove_dir_all(&folder).expect("a folder");
 }
 
@@ -43,13 +43,13 @@
 fn others_are_known_while_they_live() {
     let folder = std::env::temp_dir().join(format!("zincstand-presence-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let one = Presence::enter(&folder).expect("a place");
+    let one = ProcessPresence::enter(&folder).expect("a place");
     assert_eq!(one.others(), 0);
-    let other = Presence::enter(&folder).expect("a place");
+    let other = ProcessPresence::enter(&folder).expect("a place");
     assert_eq!((one.others(), other.others()), (1, 1));
     drop(one);
     assert_eq!(other.others(), 0);
-    let again = Presence::enter(&folder).expect("a place");
+    let again = ProcessPresence::enter(&folder).expect("a place");
     assert_eq!((again.others(), other.others()), (1, 1));
     std::fs::remove_dir_all(&folder).expect("a folder");
 }
--- a/crates/proxy/src/orders.rs
+++ b/crates/proxy/src/lifecycle/overrides.rs
@@ -19,26 +19,28 @@
 /// The orders in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Orders {
+pub struct OperatorOverrides {
     /// Upstreams that are out, by the names that discovery gives them.
-    pub out: BTreeSet<String>,
+    #[serde(rename = "out")]
+    pub excluded: BTreeSet<String>,
     /// When those that were out came back, in Unix time.
-    pub back: BTreeMap<String, Micros>,
+    #[serde(rename = "back")]
+    pub included_at: BTreeMap<String, Micros>,
     /// Clients are sent away.
     pub evacuated: bool,
 }
 
-impl Orders {
+impl OperatorOverrides {
     /// Takes an upstream out; nothing new if it is.
     pub fn exclude(&mut self, name: &str) {
-        self.out.insert(name.to_owned());
+        self.excluded.insert(name.to_owned());
     }
 
     /// Ends that; it counts as started now, since operators restart it meanwhile. Nothing new if it was not out.
     pub fn include(&mut self, name: &str, now: Micros) {
-        if self.out.remove(name) {
-            self.back.retain(|_, at| now.saturating_sub(*at) < RETURNS_KEPT);
-            self.back.insert(name.to_owned(), now);
+        if self.excluded.remove(name) {
+            self.included_at.retain(|_, at| now.saturating_sub(*at) < RETURNS_KEPT);
+            self.included_at.insert(name.to_owned(), now);
         }
     }
 }
@@ -48,18 +50,18 @@
 
 /// The orders and the file that they are kept in, if there is a folder for it.
 #[derive(Default)]
-pub struct OrderStore {
+pub struct OverrideStore {
     folder: Option<PathBuf>,
-    orders: RefCell<Orders>,
+    orders: RefCell<OperatorOverrides>,
     stamp: Cell<Option<Stamp>>,
     version: Cell<u64>,
 }
 
-impl OrderStore {
+impl OverrideStore {
     /// The orders that the folder holds. One that cannot be read holds none: serving goes first.
-    pub fn open(folder: Option<&Path>) -> OrderStore {
-        let store = OrderStore { folder: folder.map(Path::to_owned), ..OrderStore::default() };
-        store.look();
+    pub fn open(folder: Option<&Path>) -> OverrideStore {
+        let store = OverrideStore { folder: folder.map(Path::to_owned), ..OverrideStore::default() };
+        store.refresh();
         store
     }
 
@@ -68,20 +70,20 @@
         self.version.get()
     }
 
-    fn take(&self, orders: Orders) {
+    fn take(&self, orders: OperatorOverrides) {
         if self.orders.replace(orders.clone()) != orders {
             self.version.set(self.version.get() + 1);
         }
     }
 
     /// The orders as last looked at.
-    pub fn orders(&self) -> Ref<'_, Orders> {
+    pub fn current(&self) -> Ref<'_, OperatorOverrides> {
         self.orders.borrow()
     }
 
     /// Looks at the file, which another process may have replaced. Costs one call to the system while it has not.
     /// What cannot be read is logged once and passed over.
-    pub fn look(&self) {
+    pub fn refresh(&self) {
         let Some(folder) = &self.folder else { return };
         let path = folder.join(FILE);
         let stamp = fs::metadata(&path).ok().map(|found| stamp(&found));
@@ -96,9 +98,9 @@
     }
 
     /// Changes the orders, for all processes once this returns.
-    pub fn change(&self, change: impl FnOnce(&mut Orders)) -> io::Result<()> {
+    pub fn change(&self, change: impl FnOnce(&mut OperatorOverrides)) -> io::Result<()> {
         let Some(folder) = &self.folder else {
-            let mut orders = self.orders().clone();
+            let mut orders = self.current().clone();
             change(&mut orders);
             self.take(orders);
             return Ok(());
@@ -106,8 +108,8 @@
         // Guards against another process that changes them at the same moment.
         let lock = File::create(folder.join(LOCK))?;
         lock.lock()?;
-        self.look();
-        let mut orders = self.orders().clone();
+        self.refresh();
+        let mut orders = self.current().clone();
         change(&mut orders);
         let file = replace(folder, FILE, &serde_json::to_vec(&orders)?)?;
         self.stamp.set(Some(stamp(&file.metadata()?)));
--- a/crates/proxy/src/orders/tests.rs
+++ b/crates/proxy/src/lifecycle/overrides/tests.rs
@@ -11,42 +11,42 @@
 #[test]
 fn what_one_process_is_told_the_other_sees_and_a_later_one_finds() {
     with("shared", |folder| {
-        let (one, other) = (OrderStore::open(Some(folder)), OrderStore::open(Some(folder)));
+        let (one, other) = (OverrideStore::open(Some(folder)), OverrideStore::open(Some(folder)));
         one.change(|o| o.exclude("s-1")).expect("it is written");
         other.change(|o| o.exclude("s-2")).expect("it is written");
         let before = one.version();
-        one.look();
-        one.look();
+        one.refresh();
+        one.refresh();
         assert_eq!(one.version(), before + 1);
-        for store in [&one, &other, &OrderStore::open(Some(folder))] {
-            assert_eq!(store.orders().out.iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
+        for store in [&one, &other, &OverrideStore::open(Some(folder))] {
+            assert_eq!(store.current().excluded.iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
         }
     });
 }
 
 #[test]
 fn orders_are_a_set_and_a_return_is_a_start() {
-    let mut orders = Orders::default();
+    let mut orders = OperatorOverrides::default();
     orders.include("s-1", 5);
-    assert_eq!(orders, Orders::default(), "it was never out");
+    assert_eq!(orders, OperatorOverrides::default(), "it was never out");
     orders.exclude("s-1");
     orders.exclude("s-1");
     orders.include("s-1", 7);
     orders.include("s-1", 9);
-    assert_eq!((orders.out.len(), orders.back["s-1"]), (0, 7));
+    assert_eq!((orders.excluded.len(), orders.included_at["s-1"]), (0, 7));
 }
 
 #[test]
 fn a_file_that_is_cut_short_changes_nothing() {
     with("short", |folder| {
-        let store = OrderStore::open(Some(folder));
+        let store = OverrideStore::open(Some(folder));
         store.change(|o| o.exclude("s-1")).expect("it is written");
         fs::write(folder.join(FILE), b"{\"out\":[\"s-").expect("a file");
-        store.look();
-        assert!(store.orders().out.contains("s-1"));
-        assert_eq!(*OrderStore::open(Some(folder)).orders(), Orders::default());
+        store.refresh();
+        assert!(store.current().excluded.contains("s-1"));
+        assert_eq!(*OverrideStore::open(Some(folder)).current(), OperatorOverrides::default());
         // The next change makes it whole again.
         store.change(|o| o.exclude("s-2")).expect("it is written");
-        assert_eq!(OrderStore::open(Some(folder)).orders().out.len(), 2);
+        assert_eq!(OverrideStore::open(Some(folder)).current().excluded.len(), 2);
     });
 }
--- a/crates/proxy/src/gauge.rs
+++ b/crates/proxy/src/limits/mod.rs
@@ -6,34 +6,34 @@
 use tokio::sync::Notify;
 
 /// So much of something is taken, of so much at the most.
-pub struct Gauge {
+pub struct ResizableLimit {
     used: Cell<usize>,
     most: Cell<usize>,
     freed: Notify,
 }
 
 /// A part that is taken; given back when dropped.
-pub struct Taken {
-    gauge: Rc<Gauge>,
+pub struct Permit {
+    gauge: Rc<ResizableLimit>,
     amount: usize,
 }
 
-impl Gauge {
+impl ResizableLimit {
     /// Nothing taken yet.
-    pub fn new(most: usize) -> Rc<Gauge> {
-        Rc::new(Gauge { used: Cell::new(0), most: Cell::new(most), freed: Notify::new() })
+    pub fn new(most: usize) -> Rc<ResizableLimit> {
+        Rc::new(ResizableLimit { used: Cell::new(0), most: Cell::new(most), freed: Notify::new() })
     }
 
     /// Takes a part, if there is room for it.
-    pub fn take(self: &Rc<Self>, amount: usize) -> Option<Taken> {
+    pub fn try_acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
         let fits = self.used.get().checked_add(amount).is_some_and(|used| used <= self.most.get());
-        fits.then(|| self.squeeze(amount))
+        fits.then(|| self.acquire_over_limit(amount))
     }
 
     /// Takes a part, room or not.
-    pub fn squeeze(self: &Rc<Self>, amount: usize) -> Taken {
+    pub fn acquire_over_limit(self: &Rc<Self>, amount: usize) -> Permit {
         self.used.set(self.used.get() + amount);
-        Taken { gauge: self.clone(), amount }
+        Permit { gauge: self.clone(), amount }
     }
 
     /// Another limit. What is taken stays so.
@@ -65,7 +65,7 @@
     }
 }
 
-impl Drop for Taken {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.gauge.used.set(self.gauge.used.get() - self.amount);
         self.gauge.freed.notify_one();
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -12,15 +12,15 @@
 use zincstand_policy::{ListKind, Micros, ServerId};
 use zincstand_settings::{Names, settings};
 
+use crate::admin::AdminServer;
 use crate::config::Config;
 use crate::discovery::Discovery;
-use crate::engine::{Engine, Report};
-use crate::handover::{self, Presence};
-use crate::management::Management;
-use crate::orders::{self, OrderStore};
-use crate::server::{ConnectionLimits, Life, Listener, Server};
-use crate::upstream::{Attempt, Call, Reply, Upstreams};
-use crate::wire::{Target, Wire};
+use crate::dispatch::transport::{Target, Transport};
+use crate::dispatch::{AttemptCompletion, Dispatcher};
+use crate::downstream::{ConnectionLimits, Lifecycle, Listener, Server};
+use crate::lifecycle::hot_restart::{self, ProcessPresence};
+use crate::lifecycle::overrides::{self, OverrideStore};
+use crate::upstream::{Attempt, UpstreamRequest, UpstreamResponse, Upstreams};
 
 /// Descriptors for the runtime, the signals, the listeners, discovery, the locks, operators' calls and standard
 /// streams.
@@ -41,60 +41,68 @@
 pub fn start() -> Result<(), String> {
     // Before anything else is opened, which could get its number.
     let inherited = variable("EDGE_FD").filter(|text| !text.is_empty());
-    let inherited = inherited.map(|text| handover::listener(&text)).transpose()?;
+    let inherited = inherited.map(|text| hot_restart::listener(&text)).transpose()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run(inherited))
 }
 
 /// The sockets that the engine's actions act on.
-struct Net {
+struct SocketTransport {
     upstreams: Rc<Upstreams>,
     discovery: Rc<Discovery>,
 }
 
-impl Wire for Net {
-    type Call = Call;
-    type Reply = Reply;
-    type Out = Attempt;
+impl Transport for SocketTransport {
+    type Request = UpstreamRequest;
+    type Response = UpstreamResponse;
+    type Attempt = Attempt;
 
-    fn send(&self, to: Target, call: Rc<Call>, limit: Micros, report: Report<Self>) -> Attempt {
+    fn send(
+        &self,
+        to: Target,
+        call: Rc<UpstreamRequest>,
+        limit: Micros,
+        report: AttemptCompletion<Self>,
+    ) -> Attempt {
         self.upstreams.send(to, call, limit, report)
     }
 
-    fn spent(call: &Call) -> bool {
-        call.spent()
+    fn body_consumed(call: &UpstreamRequest) -> bool {
+        call.body_consumed()
     }
 
-    fn departed(call: &Call) -> bool {
-        call.departed()
+    fn client_disconnected(call: &UpstreamRequest) -> bool {
+        call.client_disconnected()
     }
 
-    fn begun(out: &Attempt) -> bool {
-        out.begun()
+    fn has_connection(out: &Attempt) -> bool {
+        out.has_connection()
     }
 
     fn abort(&self, out: Attempt) -> bool {
         out.abort()
     }
 
-    fn probe(&self, engine: &Rc<Engine<Self>>, to: Target) {
+    fn health_check(&self, engine: &Rc<Dispatcher<Self>>, to: Target) {
         let engine = engine.clone();
-        self.upstreams.probe(to, move |took, outcome, load| engine.probed(to.server, took, outcome, load));
+        self.upstreams.health_check(to, move |took, outcome, load| {
+            engine.health_checked(to.server, took, outcome, load)
+        });
     }
 
     fn close_idle(&self, server: ServerId) {
         self.upstreams.close_idle(server);
     }
 
-    fn watch(&self, engine: &Rc<Engine<Self>>) {
+    fn watch(&self, engine: &Rc<Dispatcher<Self>>) {
         let engine = engine.clone();
-        self.discovery.watch(move |kind, entries| engine.list(kind, entries));
+        self.discovery.watch(move |kind, entries| engine.update_endpoints(kind, entries));
     }
 
-    fn fetch(&self, engine: &Rc<Engine<Self>>) {
+    fn fetch(&self, engine: &Rc<Dispatcher<Self>>) {
         let engine = engine.clone();
-        self.discovery.fetch(move |kind, entries| engine.list(kind, entries));
+        self.discovery.fetch(move |kind, entries| engine.update_endpoints(kind, entries));
     }
 }
 
@@ -104,12 +112,14 @@
 
 /// Takes over what may change while it runs, which is where discovery is. Guards against a file that is half
 /// written or wrong: the running configuration is kept then.
-fn reload(engine: &Rc<Engine<Net>>, discovery: &Rc<Discovery>) {
+fn reload(engine: &Rc<Dispatcher<SocketTransport>>, discovery: &Rc<Discovery>) {
     match Config::read_again(variable) {
         Ok(config) => {
             eprintln!("zincstand-proxy: configuration read again; discovery is {}", config.discovery);
             let engine = engine.clone();
-            discovery.move_to(config.discovery, move |kind, entries| engine.list(kind, entries));
+            discovery.change_address(config.discovery, move |kind, entries| {
+                engine.update_endpoints(kind, entries)
+            });
         }
         Err(why) => eprintln!("zincstand-proxy: the running configuration is kept: {why}"),
     }
@@ -145,11 +155,11 @@
     let settings = settings(&config.setup, &mut zones)?;
 
     let shared = inherited.is_some();
-    let folder = if shared || config.management.is_some() { orders::folder(variable)? } else { None };
-    let store = Rc::new(OrderStore::open(folder.as_deref()));
-    let presence = folder.as_deref().filter(|_| shared).map(Presence::enter).transpose();
+    let folder = if shared || config.management.is_some() { overrides::folder(variable)? } else { None };
+    let store = Rc::new(OverrideStore::open(folder.as_deref()));
+    let presence = folder.as_deref().filter(|_| shared).map(ProcessPresence::enter).transpose();
     let presence = presence.map_err(|e| format!("TMPDIR: {e}"))?;
-    let processes = move || 1 + presence.as_ref().map_or(0, Presence::others);
+    let processes = move || 1 + presence.as_ref().map_or(0, ProcessPresence::others);
     let mut known_processes = processes();
 
     let (connections, callers) = limits(&config, known_processes);
@@ -167,25 +177,25 @@
         .zip(settings.classes.iter().cloned())
         .collect();
     let tenants = config.setup.realms.iter().map(|r| r.name.clone()).collect();
-    let engine = Engine::new(
+    let engine = Dispatcher::new(
         settings,
         &zones,
         config.seed,
         store.clone(),
-        Net { upstreams: upstreams.clone(), discovery: discovery.clone() },
+        SocketTransport { upstreams: upstreams.clone(), discovery: discovery.clone() },
     )?;
     match config.known.take() {
-        Some(known) => engine.list(ListKind::CachedSnapshot, known.entries()),
-        None => engine.begin(),
+        Some(known) => engine.update_endpoints(ListKind::CachedSnapshot, known.entries()),
+        None => engine.start_without_list(),
     }
     let heir = folder.clone().filter(|_| shared);
-    if let Some(legacy) = heir.as_deref().and_then(handover::legacy) {
-        engine.inherit(legacy);
+    if let Some(legacy) = heir.as_deref().and_then(hot_restart::load) {
+        engine.restore(legacy);
     }
     // Real discovery pushes nothing: what the module is to hear unasked is asked for here.
     if unasked {
         let engine = engine.clone();
-        discovery.watch(move |kind, entries| engine.list(kind, entries));
+        discovery.watch(move |kind, entries| engine.update_endpoints(kind, entries));
     }
     spawn_local(engine.clone().run());
     spawn_local({
@@ -202,13 +212,13 @@
         None => listen(config.listen)?,
     };
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let life = Life::new(store);
+    let life = Lifecycle::new(store);
     let management = config.management.map(listen).transpose().map_err(|e| format!("EDGE_MANAGEMENT {e}"))?;
     eprintln!("zincstand-proxy {} listens on {address}", config.name);
     if let Some(management) = management {
         let address = management.local_addr().map_err(|e| e.to_string())?;
         eprintln!("zincstand-proxy {} takes operators' calls on {address}", config.name);
-        spawn_local(Management::new(engine.clone(), life.clone()).serve(management));
+        spawn_local(AdminServer::new(engine.clone(), life.clone()).serve(management));
     }
 
     spawn_local({
@@ -225,8 +235,8 @@
         let (engine, life) = (engine.clone(), life.clone());
         spawn_local(async move {
             // Once told to stop, its successor knows better.
-            while life.takes() {
-                if let Err(e) = handover::bequeath(&folder, &engine.legacy()) {
+            while life.accepts_connections() {
+                if let Err(e) = hot_restart::save(&folder, &engine.saved_state()) {
                     eprintln!("handover: what was learned is not kept: {e}");
                 }
                 sleep(BEQUEATH).await;
@@ -234,14 +244,14 @@
         });
     }
     let server = Server::new(engine.clone(), classes, tenants, callers, life.clone());
-    life.accompany(known_processes > 1);
+    life.set_sibling_running(known_processes > 1);
     if folder.is_some() {
         let server = server.clone();
         spawn_local(async move {
             loop {
                 sleep(LOOK).await;
                 life.follow();
-                engine.obey();
+                engine.apply_overrides();
                 let now = processes();
                 if now != known_processes {
                     known_processes = now;
@@ -249,7 +259,7 @@
                     let (connections, callers) = limits(&config, now);
                     upstreams.resize(connections);
                     server.resize(&callers);
-                    life.accompany(now > 1);
+                    life.set_sibling_running(now > 1);
                 }
             }
         });
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,5 +1,8 @@
 //! Attempts and probes on upstreams.
 
+pub mod pool;
+pub mod stream;
+
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -14,11 +17,13 @@
 use zincstand_policy as policy;
 use zincstand_policy::{LoadReport, Micros, Outcome, ServerId};
 
-use crate::engine::Report;
-use crate::gate::Progress;
-use crate::pool::{CONNECT_UNTOLD, Conn, Pool};
-use crate::stream::{Begun, End, MOST_HELD, Outgoing, Passed, Upload, begin_answer};
-use crate::wire::{Target, Wire};
+use crate::dispatch::AttemptCompletion;
+use crate::dispatch::transport::{Target, Transport};
+use crate::downstream::framer::ConnectionProgress;
+use crate::upstream::pool::{CONNECT_UNTOLD, Pool, UpstreamConnection};
+use crate::upstream::stream::{
+    BodyEnd, BodyPrefix, MOST_HELD, Outgoing, RequestBodyStream, StreamedBody, read_response_prefix,
+};
 
 /// How long a connection may take to be ready for the next request after its answer.
 const TURN_ROUND: Duration = Duration::from_millis(500);
@@ -26,7 +31,7 @@
 const DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
 
 /// A request as it goes to an upstream, the same in each attempt.
-pub struct Call {
+pub struct UpstreamRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -34,34 +39,34 @@
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// The body.
-    pub body: Payload,
+    pub body: RequestBody,
     /// Who waits for the answer; nothing for a probe.
-    pub caller: Option<Weak<Progress>>,
+    pub caller: Option<Weak<ConnectionProgress>>,
 }
 
 /// A request's body.
-pub enum Payload {
+pub enum RequestBody {
     /// All of it.
     Whole(Bytes),
     /// It is still coming.
-    Passed(Rc<Upload>),
+    Streamed(Rc<RequestBodyStream>),
 }
 
-impl Call {
+impl UpstreamRequest {
     /// A part of it has gone on and was not kept.
-    pub fn spent(&self) -> bool {
-        matches!(&self.body, Payload::Passed(upload) if upload.spent())
+    pub fn body_consumed(&self) -> bool {
+        matches!(&self.body, RequestBody::Streamed(upload) if upload.consumed())
     }
 
-    /// Its caller has left, so that no attempt may begin; see [`Progress::departed`].
-    pub fn departed(&self) -> bool {
+    /// Its caller has left, so that no attempt may begin; see [`ConnectionProgress::departed`].
+    pub fn client_disconnected(&self) -> bool {
         self.caller.as_ref().is_some_and(|caller| caller.upgrade().is_none_or(|caller| caller.departed()))
     }
 
     fn request(&self, address: SocketAddr, limit: Option<Micros>) -> Request<Outgoing> {
         let (body, length) = match &self.body {
-            Payload::Whole(body) => (Outgoing::Whole(Full::new(body.clone())), Some(body.len() as u64)),
-            Payload::Passed(upload) => (Outgoing::passed(upload), upload.length()),
+            RequestBody::Whole(body) => (Outgoing::Whole(Full::new(body.clone())), Some(body.len() as u64)),
+            RequestBody::Streamed(upload) => (Outgoing::passed(upload), upload.length()),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -85,30 +90,30 @@
 
 /// An upstream's answer.
 #[derive(Debug)]
-pub struct Reply {
+pub struct UpstreamResponse {
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Answered,
+    pub body: UpstreamBody,
 }
 
 /// The body of an upstream's answer.
 #[derive(Debug)]
-pub enum Answered {
+pub enum UpstreamBody {
     /// Read to its end.
     Whole(Bytes),
     /// It is still coming.
-    Passed(Passed),
+    Streamed(StreamedBody),
 }
 
 /// A connection on which an answer is still coming.
-pub struct Lease {
+pub struct ConnectionLease {
     pool: Rc<Pool>,
     server: ServerId,
-    conn: Conn,
+    conn: UpstreamConnection,
 }
 
-impl Lease {
+impl ConnectionLease {
     /// The answer was read to its end: the connection takes the next request.
     pub fn give_back(self) {
         spawn_local(async move { put_when_ready(&self.pool, self.server, self.conn).await });
@@ -116,9 +121,9 @@
 }
 
 /// How far an attempt's request is written; the engine's end of an attempt looks at it.
-struct Flight {
+struct AttemptProgress {
     begun: RefCell<Option<Writing>>,
-    call: Rc<Call>,
+    call: Rc<UpstreamRequest>,
     /// Stopped before its first byte: its caller had left.
     vetoed: Rc<Cell<bool>>,
 }
@@ -129,18 +134,18 @@
     before: u64,
 }
 
-impl Flight {
-    fn new(call: &Rc<Call>) -> Rc<Flight> {
-        Rc::new(Flight { begun: RefCell::new(None), call: call.clone(), vetoed: Rc::default() })
+impl AttemptProgress {
+    fn new(call: &Rc<UpstreamRequest>) -> Rc<AttemptProgress> {
+        Rc::new(AttemptProgress { begun: RefCell::new(None), call: call.clone(), vetoed: Rc::default() })
     }
 
-    fn begin(&self, conn: &Conn) {
+    fn begin(&self, conn: &UpstreamConnection) {
         let (driver, written) = (conn.driver.clone(), conn.written.clone());
         let before = written.get();
         let (call, vetoed) = (self.call.clone(), self.vetoed.clone());
         // Guards the time between this and the writing: the connection's task waits for its turn as others do.
         conn.veto.set(Some(Box::new(move || {
-            vetoed.set(call.departed());
+            vetoed.set(call.client_disconnected());
             vetoed.get()
         })));
         *self.begun.borrow_mut() = Some(Writing { driver, written, before });
@@ -149,9 +154,11 @@
     /// Bytes of the request at the least; nothing while its last one has not come.
     fn least(&self) -> Option<u64> {
         match &self.call.body {
-            Payload::Whole(body) => Some(body.len() as u64 + 1),
-            Payload::Passed(upload) if upload.ended() == Some(End::Whole) => Some(upload.bytes() + 1),
-            Payload::Passed(_) => None,
+            RequestBody::Whole(body) => Some(body.len() as u64 + 1),
+            RequestBody::Streamed(upload) if upload.ended() == Some(BodyEnd::Whole) => {
+                Some(upload.bytes() + 1)
+            }
+            RequestBody::Streamed(_) => None,
         }
     }
 
@@ -164,22 +171,22 @@
     /// The caller's body will never be whole, which is nothing of the upstream's.
     fn cut_off(&self) -> bool {
         let ended = match &self.call.body {
-            Payload::Whole(_) => None,
-            Payload::Passed(upload) => upload.ended(),
+            RequestBody::Whole(_) => None,
+            RequestBody::Streamed(upload) => upload.ended(),
         };
-        ended.is_some_and(|end| end != End::Whole)
+        ended.is_some_and(|end| end != BodyEnd::Whole)
     }
 }
 
 /// An attempt under way.
 pub struct Attempt {
     task: AbortHandle,
-    flight: Rc<Flight>,
+    flight: Rc<AttemptProgress>,
 }
 
 impl Attempt {
     /// It has a connection: its request is being written or is written.
-    pub fn begun(&self) -> bool {
+    pub fn has_connection(&self) -> bool {
         self.flight.begun.borrow().is_some()
     }
 
@@ -195,16 +202,16 @@
 }
 
 /// How an exchange ended.
-struct Exchanged {
+struct Exchange {
     outcome: Outcome,
     load: Option<LoadReport>,
-    reply: Option<Reply>,
-    conn: Option<Conn>,
+    reply: Option<UpstreamResponse>,
+    conn: Option<UpstreamConnection>,
 }
 
-impl From<Outcome> for Exchanged {
-    fn from(outcome: Outcome) -> Exchanged {
-        Exchanged { outcome, load: None, reply: None, conn: None }
+impl From<Outcome> for Exchange {
+    fn from(outcome: Outcome) -> Exchange {
+        Exchange { outcome, load: None, reply: None, conn: None }
     }
 }
 
@@ -230,14 +237,14 @@
     }
 
     /// Starts an attempt.
-    pub fn send<W: Wire<Reply = Reply>>(
+    pub fn send<W: Transport<Response = UpstreamResponse>>(
         &self,
         to: Target,
-        call: Rc<Call>,
+        call: Rc<UpstreamRequest>,
         limit: Micros,
-        report: Report<W>,
+        report: AttemptCompletion<W>,
     ) -> Attempt {
-        let (pool, flight) = (self.pool.clone(), Flight::new(&call));
+        let (pool, flight) = (self.pool.clone(), AttemptProgress::new(&call));
         let shared = flight.clone();
         let task = spawn_local(async move {
             let ended = exchange(&pool, to, Some(limit), &shared).await;
@@ -259,13 +266,17 @@
     }
 
     /// Asks an upstream how it is.
-    pub fn probe(&self, to: Target, told: impl FnOnce(Duration, Outcome, Option<LoadReport>) + 'static) {
+    pub fn health_check(
+        &self,
+        to: Target,
+        told: impl FnOnce(Duration, Outcome, Option<LoadReport>) + 'static,
+    ) {
         let pool = self.pool.clone();
         let uri = Uri::from_static("/health/live");
-        let (headers, body) = (HeaderMap::new(), Payload::Whole(Bytes::new()));
-        let call = Rc::new(Call { method: Method::GET, uri, headers, body, caller: None });
+        let (headers, body) = (HeaderMap::new(), RequestBody::Whole(Bytes::new()));
+        let call = Rc::new(UpstreamRequest { method: Method::GET, uri, headers, body, caller: None });
         spawn_local(async move {
-            let (flight, start) = (Flight::new(&call), Instant::now());
+            let (flight, start) = (AttemptProgress::new(&call), Instant::now());
             let ended = timeout(CONNECT_UNTOLD, exchange(&pool, to, None, &flight)).await;
             let ended = ended.unwrap_or_else(|_| Outcome::TimedOut.into());
             told(start.elapsed(), ended.outcome, ended.load);
@@ -281,7 +292,7 @@
     }
 }
 
-async fn put_when_ready(pool: &Pool, server: ServerId, mut conn: Conn) {
+async fn put_when_ready(pool: &Pool, server: ServerId, mut conn: UpstreamConnection) {
     if let Ok(Ok(())) = timeout(TURN_ROUND, conn.sender.ready()).await {
         pool.put(server, conn);
     }
@@ -289,7 +300,7 @@
 
 /// One request on one connection. A pooled connection that turns out dead before anything was written to it
 /// is passed over for the next; nothing is ever written twice.
-async fn exchange(pool: &Rc<Pool>, to: Target, limit: Option<Micros>, flight: &Flight) -> Exchanged {
+async fn exchange(pool: &Rc<Pool>, to: Target, limit: Option<Micros>, flight: &AttemptProgress) -> Exchange {
     let start = Instant::now();
     loop {
         let (mut conn, reused) = match pool.take(to) {
@@ -300,19 +311,19 @@
             },
         };
         // Guards against a caller that left while this waited for its turn or its connection.
-        if flight.call.departed() {
-            return Exchanged { conn: Some(conn), ..Outcome::NotSent.into() };
+        if flight.call.client_disconnected() {
+            return Exchange { conn: Some(conn), ..Outcome::NotSent.into() };
         }
         flight.begin(&conn);
         let left = limit.map(|l| l.saturating_sub(start.elapsed().as_micros() as Micros));
         match conn.sender.try_send_request(flight.call.request(to.address, left)).await {
             Ok(response) => {
-                return read(response, Lease { pool: pool.clone(), server: to.server, conn }).await;
+                return read(response, ConnectionLease { pool: pool.clone(), server: to.server, conn }).await;
             }
             Err(mut e) => {
                 let untouched = e.take_message().is_some();
                 // Taken back by what was never written: a body that is still coming may have lost its next part.
-                if untouched && reused && !flight.call.spent() {
+                if untouched && reused && !flight.call.body_consumed() {
                     continue;
                 }
                 if flight.cut_off() || flight.vetoed.get() {
@@ -327,19 +338,19 @@
 
 /// Reads an answer, to its end or as far as it is held, and tells what it means; the connection is kept only if
 /// it is read whole.
-async fn read(response: Response<Incoming>, lease: Lease) -> Exchanged {
+async fn read(response: Response<Incoming>, lease: ConnectionLease) -> Exchange {
     let (head, body) = response.into_parts();
     let declined = head.headers.get("srv-declined").is_some_and(|v| v == "1");
     let load = head.headers.get("srv-load").and_then(|v| v.to_str().ok()).map(load);
     let (outcome, reply, conn) = if head.status == StatusCode::OK {
-        let reply = |body| Some(Reply { headers: head.headers, body });
-        match begin_answer(body).await {
-            Begun::Whole(body) => (Outcome::Ok, reply(Answered::Whole(body)), Some(lease.conn)),
+        let reply = |body| Some(UpstreamResponse { headers: head.headers, body });
+        match read_response_prefix(body).await {
+            BodyPrefix::Whole(body) => (Outcome::Ok, reply(UpstreamBody::Whole(body)), Some(lease.conn)),
             // The server has done its work: how fast the caller reads is nothing of its.
-            Begun::More(first, rest) => {
-                (Outcome::Ok, reply(Answered::Passed(Passed::new(first, rest, lease))), None)
+            BodyPrefix::More(first, rest) => {
+                (Outcome::Ok, reply(UpstreamBody::Streamed(StreamedBody::new(first, rest, lease))), None)
             }
-            Begun::Broken | Begun::TooLong => (Outcome::Reset, None, None),
+            BodyPrefix::Broken | BodyPrefix::TooLong => (Outcome::Reset, None, None),
         }
     } else {
         let whole = Limited::new(body, MOST_HELD).collect().await.is_ok();
@@ -351,7 +362,7 @@
         };
         (outcome, None, whole.then_some(lease.conn))
     };
-    Exchanged { outcome, load, reply, conn }
+    Exchange { outcome, load, reply, conn }
 }
 
 /// A load report, `name=value,name=value`; what is unknown or unreadable is passed over.
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -21,8 +21,8 @@
 use zincstand_policy as policy;
 use zincstand_policy::{Micros, Outcome, ServerId};
 
-use crate::stream::Outgoing;
-use crate::wire::Target;
+use crate::dispatch::transport::Target;
+use crate::upstream::stream::Outgoing;
 
 /// Part of the upstreams' idle time after which a connection is closed here: far from crossing theirs.
 const KEEP: f64 = 0.7;
@@ -37,16 +37,16 @@
 pub const BUFFER: usize = 16 * 1024;
 
 /// A place among the connections; given back when the connection is closed.
-struct Place(Rc<Cell<usize>>);
+struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Place {
-    fn take(open: &Rc<Cell<usize>>) -> Place {
+impl ConnectionPermit {
+    fn take(open: &Rc<Cell<usize>>) -> ConnectionPermit {
         open.set(open.get() + 1);
-        Place(open.clone())
+        ConnectionPermit(open.clone())
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -59,7 +59,7 @@
     veto: Rc<Cell<Option<Veto>>>,
     /// Nothing more is written.
     stopped: Cell<bool>,
-    _place: Place,
+    _place: ConnectionPermit,
 }
 
 /// Asked right before a request's first byte is written: true ends the connection instead.
@@ -118,7 +118,7 @@
 }
 
 /// A connection; dropped, it is closed.
-pub struct Conn {
+pub struct UpstreamConnection {
     /// Takes the next request.
     pub sender: SendRequest<Outgoing>,
     /// What moves its bytes; ended, the connection is closed.
@@ -131,7 +131,7 @@
     address: SocketAddr,
 }
 
-impl Conn {
+impl UpstreamConnection {
     /// Nothing has come and the peer has not closed. Asks the kernel: the runtime may not have looked since,
     /// and a request on a closed connection would end as a reset.
     fn fresh(&self) -> bool {
@@ -143,14 +143,14 @@
     }
 }
 
-impl Drop for Conn {
+impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 struct Idle {
-    conn: Conn,
+    conn: UpstreamConnection,
     since: Instant,
 }
 
@@ -200,7 +200,7 @@
     }
 
     /// The idle connection used last that is still good, of those that have rested if there is one.
-    pub fn take(&self, to: Target) -> Option<Conn> {
+    pub fn take(&self, to: Target) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&to.server)?;
         list.retain(|i| i.conn.address == to.address && i.since.elapsed() < self.keep);
@@ -218,7 +218,7 @@
     }
 
     /// Keeps a connection for the next request to this upstream.
-    pub fn put(&self, server: ServerId, conn: Conn) {
+    pub fn put(&self, server: ServerId, conn: UpstreamConnection) {
         if self.open.get() > self.most.get() {
             return;
         }
@@ -234,7 +234,7 @@
     }
 
     /// A new connection, or why there is none.
-    pub async fn connect(&self, address: SocketAddr) -> Result<Conn, Outcome> {
+    pub async fn connect(&self, address: SocketAddr) -> Result<UpstreamConnection, Outcome> {
         // Guards the limit on descriptors: a connection is turned into another, or the attempt is not sent.
         while self.open.get() >= self.most.get() {
             if !self.close_oldest() {
@@ -243,7 +243,7 @@
             // The socket is closed once its task has been dropped.
             tokio::task::yield_now().await;
         }
-        let place = Place::take(&self.open);
+        let place = ConnectionPermit::take(&self.open);
         let stream = match timeout(self.connect_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if out_of_sockets(&e) => {
@@ -268,7 +268,7 @@
         let driver = spawn_local(async move {
             let _ = connection.await;
         });
-        Ok(Conn { sender, driver: driver.abort_handle(), stream, written, veto, address })
+        Ok(UpstreamConnection { sender, driver: driver.abort_handle(), stream, written, veto, address })
     }
 
     /// Closes connections that have been idle too long; one sleep for all of them.
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -14,9 +14,9 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-use crate::gate::Progress;
-use crate::gauge::Taken;
-use crate::upstream::Lease;
+use crate::downstream::framer::ConnectionProgress;
+use crate::limits::Permit;
+use crate::upstream::ConnectionLease;
 
 /// Most of a body that is held whole.
 pub const MOST_HELD: usize = 64 * 1024;
@@ -30,7 +30,7 @@
 type Polled = Poll<Option<io::Result<Frame<Bytes>>>>;
 
 /// The beginning of a body.
-pub enum Begun {
+pub enum BodyPrefix {
     /// All of it.
     Whole(Bytes),
     /// What has come and what comes.
@@ -43,10 +43,10 @@
 
 /// Reads a body until it is whole or too long to be held; and no longer than `patience`, once something has come,
 /// where its length is not told.
-pub async fn begin(mut body: Incoming, patience: Option<Duration>) -> Begun {
+pub async fn read_prefix(mut body: Incoming, patience: Option<Duration>) -> BodyPrefix {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > MOST_PASSED) {
-        return Begun::TooLong;
+        return BodyPrefix::TooLong;
     }
     let until = patience.filter(|_| length.is_none()).map(|patience| Instant::now() + patience);
     let mut held = BytesMut::new();
@@ -56,32 +56,34 @@
             Some(until) => tokio::select! {
                 biased;
                 frame = body.frame() => frame,
-                () = sleep_until(until) => return Begun::More(held.freeze(), body),
+                () = sleep_until(until) => return BodyPrefix::More(held.freeze(), body),
             },
         };
         match frame {
-            None => return Begun::Whole(held.freeze()),
-            Some(Err(_)) => return Begun::Broken,
+            None => return BodyPrefix::Whole(held.freeze()),
+            Some(Err(_)) => return BodyPrefix::Broken,
             Some(Ok(frame)) => held.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
         }
         if held.len() > MOST_HELD {
-            return Begun::More(held.freeze(), body);
+            return BodyPrefix::More(held.freeze(), body);
         }
     }
 }
 
 /// Reads an answer as far as it is held; see [`begin`].
-pub async fn begin_answer(body: Incoming) -> Begun {
+pub async fn read_response_prefix(body: Incoming) -> BodyPrefix {
     // Its length is known to be too much: no reason to wait for any of it.
     match body.size_hint().exact() {
-        Some(length) if length > MOST_HELD as u64 && length <= MOST_PASSED => Begun::More(Bytes::new(), body),
-        _ => begin(body, Some(HOLD)).await,
+        Some(length) if length > MOST_HELD as u64 && length <= MOST_PASSED => {
+            BodyPrefix::More(Bytes::new(), body)
+        }
+        _ => read_prefix(body, Some(HOLD)).await,
     }
 }
 
 /// How a caller's body ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum BodyEnd {
     /// With its last byte.
     Whole,
     /// The caller left, or what it sent is no body.
@@ -91,25 +93,25 @@
 }
 
 /// A request's body of which the beginning is kept and the rest is still coming.
-pub struct Upload {
+pub struct RequestBodyStream {
     kept: Bytes,
     /// Of the whole body, where the caller tells it.
     length: Option<u64>,
     rest: RefCell<Incoming>,
-    progress: Rc<Progress>,
+    progress: Rc<ConnectionProgress>,
     /// Bytes of the rest that went on.
     passed: Cell<u64>,
     spent: Cell<bool>,
-    end: Cell<Option<End>>,
+    end: Cell<Option<BodyEnd>>,
     ended: Notify,
 }
 
-impl Upload {
+impl RequestBodyStream {
     /// `kept` has come.
-    pub fn new(kept: Bytes, rest: Incoming, progress: &Rc<Progress>) -> Rc<Upload> {
+    pub fn new(kept: Bytes, rest: Incoming, progress: &Rc<ConnectionProgress>) -> Rc<RequestBodyStream> {
         progress.want(false);
         let length = rest.size_hint().exact().map(|rest| rest + kept.len() as u64);
-        Rc::new(Upload {
+        Rc::new(RequestBodyStream {
             kept,
             length,
             rest: RefCell::new(rest),
@@ -127,12 +129,12 @@
     }
 
     /// Some of what was not kept has gone on: it cannot go on again.
-    pub fn spent(&self) -> bool {
+    pub fn consumed(&self) -> bool {
         self.spent.get()
     }
 
     /// How it has ended, if it has.
-    pub fn ended(&self) -> Option<End> {
+    pub fn ended(&self) -> Option<BodyEnd> {
         self.end.get()
     }
 
@@ -142,7 +144,7 @@
     }
 
     /// How it ends, when it does.
-    pub async fn end(&self) -> End {
+    pub async fn end(&self) -> BodyEnd {
         loop {
             if let Some(end) = self.end.get() {
                 return end;
@@ -151,14 +153,14 @@
         }
     }
 
-    fn close(&self, end: End) {
+    fn close(&self, end: BodyEnd) {
         self.end.set(Some(end));
         self.ended.notify_one();
     }
 
     fn poll(&self, cx: &mut Context<'_>) -> Polled {
         match self.end.get() {
-            Some(End::Whole) => return Poll::Ready(None),
+            Some(BodyEnd::Whole) => return Poll::Ready(None),
             Some(_) => return Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
             None => self.spent.set(true),
         }
@@ -168,11 +170,11 @@
             self.progress.want(polled.is_pending());
             let frame = match ready!(polled) {
                 None => {
-                    self.close(End::Whole);
+                    self.close(BodyEnd::Whole);
                     return Poll::Ready(None);
                 }
                 Some(Err(e)) => {
-                    self.close(End::Broken);
+                    self.close(BodyEnd::Broken);
                     return Poll::Ready(Some(Err(io::Error::other(e))));
                 }
                 Some(Ok(frame)) => frame,
@@ -181,12 +183,12 @@
             let Some(data) = frame.data_ref() else { continue };
             self.passed.set(self.passed.get() + data.len() as u64);
             if self.bytes() > MOST_PASSED {
-                self.close(End::TooLong);
+                self.close(BodyEnd::TooLong);
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
             // The last byte of a known length is the end: nobody may ask for more.
             if rest.is_end_stream() {
-                self.close(End::Whole);
+                self.close(BodyEnd::Whole);
             }
             return Poll::Ready(Some(Ok(frame)));
         }
@@ -198,13 +200,13 @@
     /// Held whole.
     Whole(Full<Bytes>),
     /// Passed on: what is kept of it, unless that went already, and the rest.
-    Passed(Option<Bytes>, Rc<Upload>),
+    Streamed(Option<Bytes>, Rc<RequestBodyStream>),
 }
 
 impl Outgoing {
     /// A body that is still coming, from its beginning.
-    pub fn passed(upload: &Rc<Upload>) -> Outgoing {
-        Outgoing::Passed(Some(upload.kept.clone()), upload.clone())
+    pub fn passed(upload: &Rc<RequestBodyStream>) -> Outgoing {
+        Outgoing::Streamed(Some(upload.kept.clone()), upload.clone())
     }
 }
 
@@ -215,7 +217,7 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Polled {
         match self.get_mut() {
             Outgoing::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Outgoing::Passed(kept, upload) => match kept.take().filter(|kept| !kept.is_empty()) {
+            Outgoing::Streamed(kept, upload) => match kept.take().filter(|kept| !kept.is_empty()) {
                 Some(kept) => Poll::Ready(Some(Ok(Frame::data(kept)))),
                 None => upload.poll(cx),
             },
@@ -225,14 +227,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Outgoing::Whole(body) => body.is_end_stream(),
-            Outgoing::Passed(kept, upload) => kept.is_none() && upload.ended() == Some(End::Whole),
+            Outgoing::Streamed(kept, upload) => kept.is_none() && upload.ended() == Some(BodyEnd::Whole),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Outgoing::Whole(body) => body.size_hint(),
-            Outgoing::Passed(kept, upload) => {
+            Outgoing::Streamed(kept, upload) => {
                 let gone = if kept.is_some() { 0 } else { upload.bytes() };
                 upload
                     .length
@@ -243,25 +245,25 @@
 }
 
 /// An answer of which the rest is still coming, with the connection that it comes on.
-pub struct Passed {
+pub struct StreamedBody {
     first: Option<Bytes>,
     rest: Incoming,
     bytes: u64,
-    lease: Option<Lease>,
+    lease: Option<ConnectionLease>,
     stall: Pin<Box<Sleep>>,
 }
 
-impl std::fmt::Debug for Passed {
+impl std::fmt::Debug for StreamedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Passed").field("bytes", &self.bytes).finish_non_exhaustive()
     }
 }
 
-impl Passed {
+impl StreamedBody {
     /// `first` has come.
-    pub fn new(first: Bytes, rest: Incoming, lease: Lease) -> Passed {
+    pub fn new(first: Bytes, rest: Incoming, lease: ConnectionLease) -> StreamedBody {
         let first = Some(first).filter(|first| !first.is_empty());
-        Passed { first, rest, bytes: 0, lease: Some(lease), stall: Box::pin(sleep(STALL)) }
+        StreamedBody { first, rest, bytes: 0, lease: Some(lease), stall: Box::pin(sleep(STALL)) }
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Polled {
@@ -313,41 +315,41 @@
 
 enum Kind {
     Whole(Full<Bytes>),
-    Passed(Box<Passed>, Rc<Progress>),
+    Streamed(Box<StreamedBody>, Rc<ConnectionProgress>),
 }
 
 /// An answer's body on its way to a caller, with the room that it takes.
-pub struct Answering {
+pub struct ResponseBody {
     kind: Kind,
     /// Given back when it has gone or its caller has.
-    pub room: Option<Taken>,
+    pub room: Option<Permit>,
 }
 
-impl Answering {
+impl ResponseBody {
     /// Held whole.
-    pub fn whole(body: Bytes) -> Answering {
-        Answering { kind: Kind::Whole(Full::new(body)), room: None }
+    pub fn whole(body: Bytes) -> ResponseBody {
+        ResponseBody { kind: Kind::Whole(Full::new(body)), room: None }
     }
 
     /// Passed on; at its end the caller has its answer.
-    pub fn passed(passed: Passed, progress: &Rc<Progress>) -> Answering {
-        Answering { kind: Kind::Passed(Box::new(passed), progress.clone()), room: None }
+    pub fn passed(passed: StreamedBody, progress: &Rc<ConnectionProgress>) -> ResponseBody {
+        ResponseBody { kind: Kind::Streamed(Box::new(passed), progress.clone()), room: None }
     }
 
     /// Its end is still to come.
     pub fn lasts(&self) -> bool {
-        matches!(self.kind, Kind::Passed(..))
+        matches!(self.kind, Kind::Streamed(..))
     }
 }
 
-impl Body for Answering {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Polled {
         match &mut self.get_mut().kind {
             Kind::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Kind::Passed(passed, progress) => {
+            Kind::Streamed(passed, progress) => {
                 let polled = passed.poll(cx);
                 if passed.lease.is_none() {
                     progress.answered();
@@ -360,14 +362,14 @@
     fn is_end_stream(&self) -> bool {
         match &self.kind {
             Kind::Whole(body) => body.is_end_stream(),
-            Kind::Passed(passed, _) => passed.lease.is_none(),
+            Kind::Streamed(passed, _) => passed.lease.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
             Kind::Whole(body) => body.size_hint(),
-            Kind::Passed(passed, _) => passed.size_hint(),
+            Kind::Streamed(passed, _) => passed.size_hint(),
         }
     }
 }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -22,13 +22,13 @@
     });
 }
 
-fn call(method: Method, body: Bytes) -> Rc<Call> {
-    let (uri, body) = (Uri::from_static("/api"), Payload::Whole(body));
-    Rc::new(Call { method, uri, headers: HeaderMap::new(), body, caller: None })
+fn call(method: Method, body: Bytes) -> Rc<UpstreamRequest> {
+    let (uri, body) = (Uri::from_static("/api"), RequestBody::Whole(body));
+    Rc::new(UpstreamRequest { method, uri, headers: HeaderMap::new(), body, caller: None })
 }
 
-fn look() -> Rc<Flight> {
-    Flight::new(&call(Method::GET, Bytes::new()))
+fn look() -> Rc<AttemptProgress> {
+    AttemptProgress::new(&call(Method::GET, Bytes::new()))
 }
 
 /// One exchange, on a new connection if `accept`; the peer's end of it and how it ended.
@@ -115,7 +115,7 @@
 fn a_request_that_is_not_written_to_its_end_has_not_run() {
     with(9, async |upstreams, listener, to| {
         // More than the sockets' buffers take of a peer that does not read.
-        let flight = Flight::new(&call(Method::POST, vec![0; 32 << 20].into()));
+        let flight = AttemptProgress::new(&call(Method::POST, vec![0; 32 << 20].into()));
         let peer = async {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.read_u8().await.expect("a beginning");
@@ -139,15 +139,20 @@
 }
 
 /// A request that has come whole, its caller's end, and what the server keeps of the connection.
-async fn waiting() -> (Rc<Flight>, TcpStream, impl Sized) {
+async fn waiting() -> (Rc<AttemptProgress>, TcpStream, impl Sized) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it listens");
-    let inbound = crate::gate::Inbound::new(listener.accept().await.expect("a connection").0);
-    let progress = Progress::new(Rc::default(), &inbound);
+    let inbound =
+        crate::downstream::framer::ClientStream::new(listener.accept().await.expect("a connection").0);
+    let progress = ConnectionProgress::new(Rc::default(), &inbound);
     progress.taken();
     let (method, uri, headers) = (Method::GET, Uri::from_static("/api"), HeaderMap::new());
-    let (body, caller) = (Payload::Whole(Bytes::new()), Some(Rc::downgrade(&progress)));
-    (Flight::new(&Rc::new(Call { method, uri, headers, body, caller })), client, (inbound, progress))
+    let (body, caller) = (RequestBody::Whole(Bytes::new()), Some(Rc::downgrade(&progress)));
+    (
+        AttemptProgress::new(&Rc::new(UpstreamRequest { method, uri, headers, body, caller })),
+        client,
+        (inbound, progress),
+    )
 }
 
 #[test]
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -17,8 +17,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use zincstand_policy::{ListKind, Micros, ServerId, ServerState, Settings};
 use zincstand_proxy::discovery::Discovery;
-use zincstand_proxy::engine::{Engine, Report};
-use zincstand_proxy::wire::{Listed, Target, Wire};
+use zincstand_proxy::dispatch::transport::{Endpoint, Target, Transport};
+use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher};
 use zincstand_settings::{Names, Setup, settings};
 
 use crate::discovery::processor_time;
@@ -305,8 +305,8 @@
         let wire = Hollow { discovery: discovery.clone(), tell: Rc::new(tell) };
         let told = wire.clone();
         let seed = self.options.seed.wrapping_add(u64::from(number));
-        let engine = Engine::new(settings, &self.names, seed, Rc::default(), wire)?;
-        engine.begin();
+        let engine = Dispatcher::new(settings, &self.names, seed, Rc::default(), wire)?;
+        engine.start_without_list();
         if unasked {
             told.watch(&engine);
         }
@@ -324,12 +324,12 @@
 
 impl Tell {
     /// Hands a list to the engine, as the balancer does, and keeps when that was done.
-    fn list(&self, engine: &Rc<Engine<Hollow>>, kind: ListKind, listed: Vec<Listed>) {
+    fn list(&self, engine: &Rc<Dispatcher<Hollow>>, kind: ListKind, listed: Vec<Endpoint>) {
         let mark = self.mark.read().map(|mark| mark.clone()).unwrap_or_default();
         let marked =
             mark.is_some_and(|(name, state)| listed.iter().any(|l| l.instance == name && l.state == state));
         let entries = listed.len();
-        engine.list(kind, listed);
+        engine.update_endpoints(kind, listed);
         let reached = Reached { balancer: self.number, kind, entries, marked, at: Instant::now() };
         let _ = self.reached.send(reached);
     }
@@ -342,24 +342,24 @@
     tell: Rc<Tell>,
 }
 
-impl Wire for Hollow {
-    type Call = ();
-    type Reply = ();
-    type Out = ();
+impl Transport for Hollow {
+    type Request = ();
+    type Response = ();
+    type Attempt = ();
 
-    fn send(&self, _: Target, _: Rc<()>, _: Micros, _: Report<Self>) {
+    fn send(&self, _: Target, _: Rc<()>, _: Micros, _: AttemptCompletion<Self>) {
         // A report that is dropped counts as a reset; nothing is ever asked for, so none comes here.
     }
 
-    fn spent((): &()) -> bool {
+    fn body_consumed((): &()) -> bool {
         false
     }
 
-    fn departed((): &()) -> bool {
+    fn client_disconnected((): &()) -> bool {
         false
     }
 
-    fn begun((): &()) -> bool {
+    fn has_connection((): &()) -> bool {
         false
     }
 
@@ -367,16 +367,16 @@
         false
     }
 
-    fn probe(&self, _: &Rc<Engine<Self>>, _: Target) {}
+    fn health_check(&self, _: &Rc<Dispatcher<Self>>, _: Target) {}
 
     fn close_idle(&self, _: ServerId) {}
 
-    fn watch(&self, engine: &Rc<Engine<Self>>) {
+    fn watch(&self, engine: &Rc<Dispatcher<Self>>) {
         let (engine, tell) = (engine.clone(), self.tell.clone());
         self.discovery.watch(move |kind, listed| tell.list(&engine, kind, listed));
     }
 
-    fn fetch(&self, engine: &Rc<Engine<Self>>) {
+    fn fetch(&self, engine: &Rc<Dispatcher<Self>>) {
         let (engine, tell) = (engine.clone(), self.tell.clone());
         self.discovery.fetch(move |kind, listed| tell.list(&engine, kind, listed));
     }
