--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::dispatch::Dispatcher;
 use crate::dispatch::transport::Transport;
-use crate::downstream::Lifecycle;
+use crate::lifecycle::Lifecycle;
 
 /// Callers at once; one more takes the place of the one that has been there longest.
 const MOST_CALLERS: usize = 12;
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,5 +1,6 @@
 //! The list of upstreams: discovery's form, the watch and the whole list.
 
+pub mod endpoint;
 pub mod registry;
 
 use std::cell::{Cell, RefCell};
@@ -23,7 +24,7 @@
 use zincstand_policy::{ListKind, ServerState};
 use zincstand_settings::{micros, one};
 
-use crate::dispatch::transport::Endpoint;
+use crate::discovery::endpoint::Endpoint;
 
 /// What the agent on the same machine has counts as told, whether it is asked or not: all spans between two looks
 /// are parts of the one within which the news of a drain must be heeded. How long a watch waits for news: one that
--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -6,7 +6,7 @@
 use zincstand_policy::{ListKind, ServerId, ServerState};
 use zincstand_settings::{Names, ring};
 
-use crate::dispatch::transport::{Endpoint, Target};
+use crate::discovery::endpoint::{Endpoint, Target};
 use crate::lifecycle::overrides::OperatorOverrides;
 
 /// Names of upstreams that have left the list which are still known to operators.
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -17,10 +17,9 @@
 use zincstand_policy::{Action, Event, ListKind, Micros, Outcome, RequestId, ServerId};
 use zincstand_settings::Names;
 
+use crate::discovery::endpoint::{Endpoint, Target};
 use crate::discovery::registry::Registry;
-use crate::dispatch::transport::{
-    Clock, Endpoint, Failure, FinalResponse, IncomingRequest, Target, Transport,
-};
+use crate::dispatch::transport::{Clock, Failure, FinalResponse, IncomingRequest, Transport};
 use crate::lifecycle::overrides::{OperatorOverrides, OverrideStore};
 use crate::upstream::stream::BodyEnd;
 
--- a/crates/proxy/src/dispatch/transport.rs
+++ b/crates/proxy/src/dispatch/transport.rs
@@ -1,6 +1,5 @@
 //! What passes between the engine and the sockets.
 
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,6 +7,8 @@
 use zincstand_policy as policy;
 use zincstand_policy::{Micros, ServerId};
 
+use crate::discovery::endpoint::Target;
+
 use crate::dispatch::{AttemptCompletion, Dispatcher};
 
 /// The sockets, as the engine sees them. No method calls the engine back before it returns.
@@ -44,36 +45,6 @@
     fn fetch(&self, engine: &Rc<Dispatcher<Self>>);
 }
 
-/// An upstream and where it is.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Target {
-    /// Its number.
-    pub server: ServerId,
-    /// Its address, from the newest list.
-    pub address: SocketAddr,
-}
-
-/// An entry of a list, as discovery words it.
-#[derive(Clone, Debug)]
-pub struct Endpoint {
-    /// The same at every balancer.
-    pub instance: String,
-    /// Its address at this balancer.
-    pub address: SocketAddr,
-    /// Its zone's name.
-    pub zone: String,
-    /// Its machine kind's name.
-    pub kind: String,
-    /// Its cell.
-    pub cell: u32,
-    /// What discovery says of it.
-    pub state: policy::ServerState,
-    /// Its size.
-    pub weight: f64,
-    /// When it last started, in Unix time.
-    pub started: Option<Micros>,
-}
-
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -21,7 +21,6 @@
 use hyper::{Method, Request, Response, StatusCode, body::Body, body::Incoming, server::conn::http1};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::watch;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use zincstand_policy as policy;
@@ -33,7 +32,7 @@
     ClientStream, ConnectionProgress, IDLE_TIME, IdleConnections, ProtocolError, RequestFramer, RequestStage,
     waits,
 };
-use crate::lifecycle::overrides::OverrideStore;
+use crate::lifecycle::{Lifecycle, Phase};
 use crate::limits::{Permit, ResizableLimit};
 use crate::process::BACKLOG;
 use crate::upstream::pool::BUFFER;
@@ -67,124 +66,11 @@
 /// How much of it at the most.
 const MOST_LINGER: usize = 1 << 20;
 
-/// How long a process that holds no list of upstreams waits for one before it says that it is ready all the same:
-/// readiness is owed within 6 s of a restart, be discovery down or not. What comes to it is refused at once.
-const LIST_PATIENCE: Duration = Duration::from_secs(5);
-
 const TOO_LARGE: &str = "over 32 MiB";
 
 const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// How far the balancer is with its life.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Phase {
-    /// Takes what comes.
-    Running,
-    /// Clients are sent away, until operators end that: unready, and each answer is its connection's last.
-    Evacuated,
-    /// Told to stop: unready, but connections still come.
-    Draining,
-    /// None come any more.
-    ClosingListener,
-    /// The same where another process takes them: callers may keep theirs until the next answer.
-    HandingOver,
-}
-
-impl Phase {
-    /// The order to stop has come.
-    fn ends(self) -> bool {
-        !matches!(self, Phase::Running | Phase::Evacuated)
-    }
-
-    /// Whether each answer is its connection's last.
-    fn parts(self) -> bool {
-        !matches!(self, Phase::Running | Phase::Draining)
-    }
-}
-
-/// The phase of the balancer's life, and the orders that change it.
-pub struct Lifecycle {
-    phases: watch::Sender<Phase>,
-    store: Rc<OverrideStore>,
-    /// Another process of this balancer lives.
-    sibling_running: Cell<bool>,
-    /// When the order to stop came.
-    ordered: Cell<Option<Instant>>,
-    begun: Instant,
-}
-
-impl Lifecycle {
-    /// Just begun.
-    pub fn new(store: Rc<OverrideStore>) -> Rc<Lifecycle> {
-        let (phases, accompanied) = (watch::Sender::new(Phase::Running), Cell::default());
-        let life = Lifecycle {
-            phases,
-            store,
-            sibling_running: accompanied,
-            ordered: Cell::default(),
-            begun: Instant::now(),
-        };
-        life.follow();
-        Rc::new(life)
-    }
-
-    /// The present phase, once what operators have set has been looked at.
-    pub fn follow(&self) -> Phase {
-        self.store.refresh();
-        let evacuated = self.store.current().evacuated;
-        self.phases.send_if_modified(|phase| {
-            let before = *phase;
-            *phase = match before {
-                Phase::Running if evacuated => Phase::Evacuated,
-                Phase::Evacuated if !evacuated => Phase::Running,
-                other => other,
-            };
-            if *phase != before {
-                eprintln!(
-                    "zincstand-proxy: clients are {}",
-                    if evacuated { "sent away" } else { "taken again" }
-                );
-            }
-            *phase != before
-        });
-        *self.phases.borrow()
-    }
-
-    /// Sends clients away, or takes them again.
-    pub fn evacuate(&self, evacuated: bool) -> io::Result<()> {
-        self.store.change(|orders| orders.evacuated = evacuated)?;
-        self.follow();
-        Ok(())
-    }
-
-    /// The order to stop.
-    pub fn stop(&self) {
-        self.phases.send_if_modified(|phase| {
-            !phase.ends() && {
-                self.ordered.set(Some(Instant::now()));
-                *phase = Phase::Draining;
-                true
-            }
-        });
-    }
-
-    /// Whether another process of this balancer lives.
-    pub fn set_sibling_running(&self, accompanied: bool) {
-        self.sibling_running.set(accompanied);
-    }
-
-    /// Whether a process may be ready that holds a list of upstreams, or does not.
-    pub fn may_serve(&self, listed: bool) -> bool {
-        listed || self.begun.elapsed() > LIST_PATIENCE
-    }
-
-    /// This process takes connections.
-    pub fn accepts_connections(&self) -> bool {
-        !self.phases.borrow().ends()
-    }
-}
-
 /// What callers may take up.
 pub struct ConnectionLimits {
     /// Connections.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -17,8 +17,9 @@
 use zincstand_policy as policy;
 use zincstand_policy::{LoadReport, Micros, Outcome, ServerId};
 
+use crate::discovery::endpoint::Target;
 use crate::dispatch::AttemptCompletion;
-use crate::dispatch::transport::{Target, Transport};
+use crate::dispatch::transport::Transport;
 use crate::downstream::framer::ConnectionProgress;
 use crate::upstream::pool::{CONNECT_UNTOLD, Pool, UpstreamConnection};
 use crate::upstream::stream::{
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -21,7 +21,7 @@
 use zincstand_policy as policy;
 use zincstand_policy::{Micros, Outcome, ServerId};
 
-use crate::dispatch::transport::Target;
+use crate::discovery::endpoint::Target;
 use crate::upstream::stream::Outgoing;
 
 /// Part of the upstreams' idle time after which a connection is closed here: far from crossing theirs.
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -17,7 +17,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use zincstand_policy::{ListKind, Micros, ServerId, ServerState, Settings};
 use zincstand_proxy::discovery::Discovery;
-use zincstand_proxy::dispatch::transport::{Endpoint, Target, Transport};
+use zincstand_proxy::discovery::endpoint::{Endpoint, Target};
+use zincstand_proxy::dispatch::transport::Transport;
 use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher};
 use zincstand_settings::{Names, Setup, settings};
 
