--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -28,6 +28,31 @@
     }
 }
 
+/// What discovery must receive for a call to `path`, to the byte.
+fn discovery_request(discovery: &Peer, path: &str) -> String {
+    format!("GET {path} HTTP/1.1\r\nhost: {}\r\n\r\n", discovery.address)
+}
+
+#[test]
+fn discovery_receives_these_bytes_on_one_connection() {
+    let discovery = Peer::new();
+    let setup = Setup { discovery: Some(discovery.address), unasked: true, ..Setup::knowing(&[]) };
+    let _balancer = setup.start();
+    let mut connection = discovery.accept();
+
+    let snapshot_call = read(&mut connection).expect("the first call");
+    assert_eq!(snapshot_call.head, discovery_request(&discovery, "/registry/instances"));
+    answer(&mut connection, "200 OK", "", list(7, true, &[]).as_bytes());
+
+    for generation in [7, 8] {
+        let watch_call = read(&mut connection).expect("a watch call on the same connection");
+        let path = format!("/registry/instances?index={generation}&wait=1200");
+        assert_eq!(watch_call.head, discovery_request(&discovery, &path));
+        answer(&mut connection, "200 OK", "", list(generation + 1, false, &[]).as_bytes());
+    }
+    assert!(discovery.quiet(), "the calls opened another connection");
+}
+
 #[test]
 fn any_failure_of_the_watch_is_followed_by_another_call() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
