--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -18,8 +18,7 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-use crate::dispatch::Dispatcher;
-use crate::dispatch::transport::Transport;
+use crate::dispatch::{Dispatcher, Transport};
 use crate::lifecycle::Lifecycle;
 
 /// Callers at once; one more takes the place of the one that has been there longest.
--- a/crates/proxy/src/discovery/endpoint.rs
+++ b/crates/proxy/src/discovery/endpoint.rs
@@ -1,35 +1,35 @@
-//! Endpoints as discovery lists them, and the address of one that an attempt goes to.
+//! Endpoints as discovery lists them, and the address that an attempt goes to.
 
 use std::net::SocketAddr;
 
 use zincstand_policy::{self as policy, Micros, ServerId};
 
-/// An upstream and where it is.
+/// An upstream server and where it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// Its number.
+    /// Its id.
     pub server: ServerId,
     /// Its address, from the newest list.
     pub address: SocketAddr,
 }
 
-/// An entry of a list, as discovery words it.
+/// An entry of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The same at every balancer.
+    /// The instance's name, the same at every balancer.
     pub instance: String,
-    /// Its address at this balancer.
+    /// Its address as seen from this balancer.
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// The name of its zone.
     pub zone: String,
-    /// Its machine kind's name.
+    /// The name of its machine type.
     pub kind: String,
     /// Its cell.
     pub cell: u32,
-    /// What discovery says of it.
+    /// Its state according to discovery.
     pub state: policy::ServerState,
-    /// Its size.
+    /// Its capacity relative to others.
     pub weight: f64,
-    /// When it last started, in Unix time.
+    /// When it last started, in microseconds of Unix time.
     pub started: Option<Micros>,
 }
--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! The upstreams that discovery names: their numbers for the module, and where they are.
+//! The endpoints that discovery has listed: their ids for the policy and their addresses, with the operators' overrides.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -7,189 +7,221 @@
 use zincstand_settings::{Names, ring};
 
 use crate::discovery::endpoint::{Endpoint, Target};
+use crate::discovery::name_ids::NameIds;
 use crate::lifecycle::overrides::OperatorOverrides;
 
-/// Names of upstreams that have left the list which are still known to operators.
-const MOST_PAST: usize = 4096;
+/// How many names of instances that have left the list are remembered, so that operators can still name them.
+const MAX_FORMER_INSTANCES: usize = 4096;
 
-/// Numbers for names, never given twice: what still holds the number of one that is gone can't mistake another
-/// for it, and one that comes back begins anew, with no breaker and no count.
-struct Numbers {
-    by_name: HashMap<String, u32>,
-    next: u32,
-}
-
-impl Numbers {
-    fn number(&mut self, name: &str) -> u32 {
-        if let Some(&number) = self.by_name.get(name) {
-            return number;
-        }
-        let number = self.next;
-        self.next = self.next.wrapping_add(1);
-        self.by_name.insert(name.to_owned(), number);
-        number
-    }
-
-    fn keep(&mut self, kept: &HashSet<u32>) {
-        self.by_name.retain(|_, number| kept.contains(number));
-    }
-}
-
-/// What discovery last said of an upstream, and which zone and kind it was given.
-struct ConnectionPermit {
-    listed: Endpoint,
+/// An endpoint as last listed, with the ids of its zone and machine type.
+struct RegisteredEndpoint {
+    endpoint: Endpoint,
     zone: u32,
     kind: u32,
 }
 
-impl ConnectionPermit {
-    /// Its entry for the module. What operators have set lies over what discovery says: one that is out drains,
-    /// one that came back has started then, or later if discovery says so.
-    fn entry(&self, id: ServerId, orders: &OperatorOverrides) -> policy::ServerEntry {
-        let l = &self.listed;
+impl RegisteredEndpoint {
+    /// Its entry for the policy. The operators' overrides take precedence over discovery: an excluded endpoint is
+    /// draining, and one that was included again has started then, or later if discovery says so.
+    fn entry(&self, id: ServerId, overrides: &OperatorOverrides) -> policy::ServerEntry {
+        let endpoint = &self.endpoint;
+        let state = match endpoint.state {
+            ServerState::Ready if overrides.excluded.contains(&endpoint.instance) => ServerState::Draining,
+            state => state,
+        };
+        let weight_is_valid = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         policy::ServerEntry {
             id,
             zone: self.zone,
             kind: self.kind,
-            cell: l.cell,
-            // Of the instance: its address differs between balancers, the ring must not.
-            ring_position: ring(&l.instance),
-            state: match l.state {
-                ServerState::Ready if orders.excluded.contains(&l.instance) => ServerState::Draining,
-                state => state,
-            },
-            weight: if l.weight.is_finite() && l.weight > 0.0 { l.weight } else { 1.0 },
-            started: l.started.max(orders.included_at.get(&l.instance).copied()),
+            cell: endpoint.cell,
+            // Derived from the instance's name: its address and its id differ between balancers, its position on the
+            // hash ring must not.
+            ring_position: ring(&endpoint.instance),
+            state,
+            weight: if weight_is_valid { endpoint.weight } else { 1.0 },
+            started: endpoint.started.max(overrides.included_at.get(&endpoint.instance).copied()),
         }
     }
 }
 
-/// All upstreams that are listed; of those that are gone the names alone are kept, and not without end.
+/// What a change of the registry means for the policy and for connections.
+#[derive(Debug, Default, PartialEq)]
+pub struct RegistryUpdate {
+    /// The entries for the policy.
+    pub entries: Vec<policy::ServerEntry>,
+    /// Servers whose idle connections have to be closed: they moved, are gone or are excluded.
+    pub close_idle: Vec<ServerId>,
+}
+
+/// All endpoints that are listed. Of those that are gone it keeps the names alone, and a limited number of them.
 pub struct Registry {
-    servers: Numbers,
-    places: HashMap<ServerId, ConnectionPermit>,
-    zones: Numbers,
-    /// Zones that the settings number.
-    settled: u32,
-    kinds: Numbers,
-    orders: OperatorOverrides,
-    /// Names that left the list, oldest first.
-    past: VecDeque<String>,
+    servers: NameIds,
+    endpoints: HashMap<ServerId, RegisteredEndpoint>,
+    zones: NameIds,
+    /// The zones that the settings name have the ids below this; they are kept for good.
+    zones_in_settings: u32,
+    kinds: NameIds,
+    overrides: OperatorOverrides,
+    /// Names of instances that left the list, oldest first.
+    former_instances: VecDeque<String>,
 }
 
 impl Registry {
-    /// None listed; `zones` holds the numbers that the settings use.
+    /// An empty registry; `zones` holds the zone ids that the settings use.
     pub fn new(zones: &Names) -> Registry {
-        let settled = zones.names.len() as u32;
-        let named = zones.names.iter().cloned().zip(0..).collect();
-        let none = || Numbers { by_name: HashMap::new(), next: 0 };
-        let zones = Numbers { by_name: named, next: settled };
         Registry {
-            servers: none(),
-            places: HashMap::new(),
-            zones,
-            settled,
-            kinds: none(),
-            orders: OperatorOverrides::default(),
-            past: VecDeque::new(),
+            servers: NameIds::default(),
+            endpoints: HashMap::new(),
+            zones: NameIds::with_names(&zones.names),
+            zones_in_settings: zones.names.len() as u32,
+            kinds: NameIds::default(),
+            overrides: OperatorOverrides::default(),
+            former_instances: VecDeque::new(),
         }
     }
 
-    /// Where an upstream is, if it is listed and not taken out by hand.
+    /// Where a server is; none if it is not listed or is excluded.
     pub fn target(&self, server: ServerId) -> Option<Target> {
-        let place = self.places.get(&server).filter(|p| !self.orders.excluded.contains(&p.listed.instance));
-        place.map(|p| Target { server, address: p.listed.address })
+        let registered = self.endpoints.get(&server)?;
+        if self.overrides.excluded.contains(&registered.endpoint.instance) {
+            return None;
+        }
+        Some(Target { server, address: registered.endpoint.address })
     }
 
-    /// Whether something new may still go to an upstream at that address.
-    pub fn takes(&self, to: Target) -> bool {
-        let ready = self.places.get(&to.server).is_some_and(|p| p.listed.state == ServerState::Ready);
-        ready && self.target(to.server) == Some(to)
+    /// Whether new requests may still be sent to a server at that address.
+    pub fn accepts_requests(&self, target: Target) -> bool {
+        let registered = self.endpoints.get(&target.server);
+        let is_ready = registered.is_some_and(|registered| registered.endpoint.state == ServerState::Ready);
+        is_ready && self.target(target.server) == Some(target)
     }
 
-    /// Whether a list has named the upstream, be it long ago.
-    pub fn knows(&self, name: &str) -> bool {
-        let ordered = self.orders.excluded.contains(name) || self.orders.included_at.contains_key(name);
-        ordered || self.servers.by_name.contains_key(name) || self.past.iter().any(|past| past == name)
+    /// Whether an instance of that name was ever listed, as far as names are remembered, or has an override.
+    pub fn knows_instance(&self, name: &str) -> bool {
+        self.overrides.excluded.contains(name)
+            || self.overrides.included_at.contains_key(name)
+            || self.servers.contains(name)
+            || self.former_instances.iter().any(|former| former == name)
     }
 
-    /// Takes over what operators have set: the entries that it changes, and those that are out now.
-    pub fn obey(&mut self, orders: &OperatorOverrides) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
-        let before = std::mem::replace(&mut self.orders, orders.clone());
-        let changed = |(id, place): (&ServerId, &ConnectionPermit)| {
-            let entry = place.entry(*id, orders);
-            (entry != place.entry(*id, &before)).then_some(entry)
-        };
-        let mut entries: Vec<_> = self.places.iter().filter_map(changed).collect();
-        entries.sort_by_key(|e| e.id);
-        let out = |id: &ServerId| orders.excluded.contains(&self.places[id].listed.instance);
-        let left = entries.iter().map(|e| e.id).filter(out).collect();
-        (entries, left)
+    /// The names of the zones by their ids, for a process that assigns other ids.
+    pub fn zone_names(&self) -> HashMap<u32, String> {
+        self.zones.names_by_id()
     }
 
-    /// The names of zones and of servers by their numbers, for a process that numbers them otherwise.
-    pub fn names(&self) -> (HashMap<u32, String>, HashMap<ServerId, String>) {
-        let names = |numbers: &Numbers| numbers.by_name.iter().map(|(name, n)| (*n, name.clone())).collect();
-        (names(&self.zones), names(&self.servers))
+    /// The names of the servers by their ids, for a process that assigns other ids.
+    pub fn server_names(&self) -> HashMap<ServerId, String> {
+        self.servers.names_by_id()
     }
 
-    /// The number of a zone that is known.
-    pub fn zone(&self, name: &str) -> Option<u32> {
-        self.zones.by_name.get(name).copied()
+    /// The id of a zone, if it is known.
+    pub fn zone_id(&self, name: &str) -> Option<u32> {
+        self.zones.get(name)
     }
 
-    /// The number of a server that is listed.
-    pub fn server(&self, name: &str) -> Option<ServerId> {
-        self.servers.by_name.get(name).copied()
+    /// The id of a server, if it is listed.
+    pub fn server_id(&self, name: &str) -> Option<ServerId> {
+        self.servers.get(name)
     }
 
-    fn pass(&mut self, name: String) {
-        if !self.past.contains(&name) {
-            self.past.push_back(name);
+    /// Replaces the operators' overrides. The update holds the entries that change by it, in the order of their ids.
+    pub fn apply_overrides(&mut self, overrides: &OperatorOverrides) -> RegistryUpdate {
+        let previous = std::mem::replace(&mut self.overrides, overrides.clone());
+        let mut update = RegistryUpdate::default();
+        for (&id, registered) in &self.endpoints {
+            let entry = registered.entry(id, overrides);
+            if entry != registered.entry(id, &previous) {
+                update.entries.push(entry);
+            }
         }
-        if self.past.len() > MOST_PAST {
-            self.past.pop_front();
+        update.entries.sort_by_key(|entry| entry.id);
+        for entry in &update.entries {
+            let instance = &self.endpoints[&entry.id].endpoint.instance;
+            if overrides.excluded.contains(instance) {
+                update.close_idle.push(entry.id);
+            }
         }
+        update
     }
 
-    /// Takes a list over: its entries for the module, and those that moved or are gone.
-    pub fn take(&mut self, kind: ListKind, listed: &[Endpoint]) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
-        let (mut entries, mut left) = (Vec::with_capacity(listed.len()), Vec::new());
-        let mut named = HashSet::new();
-        for l in listed {
-            // Guards against names that are only ever mentioned as gone.
-            if l.state == ServerState::Removed && !self.servers.by_name.contains_key(&l.instance) {
-                continue;
-            }
-            let id = self.servers.number(&l.instance);
-            let (zone, kind) = (self.zones.number(&l.zone), self.kinds.number(&l.kind));
-            let place = ConnectionPermit { listed: l.clone(), zone, kind };
-            entries.push(place.entry(id, &self.orders));
-            let gone = l.state == ServerState::Removed;
-            let before = if gone {
-                self.servers.by_name.remove(&l.instance);
-                self.pass(l.instance.clone());
-                self.places.remove(&id)
-            } else {
-                named.insert(id);
-                self.places.insert(id, place)
-            };
-            if gone || before.is_some_and(|b| b.listed.address != l.address) {
-                left.push(id);
+    /// Applies a list from discovery.
+    pub fn apply_list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) -> RegistryUpdate {
+        let mut update = RegistryUpdate::default();
+        update.entries.reserve(endpoints.len());
+        let mut listed = HashSet::new();
+        for endpoint in endpoints {
+            if endpoint.state != ServerState::Removed {
+                listed.insert(self.insert(endpoint, &mut update));
+            } else if let Some(id) = self.servers.get(&endpoint.instance) {
+                // A name that was never listed gets no id only to be removed at once.
+                self.remove(id, endpoint, &mut update);
             }
         }
         if matches!(kind, ListKind::Snapshot | ListKind::CachedSnapshot) {
-            left.extend(self.places.keys().filter(|id| !named.contains(id)));
-            let gone = self.places.extract_if(|id, _| !named.contains(id));
-            let names: Vec<_> = gone.map(|(_, place)| place.listed.instance).collect();
-            names.into_iter().for_each(|name| self.pass(name));
-            self.servers.keep(&named);
+            self.remove_unlisted(&listed, &mut update);
         }
-        let zones = self.places.values().map(|p| p.zone).chain(0..self.settled).collect();
-        self.zones.keep(&zones);
-        let kinds = self.places.values().map(|p| p.kind).collect();
-        self.kinds.keep(&kinds);
-        (entries, left)
+        self.forget_unused_names();
+        update
+    }
+
+    /// Adds or replaces an endpoint. Returns its id.
+    fn insert(&mut self, endpoint: Endpoint, update: &mut RegistryUpdate) -> ServerId {
+        let id = self.servers.get_or_assign(&endpoint.instance);
+        let address = endpoint.address;
+        let registered = self.register(endpoint);
+        update.entries.push(registered.entry(id, &self.overrides));
+        let previous = self.endpoints.insert(id, registered);
+        if previous.is_some_and(|previous| previous.endpoint.address != address) {
+            update.close_idle.push(id);
+        }
+        id
+    }
+
+    fn register(&mut self, endpoint: Endpoint) -> RegisteredEndpoint {
+        RegisteredEndpoint {
+            zone: self.zones.get_or_assign(&endpoint.zone),
+            kind: self.kinds.get_or_assign(&endpoint.kind),
+            endpoint,
+        }
+    }
+
+    /// Removes an endpoint that discovery has listed as removed.
+    fn remove(&mut self, id: ServerId, endpoint: Endpoint, update: &mut RegistryUpdate) {
+        let registered = self.register(endpoint);
+        update.entries.push(registered.entry(id, &self.overrides));
+        update.close_idle.push(id);
+        self.servers.remove(&registered.endpoint.instance);
+        self.remember_former_instance(registered.endpoint.instance);
+        self.endpoints.remove(&id);
+    }
+
+    /// Removes the endpoints that a complete list does not name.
+    fn remove_unlisted(&mut self, listed: &HashSet<ServerId>, update: &mut RegistryUpdate) {
+        let removed: Vec<_> = self.endpoints.extract_if(|id, _| !listed.contains(id)).collect();
+        for (id, registered) in removed {
+            update.close_idle.push(id);
+            self.remember_former_instance(registered.endpoint.instance);
+        }
+        self.servers.retain_ids(listed);
+    }
+
+    fn remember_former_instance(&mut self, name: String) {
+        if !self.former_instances.contains(&name) {
+            self.former_instances.push_back(name);
+        }
+        if self.former_instances.len() > MAX_FORMER_INSTANCES {
+            self.former_instances.pop_front();
+        }
+    }
+
+    /// Forgets the zones and machine types that no endpoint has any more, so that their names do not pile up.
+    fn forget_unused_names(&mut self) {
+        let zones_in_use = self.endpoints.values().map(|registered| registered.zone);
+        let zones = zones_in_use.chain(0..self.zones_in_settings).collect();
+        self.zones.retain_ids(&zones);
+        let kinds = self.endpoints.values().map(|registered| registered.kind).collect();
+        self.kinds.retain_ids(&kinds);
     }
 }
 
--- a/crates/proxy/src/dispatch/transport.rs
+++ b/crates/proxy/src/dispatch/transport.rs
@@ -1,117 +1,53 @@
-//! What passes between the engine and the sockets.
+//! The interface through which the dispatcher uses sockets.
 
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use tokio::time::Instant;
-use zincstand_policy as policy;
-use zincstand_policy::{Micros, ServerId};
+use zincstand_policy::{ListKind, Micros, ServerId};
 
-use crate::discovery::endpoint::Target;
+use crate::discovery::endpoint::{Endpoint, Target};
+use crate::dispatch::completion::AttemptCompletion;
+use crate::dispatch::messages::HealthCheckResult;
 
-use crate::dispatch::{AttemptCompletion, Dispatcher};
-
-/// The sockets, as the engine sees them. No method calls the engine back before it returns.
+/// Connections to upstreams and to discovery. No method invokes a callback or completion before it returns: the
+/// dispatcher calls the transport while it handles the policy's actions.
 pub trait Transport: Sized + 'static {
-    /// What a caller asks.
+    /// A request as it is sent to upstreams.
     type Request;
-    /// What an upstream answers.
+    /// A response of an upstream.
     type Response;
-    /// An attempt under way.
+    /// The handle of an attempt in flight.
     type Attempt;
-    /// Starts an attempt; its end is told to the report.
+
+    /// Starts an attempt with `time_limit` to run; its result goes to `completion`.
     fn send(
         &self,
-        to: Target,
-        call: Rc<Self::Request>,
-        limit: Micros,
-        report: AttemptCompletion<Self>,
+        target: Target,
+        request: Rc<Self::Request>,
+        time_limit: Micros,
+        completion: AttemptCompletion<Self::Response>,
     ) -> Self::Attempt;
-    /// A part of what is asked has gone on and was not kept: it cannot be sent again.
-    fn body_consumed(call: &Self::Request) -> bool;
-    /// The caller has left, as far as the kernel knows at this moment.
-    fn client_disconnected(call: &Self::Request) -> bool;
-    /// The attempt has a connection: its request is being written or is written.
-    fn has_connection(out: &Self::Attempt) -> bool;
-    /// Ends an attempt by closing its connection; tells whether it may have run.
-    fn abort(&self, out: Self::Attempt) -> bool;
-    /// Asks an upstream how it is.
-    fn health_check(&self, engine: &Rc<Dispatcher<Self>>, to: Target);
-    /// Closes the idle connections to an upstream.
-    fn close_idle(&self, server: ServerId);
-    /// Watches discovery from now on.
-    fn watch(&self, engine: &Rc<Dispatcher<Self>>);
-    /// Asks discovery once for the whole list.
-    fn fetch(&self, engine: &Rc<Dispatcher<Self>>);
-}
 
-/// Why a request failed.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Failure {
-    /// The time ran out.
-    Time,
-    /// An upstream failed.
-    Upstream,
-}
+    /// Whether a part of the request's body was forwarded and not kept, so that it cannot be sent again.
+    fn body_consumed(request: &Self::Request) -> bool;
 
-/// The one final answer to a request.
-#[derive(Debug, PartialEq)]
-pub enum FinalResponse<R> {
-    /// An upstream's answer.
-    Forwarded(R),
-    /// Trying again is harmless.
-    Rejected {
-        /// How long the client should stay away; 0 for no wish.
-        retry_after: Micros,
-    },
-    /// No promise.
-    Failed(Failure),
-}
+    /// Whether the client has disconnected, as far as the kernel knows at this moment.
+    fn client_disconnected(request: &Self::Request) -> bool;
 
-/// A request as the engine takes it.
-pub struct IncomingRequest<C> {
-    /// Its class.
-    pub class: policy::ClassId,
-    /// How long its client waits, from now.
-    pub time_left: Micros,
-    /// Whose it is.
-    pub tenant: Option<policy::TenantId>,
-    /// A guess at its work.
-    pub work: Option<Micros>,
-    /// Its client marks it as a repeat.
-    pub retry: bool,
-    /// Its body is still coming: its time starts when [`PendingRequest::answer`](crate::dispatch::PendingRequest) is told so.
-    pub upload: bool,
-    /// What goes on to upstreams.
-    pub call: C,
-}
+    /// Whether the attempt has a connection: its request is being written or is written.
+    fn has_connection(attempt: &Self::Attempt) -> bool;
 
-/// The module's clock: Unix time at the start and monotonic from there, since lists tell Unix times.
-pub struct Clock {
-    unix: Micros,
-    start: Instant,
-}
+    /// Aborts an attempt by closing its connection. Returns whether the upstream may have run the request.
+    fn abort(&self, attempt: Self::Attempt) -> bool;
 
-impl Default for Clock {
-    fn default() -> Self {
-        Clock::new()
-    }
-}
+    /// Checks the health of an upstream and passes the result to `on_result`.
+    fn health_check(&self, target: Target, on_result: impl FnOnce(HealthCheckResult) + 'static);
 
-impl Clock {
-    /// Starts now.
-    pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_micros() as Micros, start: Instant::now() }
-    }
+    /// Closes the idle connections to an upstream.
+    fn close_idle(&self, server: ServerId);
 
-    /// The present time.
-    pub fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
-    }
+    /// Watches discovery from now on and passes each list to `on_list`.
+    fn watch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static);
 
-    /// The same point on the runtime's clock.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.unix))
-    }
+    /// Fetches the complete list once from discovery and passes it to `on_list`.
+    fn fetch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static);
 }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -26,8 +26,7 @@
 use zincstand_policy as policy;
 use zincstand_policy::{Idempotency, Micros};
 
-use crate::dispatch::Dispatcher;
-use crate::dispatch::transport::{Failure, FinalResponse, IncomingRequest, Transport};
+use crate::dispatch::{BodyEnd, Dispatcher, Failure, FinalResponse, IncomingRequest, Transport};
 use crate::downstream::framer::{
     ClientStream, ConnectionProgress, IDLE_TIME, IdleConnections, ProtocolError, RequestFramer, RequestStage,
     waits,
@@ -36,7 +35,7 @@
 use crate::limits::{Permit, ResizableLimit};
 use crate::process::BACKLOG;
 use crate::upstream::pool::BUFFER;
-use crate::upstream::stream::{BodyEnd, BodyPrefix, MOST_HELD, RequestBodyStream, ResponseBody, read_prefix};
+use crate::upstream::stream::{BodyPrefix, MOST_HELD, RequestBodyStream, ResponseBody, read_prefix};
 use crate::upstream::{RequestBody, UpstreamBody, UpstreamRequest, UpstreamResponse};
 
 /// From the order to stop to the kill there is the longest deadline, or this where that is longer ...
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -15,9 +15,8 @@
 use crate::admin::AdminServer;
 use crate::config::Config;
 use crate::discovery::Discovery;
-use crate::discovery::endpoint::Target;
-use crate::dispatch::transport::Transport;
-use crate::dispatch::{AttemptCompletion, Dispatcher};
+use crate::discovery::endpoint::{Endpoint, Target};
+use crate::dispatch::{AttemptCompletion, Dispatcher, HealthCheckResult, Transport};
 use crate::downstream::{ConnectionLimits, Listener, Server};
 use crate::lifecycle::Lifecycle;
 use crate::lifecycle::hot_restart::{self, ProcessPresence};
@@ -65,7 +64,7 @@
         to: Target,
         call: Rc<UpstreamRequest>,
         limit: Micros,
-        report: AttemptCompletion<Self>,
+        report: AttemptCompletion<UpstreamResponse>,
     ) -> Attempt {
         self.upstreams.send(to, call, limit, report)
     }
@@ -86,10 +85,9 @@
         out.abort()
     }
 
-    fn health_check(&self, engine: &Rc<Dispatcher<Self>>, to: Target) {
-        let engine = engine.clone();
-        self.upstreams.health_check(to, move |took, outcome, load| {
-            engine.health_checked(to.server, took, outcome, load)
+    fn health_check(&self, target: Target, on_result: impl FnOnce(HealthCheckResult) + 'static) {
+        self.upstreams.health_check(target, move |latency, outcome, load| {
+            on_result(HealthCheckResult { outcome, latency, load });
         });
     }
 
@@ -97,14 +95,12 @@
         self.upstreams.close_idle(server);
     }
 
-    fn watch(&self, engine: &Rc<Dispatcher<Self>>) {
-        let engine = engine.clone();
-        self.discovery.watch(move |kind, entries| engine.update_endpoints(kind, entries));
+    fn watch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
+        self.discovery.watch(on_list);
     }
 
-    fn fetch(&self, engine: &Rc<Dispatcher<Self>>) {
-        let engine = engine.clone();
-        self.discovery.fetch(move |kind, entries| engine.update_endpoints(kind, entries));
+    fn fetch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
+        self.discovery.fetch(on_list);
     }
 }
 
@@ -185,9 +181,10 @@
         config.seed,
         store.clone(),
         SocketTransport { upstreams: upstreams.clone(), discovery: discovery.clone() },
-    )?;
+    )
+    .map_err(|error| error.to_string())?;
     match config.known.take() {
-        Some(known) => engine.update_endpoints(ListKind::CachedSnapshot, known.entries()),
+        Some(known) => engine.update_endpoints(ListKind::CachedSnapshot, known.into_endpoints()),
         None => engine.start_without_list(),
     }
     let heir = folder.clone().filter(|_| shared);
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -18,12 +18,11 @@
 use zincstand_policy::{LoadReport, Micros, Outcome, ServerId};
 
 use crate::discovery::endpoint::Target;
-use crate::dispatch::AttemptCompletion;
-use crate::dispatch::transport::Transport;
+use crate::dispatch::{AttemptCompletion, BodyEnd};
 use crate::downstream::framer::ConnectionProgress;
 use crate::upstream::pool::{CONNECT_UNTOLD, Pool, UpstreamConnection};
 use crate::upstream::stream::{
-    BodyEnd, BodyPrefix, MOST_HELD, Outgoing, RequestBodyStream, StreamedBody, read_response_prefix,
+    BodyPrefix, MOST_HELD, Outgoing, RequestBodyStream, StreamedBody, read_response_prefix,
 };
 
 /// How long a connection may take to be ready for the next request after its answer.
@@ -238,12 +237,12 @@
     }
 
     /// Starts an attempt.
-    pub fn send<W: Transport<Response = UpstreamResponse>>(
+    pub fn send(
         &self,
         to: Target,
         call: Rc<UpstreamRequest>,
         limit: Micros,
-        report: AttemptCompletion<W>,
+        report: AttemptCompletion<UpstreamResponse>,
     ) -> Attempt {
         let (pool, flight) = (self.pool.clone(), AttemptProgress::new(&call));
         let shared = flight.clone();
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -14,6 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
+use crate::dispatch::BodyEnd;
 use crate::downstream::framer::ConnectionProgress;
 use crate::limits::Permit;
 use crate::upstream::ConnectionLease;
@@ -81,17 +82,6 @@
     }
 }
 
-/// How a caller's body ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum BodyEnd {
-    /// With its last byte.
-    Whole,
-    /// The caller left, or what it sent is no body.
-    Broken,
-    /// Over what is passed on.
-    TooLong,
-}
-
 /// A request's body of which the beginning is kept and the rest is still coming.
 pub struct RequestBodyStream {
     kept: Bytes,
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -18,8 +18,7 @@
 use zincstand_policy::{ListKind, Micros, ServerId, ServerState, Settings};
 use zincstand_proxy::discovery::Discovery;
 use zincstand_proxy::discovery::endpoint::{Endpoint, Target};
-use zincstand_proxy::dispatch::transport::Transport;
-use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher};
+use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher, HealthCheckResult, Transport};
 use zincstand_settings::{Names, Setup, settings};
 
 use crate::discovery::processor_time;
@@ -306,10 +305,12 @@
         let wire = Hollow { discovery: discovery.clone(), tell: Rc::new(tell) };
         let told = wire.clone();
         let seed = self.options.seed.wrapping_add(u64::from(number));
-        let engine = Dispatcher::new(settings, &self.names, seed, Rc::default(), wire)?;
+        let engine = Dispatcher::new(settings, &self.names, seed, Rc::default(), wire)
+            .map_err(|error| error.to_string())?;
         engine.start_without_list();
         if unasked {
-            told.watch(&engine);
+            let dispatcher = engine.clone();
+            told.watch(move |kind, endpoints| dispatcher.update_endpoints(kind, endpoints));
         }
         spawn_local(engine.run());
         Ok(())
@@ -324,13 +325,13 @@
 }
 
 impl Tell {
-    /// Hands a list to the engine, as the balancer does, and keeps when that was done.
-    fn list(&self, engine: &Rc<Dispatcher<Hollow>>, kind: ListKind, listed: Vec<Endpoint>) {
+    /// Passes a list on to the dispatcher, as the balancer does, and reports when that was done.
+    fn list(&self, on_list: &impl Fn(ListKind, Vec<Endpoint>), kind: ListKind, listed: Vec<Endpoint>) {
         let mark = self.mark.read().map(|mark| mark.clone()).unwrap_or_default();
         let marked =
             mark.is_some_and(|(name, state)| listed.iter().any(|l| l.instance == name && l.state == state));
         let entries = listed.len();
-        engine.update_endpoints(kind, listed);
+        on_list(kind, listed);
         let reached = Reached { balancer: self.number, kind, entries, marked, at: Instant::now() };
         let _ = self.reached.send(reached);
     }
@@ -348,7 +349,7 @@
     type Response = ();
     type Attempt = ();
 
-    fn send(&self, _: Target, _: Rc<()>, _: Micros, _: AttemptCompletion<Self>) {
+    fn send(&self, _: Target, _: Rc<()>, _: Micros, _: AttemptCompletion<()>) {
         // A report that is dropped counts as a reset; nothing is ever asked for, so none comes here.
     }
 
@@ -368,17 +369,17 @@
         false
     }
 
-    fn health_check(&self, _: &Rc<Dispatcher<Self>>, _: Target) {}
+    fn health_check(&self, _: Target, _: impl FnOnce(HealthCheckResult) + 'static) {}
 
     fn close_idle(&self, _: ServerId) {}
 
-    fn watch(&self, engine: &Rc<Dispatcher<Self>>) {
-        let (engine, tell) = (engine.clone(), self.tell.clone());
-        self.discovery.watch(move |kind, listed| tell.list(&engine, kind, listed));
+    fn watch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
+        let tell = self.tell.clone();
+        self.discovery.watch(move |kind, listed| tell.list(&on_list, kind, listed));
     }
 
-    fn fetch(&self, engine: &Rc<Dispatcher<Self>>) {
-        let (engine, tell) = (engine.clone(), self.tell.clone());
-        self.discovery.fetch(move |kind, listed| tell.list(&engine, kind, listed));
+    fn fetch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
+        let tell = self.tell.clone();
+        self.discovery.fetch(move |kind, listed| tell.list(&on_list, kind, listed));
     }
 }
