--- /dev/null
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -0,0 +1,14 @@
+//! The client's connection as the upstream side sees it.
+
+use crate::downstream::framer::ConnectionProgress;
+use crate::upstream::client_connection::ClientConnection;
+
+impl ClientConnection for ConnectionProgress {
+    fn is_disconnected(&self) -> bool {
+        self.departed()
+    }
+
+    fn want_body(&self, wanted: bool) {
+        self.want(wanted);
+    }
+}
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,7 +1,9 @@
 //! Callers: their connections, their requests and the final answers.
 
+mod client_connection;
 pub mod framer;
 mod framing;
+mod response_body;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -9,7 +11,7 @@
 use std::future::poll_fn;
 use std::io;
 use std::pin::{Pin, pin};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::task::Poll;
 use std::time::Duration;
 
@@ -32,11 +34,13 @@
     ClientStream, ConnectionProgress, IDLE_TIME, IdleConnections, ProtocolError, RequestFramer, RequestStage,
     waits,
 };
+use crate::downstream::response_body::ResponseBody;
 use crate::lifecycle::{Lifecycle, Phase};
 use crate::limits::{Permit, ResizableLimit};
 use crate::process::BACKLOG;
+use crate::upstream::client_connection::ClientConnection;
 use crate::upstream::pool::BUFFER;
-use crate::upstream::stream::{BodyEnd, BodyPrefix, MOST_HELD, RequestBodyStream, ResponseBody, read_prefix};
+use crate::upstream::stream::{BodyEnd, BodyPrefix, MOST_HELD, RequestBodyStream, read_prefix};
 use crate::upstream::{RequestBody, UpstreamBody, UpstreamRequest, UpstreamResponse};
 
 /// From the order to stop to the kill there is the longest deadline, or this where that is longer ...
@@ -388,7 +392,7 @@
         let last = progress.unread() || progress.last();
         if last {
             progress.parting();
-        } else if !response.body().lasts() {
+        } else if !response.body().is_streamed() {
             progress.answered();
         }
         if last || beyond || self.places.used_part() > CROWDED || self.life.phases.borrow().parts() {
@@ -461,10 +465,10 @@
         match answer {
             FinalResponse::Forwarded(reply) => {
                 let mut body = match reply.body {
-                    UpstreamBody::Whole(body) => ResponseBody::whole(body),
-                    UpstreamBody::Streamed(passed) => ResponseBody::passed(passed, progress),
+                    UpstreamBody::Whole(body) => ResponseBody::complete(body),
+                    UpstreamBody::Streamed(passed) => ResponseBody::streamed(passed, progress.clone()),
                 };
-                body.room = Some(room);
+                body.memory = Some(room);
                 let mut response = Response::new(body);
                 *response.headers_mut() = end_to_end(&reply.headers);
                 response
@@ -542,7 +546,7 @@
             BodyPrefix::More(..) if safe => return Err(bad("a body that does not fit the class")),
             BodyPrefix::Whole(body) => RequestBody::Whole(body),
             BodyPrefix::More(kept, rest) => {
-                RequestBody::Streamed(RequestBodyStream::new(kept, rest, progress))
+                RequestBody::Streamed(RequestBodyStream::new(kept, rest, progress.clone()))
             }
             BodyPrefix::TooLong => return Err((StatusCode::PAYLOAD_TOO_LARGE, TOO_LARGE)),
             BodyPrefix::Broken => return Err(bad("broken body")),
@@ -550,8 +554,9 @@
         // A request that names the whole address is for this path all the same.
         let path = head.uri.path_and_query().cloned().ok_or(bad("no path"))?;
         let upload = matches!(body, RequestBody::Streamed(_));
-        let caller = Some(Rc::downgrade(progress));
-        let call = UpstreamRequest { method: head.method, uri: path.into(), headers, body, caller };
+        let client: Weak<dyn ClientConnection> = Rc::<ConnectionProgress>::downgrade(progress);
+        let client = Some(client);
+        let call = UpstreamRequest { method: head.method, uri: path.into(), headers, body, client };
         Ok(IncomingRequest { class, time_left, tenant, work, retry, upload, call })
     }
 }
@@ -609,7 +614,7 @@
 }
 
 fn plain(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(why.as_bytes())));
+    let mut response = Response::new(ResponseBody::complete(Bytes::from_static(why.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- /dev/null
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -0,0 +1,79 @@
+//! The body of a response on its way to the client.
+
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, SizeHint};
+
+use crate::downstream::framer::ConnectionProgress;
+use crate::limits::Permit;
+use crate::upstream::stream::StreamedBody;
+
+/// The body of a response, and the memory that is reserved for it.
+pub struct ResponseBody {
+    source: Source,
+    /// The reserved memory; released when the body has been written or the client's connection is closed.
+    pub memory: Option<Permit>,
+}
+
+/// Where the bytes come from.
+enum Source {
+    /// All of them are here.
+    Complete(Full<Bytes>),
+    /// They come from the upstream as the client takes them.
+    Streamed { body: Box<StreamedBody>, progress: Rc<ConnectionProgress> },
+}
+
+impl ResponseBody {
+    /// A body of which all bytes are here.
+    pub fn complete(body: Bytes) -> ResponseBody {
+        ResponseBody { source: Source::Complete(Full::new(body)), memory: None }
+    }
+
+    /// A body that is still coming from the upstream. When its last byte has been read from there, `progress` is
+    /// notified that the request has its response.
+    pub fn streamed(body: StreamedBody, progress: Rc<ConnectionProgress>) -> ResponseBody {
+        ResponseBody { source: Source::Streamed { body: Box::new(body), progress }, memory: None }
+    }
+
+    /// Whether it comes from the upstream while it is written to the client.
+    pub fn is_streamed(&self) -> bool {
+        matches!(self.source, Source::Streamed { .. })
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
+        match &mut self.get_mut().source {
+            Source::Complete(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            Source::Streamed { body, progress } => {
+                let polled = body.poll(context);
+                if body.is_complete() {
+                    progress.answered();
+                }
+                polled
+            }
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match &self.source {
+            Source::Complete(body) => body.is_end_stream(),
+            Source::Streamed { body, .. } => body.is_complete(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match &self.source {
+            Source::Complete(body) => body.size_hint(),
+            Source::Streamed { body, .. } => body.size_hint(),
+        }
+    }
+}
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,5 +1,6 @@
 //! Attempts and probes on upstreams.
 
+pub mod client_connection;
 pub mod pool;
 pub mod stream;
 
@@ -20,7 +21,7 @@
 use crate::discovery::endpoint::Target;
 use crate::dispatch::AttemptCompletion;
 use crate::dispatch::transport::Transport;
-use crate::downstream::framer::ConnectionProgress;
+use crate::upstream::client_connection::ClientConnection;
 use crate::upstream::pool::{CONNECT_UNTOLD, Pool, UpstreamConnection};
 use crate::upstream::stream::{
     BodyEnd, BodyPrefix, MOST_HELD, Outgoing, RequestBodyStream, StreamedBody, read_response_prefix,
@@ -41,8 +42,8 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: RequestBody,
-    /// Who waits for the answer; nothing for a probe.
-    pub caller: Option<Weak<ConnectionProgress>>,
+    /// The connection of the client that waits for the response; none for a health check.
+    pub client: Option<Weak<dyn ClientConnection>>,
 }
 
 /// A request's body.
@@ -59,9 +60,12 @@
         matches!(&self.body, RequestBody::Streamed(upload) if upload.consumed())
     }
 
-    /// Its caller has left, so that no attempt may begin; see [`ConnectionProgress::departed`].
+    /// Whether the client has disconnected, so that no attempt may begin. One whose connection was dropped has.
     pub fn client_disconnected(&self) -> bool {
-        self.caller.as_ref().is_some_and(|caller| caller.upgrade().is_none_or(|caller| caller.departed()))
+        let is_gone = |client: &Weak<dyn ClientConnection>| {
+            client.upgrade().is_none_or(|client| client.is_disconnected())
+        };
+        self.client.as_ref().is_some_and(is_gone)
     }
 
     fn request(&self, address: SocketAddr, limit: Option<Micros>) -> Request<Outgoing> {
@@ -275,7 +279,7 @@
         let pool = self.pool.clone();
         let uri = Uri::from_static("/health/live");
         let (headers, body) = (HeaderMap::new(), RequestBody::Whole(Bytes::new()));
-        let call = Rc::new(UpstreamRequest { method: Method::GET, uri, headers, body, caller: None });
+        let call = Rc::new(UpstreamRequest { method: Method::GET, uri, headers, body, client: None });
         spawn_local(async move {
             let (flight, start) = (AttemptProgress::new(&call), Instant::now());
             let ended = timeout(CONNECT_UNTOLD, exchange(&pool, to, None, &flight)).await;
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -14,9 +14,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-use crate::downstream::framer::ConnectionProgress;
-use crate::limits::Permit;
 use crate::upstream::ConnectionLease;
+use crate::upstream::client_connection::ClientConnection;
 
 /// Most of a body that is held whole.
 pub const MOST_HELD: usize = 64 * 1024;
@@ -98,7 +97,7 @@
     /// Of the whole body, where the caller tells it.
     length: Option<u64>,
     rest: RefCell<Incoming>,
-    progress: Rc<ConnectionProgress>,
+    client: Rc<dyn ClientConnection>,
     /// Bytes of the rest that went on.
     passed: Cell<u64>,
     spent: Cell<bool>,
@@ -108,14 +107,14 @@
 
 impl RequestBodyStream {
     /// `kept` has come.
-    pub fn new(kept: Bytes, rest: Incoming, progress: &Rc<ConnectionProgress>) -> Rc<RequestBodyStream> {
-        progress.want(false);
+    pub fn new(kept: Bytes, rest: Incoming, client: Rc<dyn ClientConnection>) -> Rc<RequestBodyStream> {
+        client.want_body(false);
         let length = rest.size_hint().exact().map(|rest| rest + kept.len() as u64);
         Rc::new(RequestBodyStream {
             kept,
             length,
             rest: RefCell::new(rest),
-            progress: progress.clone(),
+            client,
             passed: Cell::new(0),
             spent: Cell::new(false),
             end: Cell::new(None),
@@ -167,7 +166,7 @@
         let mut rest = self.rest.borrow_mut();
         loop {
             let polled = Pin::new(&mut *rest).poll_frame(cx);
-            self.progress.want(polled.is_pending());
+            self.client.want_body(polled.is_pending());
             let frame = match ready!(polled) {
                 None => {
                     self.close(BodyEnd::Whole);
@@ -266,7 +265,8 @@
         StreamedBody { first, rest, bytes: 0, lease: Some(lease), stall: Box::pin(sleep(STALL)) }
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Polled {
+    /// The next part of the body. An error ends it: the client's connection must then be closed too.
+    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         if let Some(first) = self.first.take() {
             self.bytes += first.len() as u64;
             return Poll::Ready(Some(Ok(Frame::data(first))));
@@ -304,7 +304,13 @@
         }
     }
 
-    fn size_hint(&self) -> SizeHint {
+    /// The body was read to its end.
+    pub fn is_complete(&self) -> bool {
+        self.lease.is_none()
+    }
+
+    /// How many bytes are still to come, where the upstream has declared the length.
+    pub fn size_hint(&self) -> SizeHint {
         let first = self.first.as_ref().map_or(0, |first| first.len() as u64);
         self.rest
             .size_hint()
@@ -312,64 +318,3 @@
             .map_or_else(SizeHint::default, |rest| SizeHint::with_exact(first + rest))
     }
 }
-
-enum Kind {
-    Whole(Full<Bytes>),
-    Streamed(Box<StreamedBody>, Rc<ConnectionProgress>),
-}
-
-/// An answer's body on its way to a caller, with the room that it takes.
-pub struct ResponseBody {
-    kind: Kind,
-    /// Given back when it has gone or its caller has.
-    pub room: Option<Permit>,
-}
-
-impl ResponseBody {
-    /// Held whole.
-    pub fn whole(body: Bytes) -> ResponseBody {
-        ResponseBody { kind: Kind::Whole(Full::new(body)), room: None }
-    }
-
-    /// Passed on; at its end the caller has its answer.
-    pub fn passed(passed: StreamedBody, progress: &Rc<ConnectionProgress>) -> ResponseBody {
-        ResponseBody { kind: Kind::Streamed(Box::new(passed), progress.clone()), room: None }
-    }
-
-    /// Its end is still to come.
-    pub fn lasts(&self) -> bool {
-        matches!(self.kind, Kind::Streamed(..))
-    }
-}
-
-impl Body for ResponseBody {
-    type Data = Bytes;
-    type Error = io::Error;
-
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Polled {
-        match &mut self.get_mut().kind {
-            Kind::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Kind::Streamed(passed, progress) => {
-                let polled = passed.poll(cx);
-                if passed.lease.is_none() {
-                    progress.answered();
-                }
-                polled
-            }
-        }
-    }
-
-    fn is_end_stream(&self) -> bool {
-        match &self.kind {
-            Kind::Whole(body) => body.is_end_stream(),
-            Kind::Streamed(passed, _) => passed.lease.is_none(),
-        }
-    }
-
-    fn size_hint(&self) -> SizeHint {
-        match &self.kind {
-            Kind::Whole(body) => body.size_hint(),
-            Kind::Streamed(passed, _) => passed.size_hint(),
-        }
-    }
-}
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -3,6 +3,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
+use crate::downstream::framer::{ClientStream, ConnectionProgress};
+
 /// Reads a request's head and answers it.
 async fn serve(stream: &mut TcpStream) {
     let mut seen = Vec::new();
@@ -24,7 +26,7 @@
 
 fn call(method: Method, body: Bytes) -> Rc<UpstreamRequest> {
     let (uri, body) = (Uri::from_static("/api"), RequestBody::Whole(body));
-    Rc::new(UpstreamRequest { method, uri, headers: HeaderMap::new(), body, caller: None })
+    Rc::new(UpstreamRequest { method, uri, headers: HeaderMap::new(), body, client: None })
 }
 
 fn look() -> Rc<AttemptProgress> {
@@ -141,18 +143,19 @@
 /// A request that has come whole, its caller's end, and what the server keeps of the connection.
 async fn waiting() -> (Rc<AttemptProgress>, TcpStream, impl Sized) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it listens");
-    let inbound =
-        crate::downstream::framer::ClientStream::new(listener.accept().await.expect("a connection").0);
+    let socket = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it listens");
+    let inbound = ClientStream::new(listener.accept().await.expect("a connection").0);
     let progress = ConnectionProgress::new(Rc::default(), &inbound);
     progress.taken();
-    let (method, uri, headers) = (Method::GET, Uri::from_static("/api"), HeaderMap::new());
-    let (body, caller) = (RequestBody::Whole(Bytes::new()), Some(Rc::downgrade(&progress)));
-    (
-        AttemptProgress::new(&Rc::new(UpstreamRequest { method, uri, headers, body, caller })),
-        client,
-        (inbound, progress),
-    )
+    let client: Weak<dyn ClientConnection> = Rc::<ConnectionProgress>::downgrade(&progress);
+    let request = UpstreamRequest {
+        method: Method::GET,
+        uri: Uri::from_static("/api"),
+        headers: HeaderMap::new(),
+        body: RequestBody::Whole(Bytes::new()),
+        client: Some(client),
+    };
+    (AttemptProgress::new(&Rc::new(request)), socket, (inbound, progress))
 }
 
 #[test]
