--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -449,7 +449,7 @@
             None => asking.answer().await,
             Some(upload) => {
                 let end = async {
-                    let end = upload.end().await;
+                    let end = upload.wait_for_end().await;
                     if end == BodyEnd::Whole {
                         progress.taken();
                     }
--- a/crates/proxy/src/downstream/response_body.rs
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -11,7 +11,7 @@
 
 use crate::downstream::framer::ConnectionProgress;
 use crate::limits::Permit;
-use crate::upstream::stream::StreamedBody;
+use crate::upstream::StreamedBody;
 
 /// The body of a response, and the memory that is reserved for it.
 pub struct ResponseBody {
@@ -54,7 +54,7 @@
         match &mut self.get_mut().source {
             Source::Complete(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
             Source::Streamed { body, progress } => {
-                let polled = body.poll(context);
+                let polled = body.poll_frame(context);
                 if body.is_complete() {
                     progress.answered();
                 }
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -67,7 +67,7 @@
         limit: Micros,
         report: AttemptCompletion<Self>,
     ) -> Attempt {
-        self.upstreams.send(to, call, limit, report)
+        self.upstreams.send(to, &call, limit, report)
     }
 
     fn body_consumed(call: &UpstreamRequest) -> bool {
@@ -166,7 +166,7 @@
 
     let (connections, callers) = limits(&config, known_processes);
     let upstreams = Rc::new(Upstreams::new(&settings.limits, connections));
-    spawn_local(upstreams.tend());
+    spawn_local(upstreams.close_expired());
     let generation = config.known.as_ref().map(|known| known.generation);
     let unasked = settings.discovery == policy::DiscoveryMode::Push;
     let drain_grace = Duration::from_micros(settings.rules.drain_grace);
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,188 +1,115 @@
-//! The pool of connections to upstreams.
+//! The pool of connections to upstreams: which are idle, how many are open in all, and how long an idle one is kept.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
-use std::mem::MaybeUninit;
 use std::net::SocketAddr;
-use std::pin::Pin;
-use std::rc::{Rc, Weak};
-use std::task::{Context, Poll};
+use std::rc::Rc;
 use std::time::Duration;
 
-use hyper::client::conn::http1::{self, SendRequest};
-use hyper::rt::{Read, ReadBufCursor, Write};
-use hyper_util::rt::TokioIo;
-use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::task::{AbortHandle, spawn_local};
+use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout};
 use zincstand_policy as policy;
 use zincstand_policy::{Micros, Outcome, ServerId};
 
 use crate::discovery::endpoint::Target;
-use crate::upstream::stream::Outgoing;
-
-/// Part of the upstreams' idle time after which a connection is closed here: far from crossing theirs.
-const KEEP: f64 = 0.7;
-/// How long an idle connection is kept where the settings name no time.
-const KEEP_UNTOLD: Duration = Duration::from_secs(3);
-/// A second answer may follow the first some milliseconds late and would pass for that to the next request: a
-/// connection that has been idle for so long is taken first.
-const REST: Duration = Duration::from_millis(20);
-/// A connection attempt's limit where the settings name none, and a probe's in all.
-pub const CONNECT_UNTOLD: Duration = Duration::from_secs(1);
-/// What a connection may hold of what it reads or writes.
-pub const BUFFER: usize = 16 * 1024;
-
-/// A place among the connections; given back when the connection is closed.
-struct ConnectionPermit(Rc<Cell<usize>>);
-
-impl ConnectionPermit {
-    fn take(open: &Rc<Cell<usize>>) -> ConnectionPermit {
-        open.set(open.get() + 1);
-        ConnectionPermit(open.clone())
-    }
+use crate::upstream::connection::{ConnectionSlot, UpstreamConnection};
+
+pub use crate::upstream::connection::MAX_BUFFERED_BYTES as BUFFER;
+
+/// The part of the upstreams' own idle timeout after which an idle connection is closed here, early enough that a
+/// request rarely meets the upstream's close on its way.
+const IDLE_TIMEOUT_PART: f64 = 0.7;
+/// How long an idle connection is kept where the settings name no idle timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// An upstream may send a second response some milliseconds after the first, which would pass for the response to
+/// the next request. Connections that have been idle for this long are therefore preferred.
+const SETTLE_TIME: Duration = Duration::from_millis(20);
+/// The limit on establishing a connection where the settings name none.
+pub const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a connection may take to be ready for the next request after its response was read.
+const READY_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The process may open no more files (EMFILE).
+const TOO_MANY_OPEN_FILES: i32 = 24;
+/// The machine may open no more files (ENFILE).
+const FILE_TABLE_FULL: i32 = 23;
+/// The kernel has no buffer left (ENOBUFS).
+const NO_BUFFER_SPACE: i32 = 105;
+/// All local ports are in use (EADDRNOTAVAIL).
+const NO_LOCAL_PORT: i32 = 99;
+
+/// Why there is no connection for a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ConnectError {
+    /// This process may open no further connection, which is no fault of the upstream. Nothing was sent.
+    NoCapacity,
+    /// The upstream refused the connection, or it was not established in time.
+    Failed,
 }
 
-impl Drop for ConnectionPermit {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
-
-/// The socket as hyper's connection holds it: it can be looked at from outside and counts what is written.
-struct Socket {
-    stream: Rc<RefCell<TokioIo<TcpStream>>>,
-    written: Rc<Cell<u64>>,
-    veto: Rc<Cell<Option<Veto>>>,
-    /// Nothing more is written.
-    stopped: Cell<bool>,
-    _place: ConnectionPermit,
-}
-
-/// Asked right before a request's first byte is written: true ends the connection instead.
-pub type Veto = Box<dyn FnOnce() -> bool>;
-
-impl Socket {
-    fn may_write(&self) -> io::Result<()> {
-        if self.veto.take().is_some_and(|veto| veto()) {
-            self.stopped.set(true);
+impl From<ConnectError> for Outcome {
+    fn from(error: ConnectError) -> Outcome {
+        match error {
+            ConnectError::NoCapacity => Outcome::NotSent,
+            ConnectError::Failed => Outcome::ConnectFailed,
         }
-        if self.stopped.get() { Err(io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
-    }
-
-    fn count(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(n)) = written {
-            self.written.set(self.written.get() + n as u64);
-        }
-        written
     }
 }
 
-impl Read for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf)
-    }
+/// Where a connection for a request came from.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ConnectionOrigin {
+    /// It was idle in the pool: the upstream may have closed it a moment ago.
+    Pooled,
+    /// It was opened for this request.
+    New,
 }
 
-impl Write for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.may_write()?;
-        let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
-        self.count(written)
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.may_write()?;
-        let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.count(written)
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.stream.borrow_mut()).poll_flush(cx)
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx)
-    }
-}
-
-/// A connection; dropped, it is closed.
-pub struct UpstreamConnection {
-    /// Takes the next request.
-    pub sender: SendRequest<Outgoing>,
-    /// What moves its bytes; ended, the connection is closed.
-    pub driver: AbortHandle,
-    stream: Weak<RefCell<TokioIo<TcpStream>>>,
-    /// Bytes written so far.
-    pub written: Rc<Cell<u64>>,
-    /// Asked before the next byte is written.
-    pub veto: Rc<Cell<Option<Veto>>>,
-    address: SocketAddr,
-}
-
-impl UpstreamConnection {
-    /// Nothing has come and the peer has not closed. Asks the kernel: the runtime may not have looked since,
-    /// and a request on a closed connection would end as a reset.
-    fn fresh(&self) -> bool {
-        let Some(stream) = self.stream.upgrade() else { return false };
-        let mut byte = [MaybeUninit::uninit()];
-        let stream = stream.borrow();
-        let peeked = SockRef::from(stream.inner()).peek(&mut byte);
-        !self.sender.is_closed() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
-    }
+/// A connection taken for a request.
+pub struct PooledConnection {
+    /// The connection.
+    pub connection: UpstreamConnection,
+    /// Whether it has carried requests before.
+    pub origin: ConnectionOrigin,
 }
 
-impl Drop for UpstreamConnection {
-    fn drop(&mut self) {
-        self.driver.abort();
-    }
-}
-
-struct Idle {
-    conn: UpstreamConnection,
+struct IdleConnection {
+    connection: UpstreamConnection,
     since: Instant,
 }
 
-/// The connections that are idle, and how many there are in all.
-pub struct Pool {
-    idle: RefCell<HashMap<ServerId, Vec<Idle>>>,
-    open: Rc<Cell<usize>>,
-    most: Cell<usize>,
-    keep: Duration,
+/// The idle connections by upstream, and the number of all that are open.
+pub struct ConnectionPool {
+    /// Those of one upstream stand in the order of their last use.
+    idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
+    open_connections: Rc<Cell<usize>>,
+    max_connections: Cell<usize>,
+    idle_timeout: Duration,
     connect_timeout: Duration,
-    filled: Notify,
+    connection_added: Notify,
 }
 
-impl Pool {
-    /// None yet, and never more than `most`.
-    pub fn new(limits: &policy::Limits, most: usize) -> Pool {
-        let span = |micros, untold| if micros == 0 { untold } else { Duration::from_micros(micros) };
-        let keep = (limits.idle_timeout as f64 * KEEP) as Micros;
-        Pool {
+impl ConnectionPool {
+    /// An empty pool that never has more than `max_connections` open.
+    pub fn new(limits: &policy::Limits, max_connections: usize) -> ConnectionPool {
+        let idle_timeout = (limits.idle_timeout as f64 * IDLE_TIMEOUT_PART) as Micros;
+        ConnectionPool {
             idle: RefCell::default(),
-            open: Rc::default(),
-            most: Cell::new(most),
-            keep: span(keep, KEEP_UNTOLD),
-            connect_timeout: span(limits.connect_timeout, CONNECT_UNTOLD),
-            filled: Notify::new(),
+            open_connections: Rc::default(),
+            max_connections: Cell::new(max_connections),
+            idle_timeout: duration_or(idle_timeout, DEFAULT_IDLE_TIMEOUT),
+            connect_timeout: duration_or(limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT),
+            connection_added: Notify::new(),
         }
     }
 
-    /// Connections that are open.
+    /// The number of open connections, idle or not.
     #[cfg(test)]
-    pub fn open(&self) -> usize {
-        self.open.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
     /// Closes the idle connections to an upstream.
@@ -190,108 +117,178 @@
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Never more than this many from now on; idle ones beyond it are closed.
-    pub fn resize(&self, most: usize) {
-        self.most.set(most);
-        let mut beyond = self.open.get().saturating_sub(most);
-        while beyond > 0 && self.close_oldest() {
-            beyond -= 1;
+    /// Changes how many connections may be open. Idle ones beyond it are closed now, others when they are put back.
+    pub fn resize(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
+        let mut excess = self.open_connections.get().saturating_sub(max_connections);
+        while excess > 0 && self.close_oldest() {
+            excess -= 1;
+        }
+    }
+
+    /// A connection to the target: an idle one if there is any, or else a new one.
+    ///
+    /// # Errors
+    ///
+    /// See [`connect`](Self::connect).
+    pub async fn acquire(&self, target: Target) -> Result<PooledConnection, ConnectError> {
+        if let Some(connection) = self.take_idle(target) {
+            return Ok(PooledConnection { connection, origin: ConnectionOrigin::Pooled });
         }
+        let connection = self.connect(target.address).await?;
+        Ok(PooledConnection { connection, origin: ConnectionOrigin::New })
     }
 
-    /// The idle connection used last that is still good, of those that have rested if there is one.
-    pub fn take(&self, to: Target) -> Option<UpstreamConnection> {
+    /// The reusable idle connection that was used last, among those idle for [`SETTLE_TIME`] if there are any.
+    pub fn take_idle(&self, target: Target) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.get_mut(&to.server)?;
-        list.retain(|i| i.conn.address == to.address && i.since.elapsed() < self.keep);
+        let connections = idle.get_mut(&target.server)?;
+        connections.retain(|idle| {
+            idle.connection.address() == target.address && idle.since.elapsed() < self.idle_timeout
+        });
         loop {
-            // They stand in the order of their last use.
-            let rested = list.partition_point(|i| i.since.elapsed() >= REST);
-            let Idle { conn, .. } = match rested {
-                0 => list.pop()?,
-                n => list.remove(n - 1),
+            let settled = connections.partition_point(|idle| idle.since.elapsed() >= SETTLE_TIME);
+            let IdleConnection { connection, .. } = match settled {
+                0 => connections.pop()?,
+                count => connections.remove(count - 1),
             };
-            if conn.fresh() {
-                return Some(conn);
+            if connection.is_reusable() {
+                return Some(connection);
             }
         }
     }
 
-    /// Keeps a connection for the next request to this upstream.
-    pub fn put(&self, server: ServerId, conn: UpstreamConnection) {
-        if self.open.get() > self.most.get() {
+    /// Keeps a connection for the next request to this upstream, or closes it if too many are open.
+    pub fn put(&self, server: ServerId, connection: UpstreamConnection) {
+        if self.open_connections.get() > self.max_connections.get() {
             return;
         }
-        self.idle.borrow_mut().entry(server).or_default().push(Idle { conn, since: Instant::now() });
-        self.filled.notify_one();
+        let idle = IdleConnection { connection, since: Instant::now() };
+        self.idle.borrow_mut().entry(server).or_default().push(idle);
+        self.connection_added.notify_one();
     }
 
-    /// Closes the connection that has been idle longest; tells whether there was one.
+    /// Puts a connection back if it takes the next request at once; else returns it.
+    pub fn put_if_ready(
+        &self,
+        server: ServerId,
+        connection: UpstreamConnection,
+    ) -> Option<UpstreamConnection> {
+        if !connection.sender.is_ready() {
+            return Some(connection);
+        }
+        self.put(server, connection);
+        None
+    }
+
+    /// Puts a connection back as soon as it takes the next request, or closes it if that takes too long.
+    pub async fn put_when_ready(&self, server: ServerId, mut connection: UpstreamConnection) {
+        if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
+            self.put(server, connection);
+        }
+    }
+
+    /// Closes the connection that has been idle longest; returns whether there was one.
     fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].since);
-        oldest.map(|list| list.remove(0)).is_some()
+        let not_empty = idle.values_mut().filter(|connections| !connections.is_empty());
+        let oldest = not_empty.min_by_key(|connections| connections[0].since);
+        oldest.map(|connections| connections.remove(0)).is_some()
     }
 
-    /// A new connection, or why there is none.
-    pub async fn connect(&self, address: SocketAddr) -> Result<UpstreamConnection, Outcome> {
-        // Guards the limit on descriptors: a connection is turned into another, or the attempt is not sent.
-        while self.open.get() >= self.most.get() {
-            if !self.close_oldest() {
-                return Err(Outcome::NotSent);
-            }
-            // The socket is closed once its task has been dropped.
-            tokio::task::yield_now().await;
-        }
-        let place = ConnectionPermit::take(&self.open);
+    /// Opens a connection. If as many as allowed are open, an idle one is closed for it.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectError::NoCapacity`] if all connections are in use or the machine has no socket left,
+    /// [`ConnectError::Failed`] if the upstream cannot be reached in time.
+    pub async fn connect(&self, address: SocketAddr) -> Result<UpstreamConnection, ConnectError> {
+        self.make_room().await?;
+        let slot = ConnectionSlot::take(&self.open_connections);
         let stream = match timeout(self.connect_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(e)) if out_of_sockets(&e) => {
+            Ok(Err(error)) if is_out_of_sockets(&error) => {
                 self.close_oldest();
-                return Err(Outcome::NotSent);
+                return Err(ConnectError::NoCapacity);
             }
-            _ => return Err(Outcome::ConnectFailed),
+            Ok(Err(_)) | Err(_) => return Err(ConnectError::Failed),
         };
         let _ = stream.set_nodelay(true);
-        let stream = Rc::new(RefCell::new(TokioIo::new(stream)));
-        let (written, veto) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(None)));
-        let (stopped, counted) = (Cell::default(), written.clone());
-        let socket =
-            Socket { stream: stream.clone(), written: counted, veto: veto.clone(), stopped, _place: place };
-        let stream = Rc::downgrade(&stream);
-        let (sender, connection) = http1::Builder::new()
-            // A head that does not end is given up there.
-            .max_buf_size(BUFFER)
-            .handshake(socket)
-            .await
-            .map_err(|_| Outcome::ConnectFailed)?;
-        let driver = spawn_local(async move {
-            let _ = connection.await;
-        });
-        Ok(UpstreamConnection { sender, driver: driver.abort_handle(), stream, written, veto, address })
+        UpstreamConnection::handshake(stream, address, slot).await.map_err(|_| ConnectError::Failed)
+    }
+
+    /// Closes idle connections until one more may be open: the limit protects the process's file descriptors.
+    async fn make_room(&self) -> Result<(), ConnectError> {
+        while self.open_connections.get() >= self.max_connections.get() {
+            if !self.close_oldest() {
+                return Err(ConnectError::NoCapacity);
+            }
+            // The socket is closed once the task that owns it has been dropped.
+            tokio::task::yield_now().await;
+        }
+        Ok(())
     }
 
-    /// Closes connections that have been idle too long; one sleep for all of them.
-    pub async fn tend(self: Rc<Self>) {
+    /// Closes connections whose idle timeout has passed; never returns. One timer serves all of them.
+    pub async fn close_expired(self: Rc<Self>) {
         loop {
-            let oldest = {
-                let mut idle = self.idle.borrow_mut();
-                idle.retain(|_, list| {
-                    list.retain(|i| i.since.elapsed() < self.keep && !i.conn.sender.is_closed());
-                    !list.is_empty()
-                });
-                idle.values().filter_map(|l| l.first()).map(|i| i.since).min()
-            };
-            match oldest {
-                Some(since) => sleep_until(since + self.keep).await,
-                None => self.filled.notified().await,
+            match self.drop_expired() {
+                Some(oldest) => sleep_until(oldest + self.idle_timeout).await,
+                None => self.connection_added.notified().await,
             }
         }
     }
+
+    /// Drops idle connections that are too old or closed; returns since when the oldest of the others has been idle.
+    fn drop_expired(&self) -> Option<Instant> {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|_, connections| {
+            connections.retain(|idle| {
+                idle.since.elapsed() < self.idle_timeout && !idle.connection.sender.is_closed()
+            });
+            !connections.is_empty()
+        });
+        idle.values().filter_map(|connections| connections.first()).map(|idle| idle.since).min()
+    }
+}
+
+/// A connection whose response is still being read.
+pub struct ConnectionLease {
+    pool: Rc<ConnectionPool>,
+    server: ServerId,
+    connection: UpstreamConnection,
+}
+
+impl ConnectionLease {
+    /// A lease on a connection of this pool to this upstream.
+    pub fn new(
+        pool: Rc<ConnectionPool>,
+        server: ServerId,
+        connection: UpstreamConnection,
+    ) -> ConnectionLease {
+        ConnectionLease { pool, server, connection }
+    }
+
+    /// Ends the lease without putting the connection back.
+    pub fn into_connection(self) -> UpstreamConnection {
+        self.connection
+    }
+
+    /// Puts the connection back: the response was read to its end.
+    pub fn give_back(self) {
+        spawn_local(async move { self.pool.put_when_ready(self.server, self.connection).await });
+    }
+}
+
+/// A duration of the settings, where 0 means that they name none.
+fn duration_or(micros: Micros, default: Duration) -> Duration {
+    if micros == 0 { default } else { Duration::from_micros(micros) }
 }
 
-/// The process or the machine has no descriptor, port or buffer left: nothing of the upstream's.
-fn out_of_sockets(e: &io::Error) -> bool {
-    // EMFILE, ENFILE, ENOBUFS, EADDRNOTAVAIL.
-    matches!(e.raw_os_error(), Some(24 | 23 | 105 | 99))
+/// Whether the process or the machine has no descriptor, port or buffer left, which is no fault of the upstream.
+fn is_out_of_sockets(error: &io::Error) -> bool {
+    matches!(
+        error.raw_os_error(),
+        Some(TOO_MANY_OPEN_FILES | FILE_TABLE_FULL | NO_BUFFER_SPACE | NO_LOCAL_PORT)
+    )
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/request.rs
@@ -0,0 +1,123 @@
+//! A request as it is forwarded, the same for each of its attempts.
+
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+
+use bytes::Bytes;
+use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue};
+use hyper::{Method, Request, Uri};
+use zincstand_policy::Micros;
+
+use crate::upstream::client_connection::ClientConnection;
+use crate::upstream::request_body_stream::{OutgoingBody, RequestBodyStream};
+use crate::upstream::stream::BodyEnd;
+
+/// Tells the upstream how many milliseconds are left of the request's time.
+const DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
+
+/// A request as it is forwarded to an upstream.
+pub struct UpstreamRequest {
+    /// The method.
+    pub method: Method,
+    /// Path and query.
+    pub uri: Uri,
+    /// The end-to-end headers.
+    pub headers: HeaderMap,
+    /// The body.
+    pub body: RequestBody,
+    /// The connection of the client that waits for the response; none for a health check.
+    pub client: Option<Weak<dyn ClientConnection>>,
+}
+
+/// A request's body.
+pub enum RequestBody {
+    /// The complete body.
+    Whole(Bytes),
+    /// A body that is still coming.
+    Streamed(Rc<RequestBodyStream>),
+}
+
+impl RequestBody {
+    /// The length in bytes, if it is known.
+    pub fn declared_length(&self) -> Option<u64> {
+        match self {
+            RequestBody::Whole(body) => Some(body.len() as u64),
+            RequestBody::Streamed(stream) => stream.declared_length(),
+        }
+    }
+
+    /// The length in bytes once the last byte has come; none before.
+    pub fn complete_length(&self) -> Option<u64> {
+        match self {
+            RequestBody::Whole(body) => Some(body.len() as u64),
+            RequestBody::Streamed(stream) if stream.end() == Some(BodyEnd::Whole) => {
+                Some(stream.length_so_far())
+            }
+            RequestBody::Streamed(_) => None,
+        }
+    }
+
+    /// Whether the client has broken the body off or exceeded the limit: it will never be complete.
+    pub fn is_broken_off(&self) -> bool {
+        match self {
+            RequestBody::Whole(_) => false,
+            RequestBody::Streamed(stream) => stream.end().is_some_and(|end| end != BodyEnd::Whole),
+        }
+    }
+
+    fn outgoing(&self) -> OutgoingBody {
+        match self {
+            RequestBody::Whole(body) => OutgoingBody::complete(body.clone()),
+            RequestBody::Streamed(stream) => OutgoingBody::streamed(stream),
+        }
+    }
+}
+
+impl UpstreamRequest {
+    /// A request without body that asks an upstream for its health.
+    pub fn health_check() -> UpstreamRequest {
+        UpstreamRequest {
+            method: Method::GET,
+            uri: Uri::from_static("/health/live"),
+            headers: HeaderMap::new(),
+            body: RequestBody::Whole(Bytes::new()),
+            client: None,
+        }
+    }
+
+    /// Whether a part of the body was forwarded that is not buffered: the request cannot be sent again.
+    pub fn body_consumed(&self) -> bool {
+        matches!(&self.body, RequestBody::Streamed(stream) if stream.is_consumed())
+    }
+
+    /// Whether the client has disconnected, so that no attempt may begin. One whose connection was dropped has.
+    pub fn client_disconnected(&self) -> bool {
+        let has_disconnected = |client: &Weak<dyn ClientConnection>| {
+            client.upgrade().is_none_or(|client| client.is_disconnected())
+        };
+        self.client.as_ref().is_some_and(has_disconnected)
+    }
+
+    /// The request to the upstream at this address, with the time that is left for it.
+    pub fn to_http(&self, address: SocketAddr, time_left: Option<Micros>) -> Request<OutgoingBody> {
+        let mut request = Request::new(self.body.outgoing());
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.uri.clone();
+        let headers = request.headers_mut();
+        *headers = self.headers.clone();
+        if !headers.contains_key(HOST)
+            && let Ok(host) = HeaderValue::from_str(&address.to_string())
+        {
+            headers.insert(HOST, host);
+        }
+        if let Some(time_left) = time_left {
+            headers.insert(DEADLINE, HeaderValue::from(time_left.div_ceil(1000)));
+        }
+        if self.method == Method::POST
+            && let Some(length) = self.body.declared_length()
+        {
+            headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
+        }
+        request
+    }
+}
