--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -1,13 +1,17 @@
-//! Attempts on upstreams: what goes out, what the ends mean, which connections carry it.
+//! Attempts on upstreams: what is forwarded, which outcome is retried, and which connection carries an attempt.
 
 mod common;
 
 use std::io::Write;
+use std::net::Shutdown;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
 
 use common::*;
 
 #[test]
-fn a_request_and_its_answer_go_on_unchanged() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let body: Vec<u8> = (0..65_536_u32).map(|i| (i % 251) as u8).collect();
@@ -20,14 +24,15 @@
     );
     client.write_all(&[head.as_bytes(), &body].concat()).expect("it reads");
     let mut stream = upstream.accept();
-    let got = read(&mut stream).expect("a request");
-    assert_eq!(got.first_line(), "POST /api?key=a%20b&x=1 HTTP/1.1");
-    assert!(got.body == body, "the body differs");
+    let received = read(&mut stream).expect("a request");
+    assert_eq!(received.first_line(), "POST /api?key=a%20b&x=1 HTTP/1.1");
+    assert!(received.body == body, "the body differs");
     for (name, value) in [("req-id", "r-1"), ("idempotency-key", "k-1"), ("x-other", "2"), ("x-hop", "")] {
-        assert_eq!(got.header(name).unwrap_or_default(), value, "{name}");
+        assert_eq!(received.header(name).unwrap_or_default(), value, "{name}");
     }
-    let left: u64 = got.header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("a deadline");
-    assert!(left <= 9_000, "more than the client waits");
+    let time_left: u64 =
+        received.header("req-deadline-ms").and_then(|value| value.parse().ok()).expect("a deadline");
+    assert!(time_left <= 9_000, "more than the client waits");
     answer(&mut stream, "200 OK", "Content-Type: x/y\r\n", &body);
     let served = read(&mut client).expect("an answer");
     assert_eq!((served.status(), served.header("content-type")), (200, Some("x/y")));
@@ -35,13 +40,13 @@
 }
 
 #[test]
-fn an_unsafe_request_that_no_upstream_got_may_be_refused() {
+fn a_request_that_is_not_idempotent_and_reached_no_upstream_may_be_rejected() {
     let balancer = Setup::knowing(&[nowhere()]).start();
     assert_eq!(balancer.ask(&request("pay", "r-1", "Req-Deadline-Ms: 900\r\n")).status(), 503);
 }
 
 #[test]
-fn an_unsafe_request_that_was_turned_away_goes_out_again() {
+fn a_request_that_is_not_idempotent_is_retried_after_an_upstream_rejected_it() {
     for status in ["503 Busy", "504 Over"] {
         let upstream = Peer::new();
         let balancer = Setup::knowing(&[upstream.address]).start();
@@ -50,7 +55,7 @@
         let mut stream = upstream.accept();
         read(&mut stream).expect("an attempt");
         answer(&mut stream, status, "Srv-Declined: 1\r\n", b"");
-        // The connection was read to its end and is used again.
+        // The response was read to its end, so the connection is reused.
         read(&mut stream).expect("a second attempt");
         ok(&mut stream);
         assert_eq!(read(&mut client).expect("an answer").status(), 200);
@@ -58,7 +63,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_after_one_attempt() {
+fn a_request_that_is_not_idempotent_and_may_have_run_fails_after_one_attempt() {
     let cases: [(&str, Option<&str>); 13] = [
         ("reset", None),
         ("error", Some("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")),
@@ -79,20 +84,21 @@
         let balancer = Setup::knowing(&[upstream.address]).start();
         let requests = upstream.serve(move |_, stream| {
             let _ = stream.write_all(text.unwrap_or_default().as_bytes());
-            if text.is_none_or(|t| !t.contains("Length: 0")) {
-                let _ = stream.shutdown(std::net::Shutdown::Both);
+            if text.is_none_or(|text| !text.contains("Length: 0")) {
+                let _ = stream.shutdown(Shutdown::Both);
             }
         });
         let failed = balancer.ask(&request("pay", "r-1", ""));
         assert!(matches!(failed.status(), 502 | 504), "{case}: {}", failed.status());
         assert_eq!(balancer.ask(&request("pay", "r-2", "")).status(), failed.status());
-        let ids: Vec<_> = requests.try_iter().map(|r| r.header("req-id").map(str::to_owned)).collect();
+        let ids: Vec<_> =
+            requests.try_iter().map(|request| request.header("req-id").map(str::to_owned)).collect();
         assert_eq!(ids, [Some("r-1".to_owned()), Some("r-2".to_owned())], "{case}");
     }
 }
 
 #[test]
-fn a_safe_request_that_failed_goes_out_once_more() {
+fn an_idempotent_request_that_failed_is_retried() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
@@ -105,7 +111,7 @@
 }
 
 #[test]
-fn an_attempt_out_of_time_is_a_failure_and_closes_its_connection() {
+fn an_attempt_that_times_out_fails_and_closes_its_connection() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
@@ -124,7 +130,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left() {
+fn nothing_is_sent_for_a_client_that_disconnected() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
@@ -132,12 +138,12 @@
     let mut stream = upstream.accept();
     read(&mut stream).expect("an attempt");
     drop(client);
-    // Answered after the client's end was seen, which came first: the error below finds it gone.
+    // Answered after the client's disconnect was seen, which came first: no retry may follow the error below.
     assert_eq!(balancer.ask(READY).status(), 200);
-    std::thread::sleep(std::time::Duration::from_millis(100));
+    std::thread::sleep(Duration::from_millis(100));
     answer(&mut stream, "500 Error", "", b"");
     let mut other = balancer.connect();
-    std::thread::sleep(std::time::Duration::from_millis(100));
+    std::thread::sleep(Duration::from_millis(100));
     other.write_all(request("look", "r-2", "").as_bytes()).expect("it reads");
     assert_eq!(read(&mut stream).expect("the next").header("req-id"), Some("r-2"));
     ok(&mut stream);
@@ -146,7 +152,7 @@
 }
 
 #[test]
-fn a_connection_is_used_again_and_closed_when_idle() {
+fn a_connection_is_reused_and_closed_when_idle() {
     let upstream = Peer::new();
     let setup = Setup { limits: r#","IdleCloseMs":4000.0"#, ..Setup::knowing(&[upstream.address]) };
     let balancer = setup.start();
@@ -162,11 +168,11 @@
         }
     }
     assert!(upstream.quiet(), "a second connection");
-    assert!(closed(&mut stream), "an idle connection is left to the upstream");
+    assert!(closed(&mut stream), "an idle connection is left for the upstream to close");
 }
 
 #[test]
-fn a_connection_that_the_upstream_closed_is_not_used() {
+fn a_connection_that_the_upstream_closed_is_not_reused() {
     for close in ["", "Connection: close\r\n"] {
         let upstream = Peer::new();
         let balancer = Setup::knowing(&[upstream.address]).start();
@@ -176,16 +182,16 @@
             let mut stream = upstream.accept();
             assert_eq!(read(&mut stream).expect("an attempt").header("req-id"), Some(id));
             answer(&mut stream, "200 OK", close, b"done");
-            // Closed before the client has its answer or just after: the next must not be lost on it.
+            // Closed before the client has its response or just after: the next request must not be lost on it.
             drop(stream);
             assert_eq!(read(&mut client).expect("an answer").status(), 200);
-            std::thread::sleep(std::time::Duration::from_millis(50));
+            std::thread::sleep(Duration::from_millis(50));
         }
     }
 }
 
 #[test]
-fn an_answer_without_end_is_given_up() {
+fn a_response_without_end_fails() {
     for head in ["HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"] {
         let upstream = Peer::new();
         let balancer = Setup::knowing(&[upstream.address]).start();
@@ -201,7 +207,7 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_never_the_next_one() {
+fn bytes_behind_a_response_are_never_taken_for_the_next_one() {
     let copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse";
     for (behind, later) in [(copy, false), (copy, true), ("noise", false), ("noise", true), ("\r\n", false)] {
         let upstream = Peer::new();
@@ -209,11 +215,10 @@
         let mut client = balancer.connect();
         for id in ["r-1", "r-2", "r-3"] {
             client.write_all(request("pay", id, "").as_bytes()).expect("it reads");
-            // Each on a new connection: the one before is of no further use.
+            // Each on a new connection: the one before cannot be reused.
             let mut stream = upstream.accept();
             assert_eq!(read(&mut stream).expect("an attempt").header("req-id"), Some(id));
-            let own = format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{id}");
-            let own = own.replace("Length: 3", &format!("Length: {}", id.len()));
+            let own = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
             if later {
                 stream.write_all(own.as_bytes()).expect("it reads");
                 stream.write_all(behind.as_bytes()).expect("it reads");
@@ -222,13 +227,13 @@
             }
             let served = read(&mut client).expect("an answer");
             assert_eq!((served.status(), &served.body[..]), (200, id.as_bytes()), "{behind:?}");
-            std::thread::sleep(std::time::Duration::from_millis(20));
+            std::thread::sleep(Duration::from_millis(20));
         }
     }
 }
 
 #[test]
-fn early_answers_are_passed_over() {
+fn informational_responses_are_skipped() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let _requests = upstream.serve(|_, stream| {
@@ -243,7 +248,7 @@
 }
 
 #[test]
-fn the_connection_used_last_is_preferred() {
+fn the_most_recently_used_connection_is_preferred() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut clients = [balancer.connect(), balancer.connect()];
@@ -254,28 +259,28 @@
         read(&mut stream).expect("an attempt");
         streams.push(stream);
     }
-    for at in [1, 0] {
-        ok(&mut streams[at]);
-        assert_eq!(read(&mut clients[at]).expect("an answer").status(), 200);
+    for index in [1, 0] {
+        ok(&mut streams[index]);
+        assert_eq!(read(&mut clients[index]).expect("an answer").status(), 200);
     }
     clients[1].write_all(request("pay", "r-3", "").as_bytes()).expect("it reads");
     assert_eq!(read(&mut streams[0]).expect("an attempt").header("req-id"), Some("r-3"));
 }
 
 #[test]
-fn an_unsafe_request_stays_off_connections_of_an_age_that_broke() {
-    use std::time::Duration;
+fn a_request_that_is_not_idempotent_avoids_connections_of_an_age_that_broke() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
-    // Breaks a kept connection as soon as a second request is on it; the first few say that they close.
-    let number = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    // Closes a reused connection at its second request; the first few responses announce that they close theirs.
+    let requests = Arc::new(AtomicUsize::new(0));
     std::thread::spawn(move || {
         loop {
-            let (mut stream, number) = (upstream.accept(), number.clone());
+            let mut stream = upstream.accept();
+            let requests = requests.clone();
             std::thread::spawn(move || {
                 read(&mut stream).expect("a request");
-                let number = number.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-                // Long beside what breaks at once; the repeat is answered well within P50.
+                let number = requests.fetch_add(1, Ordering::SeqCst);
+                // Long compared with the connection that breaks at once; the retry is answered well within the median.
                 std::thread::sleep(Duration::from_millis(if number < 8 { 300 } else { 0 }));
                 answer(&mut stream, "200 OK", if number < 7 { "Connection: close\r\n" } else { "" }, b"done");
                 let _ = read(&mut stream);
@@ -287,7 +292,7 @@
         assert_eq!(exchange(&mut client, &request("look", &format!("r-{id}"), "")).status(), 200);
     }
     std::thread::sleep(Duration::from_millis(20));
-    // Meets the kept connection, breaks and goes out once more.
+    // Reuses the connection, which breaks, and is retried.
     assert_eq!(exchange(&mut client, &request("look", "r-8", "")).status(), 200);
     std::thread::sleep(Duration::from_millis(600));
     assert_eq!(exchange(&mut client, &request("pay", "r-9", "")).status(), 200);
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that are too long to be held, both ways.
+//! Bodies that are too long to be buffered, in both directions.
 
 mod common;
 
@@ -8,13 +8,14 @@
 
 use common::*;
 
+/// Bytes of a body far beyond what is buffered.
 const LARGE: usize = 3_000_000;
 
-fn bytes(n: usize) -> Vec<u8> {
-    (0..n).map(|i| (i % 251) as u8).collect()
+fn pattern(length: usize) -> Vec<u8> {
+    (0..length).map(|i| (i % 251) as u8).collect()
 }
 
-/// A head for an upload; `framing` and `headers` end each line.
+/// The head of a request with a body; `framing` is its header lines.
 fn head(class: &str, id: &str, framing: &str) -> String {
     let key = if class == "pull" { format!("Idempotency-Key: k-{id}\r\n") } else { String::new() };
     format!(
@@ -26,7 +27,7 @@
     [format!("{:x};ext=1\r\n", data.len()).as_bytes(), data, b"\r\n"].concat()
 }
 
-/// A head, byte by byte, so that nothing of the body is taken with it.
+/// Reads a head byte by byte, so that nothing of the body is taken with it. In lower case.
 fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -37,7 +38,7 @@
     String::from_utf8(head).expect("text").to_lowercase()
 }
 
-/// A body in chunks; nothing if it breaks off.
+/// Reads a chunked body; none if it breaks off.
 fn read_chunks(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -60,8 +61,9 @@
 }
 
 #[test]
-fn a_long_request_goes_on_while_it_comes() {
-    let (upstream, body) = (Peer::new(), bytes(LARGE));
+fn a_long_request_is_forwarded_while_it_comes() {
+    let upstream = Peer::new();
+    let body = pattern(LARGE);
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
     client
@@ -70,12 +72,12 @@
     client.write_all(&body[..LARGE / 2]).expect("it reads");
     let mut stream = upstream.accept();
     assert!(read_head(&mut stream).contains(&format!("content-length: {LARGE}\r\n")));
-    let mut got = vec![0; LARGE / 2];
-    stream.read_exact(&mut got).expect("what has come so far");
+    let mut received = vec![0; LARGE / 2];
+    stream.read_exact(&mut received).expect("what has come so far");
     client.write_all(&body[LARGE / 2..]).expect("it reads");
-    got.resize(LARGE, 0);
-    stream.read_exact(&mut got[LARGE / 2..]).expect("the rest");
-    assert!(got == body, "the body differs");
+    received.resize(LARGE, 0);
+    stream.read_exact(&mut received[LARGE / 2..]).expect("the rest");
+    assert!(received == body, "the body differs");
     ok(&mut stream);
     assert_eq!(read(&mut client).expect("an answer").status(), 200);
     // Both connections take the next request.
@@ -86,8 +88,9 @@
 }
 
 #[test]
-fn a_long_request_in_chunks_goes_on_in_chunks() {
-    let (upstream, body) = (Peer::new(), bytes(LARGE));
+fn a_long_chunked_request_is_forwarded_chunked() {
+    let upstream = Peer::new();
+    let body = pattern(LARGE);
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
     let framing = "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\nTrailer: X-End\r\n";
@@ -96,19 +99,21 @@
     let mut writer = client.try_clone().expect("a descriptor");
     let sent = body.clone();
     let writing = std::thread::spawn(move || {
-        sent.chunks(9_999).for_each(|data| writer.write_all(&chunk(data)).expect("it reads"));
+        for data in sent.chunks(9_999) {
+            writer.write_all(&chunk(data)).expect("it reads");
+        }
         writer.write_all(b"0\r\nX-End: 1\r\n\r\n").expect("it reads");
     });
     let mut stream = upstream.accept();
     assert!(read_head(&mut stream).contains("transfer-encoding: chunked\r\n"));
-    assert!(read_chunks(&mut stream).expect("a whole body") == body, "the body differs");
+    assert!(read_chunks(&mut stream).expect("a complete body") == body, "the body differs");
     writing.join().expect("it was read");
     ok(&mut stream);
     assert_eq!(read(&mut client).expect("an answer").status(), 200);
 }
 
 #[test]
-fn a_slow_request_is_no_late_one() {
+fn the_deadline_starts_with_the_last_byte_of_a_slow_request() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
@@ -124,53 +129,53 @@
 }
 
 #[test]
-fn a_request_that_ends_early_reaches_nobody_whole_and_is_not_sent_again() {
+fn a_truncated_request_is_never_forwarded_complete_and_not_retried() {
     for framing in ["Content-Length: 3000000\r\n", "Transfer-Encoding: chunked\r\n"] {
         let upstream = Peer::new();
         let balancer = Setup::knowing(&[upstream.address]).start();
         let mut client = balancer.connect();
         client.write_all(head("pull", "r-1", framing).as_bytes()).expect("it reads");
-        let data = bytes(200_000);
+        let data = pattern(200_000);
         let sent = if framing.starts_with('C') { data } else { chunk(&data) };
         client.write_all(&sent).expect("it reads");
         let mut stream = upstream.accept();
         read_head(&mut stream);
         client.shutdown(Shutdown::Both).expect("it closes");
-        let mut got = Vec::new();
-        let _ = stream.read_to_end(&mut got);
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
         assert!(
-            !got.ends_with(b"0\r\n\r\n") && got.len() < 3_000_000,
-            "{framing}: it ends as if it were whole"
+            !received.ends_with(b"0\r\n\r\n") && received.len() < 3_000_000,
+            "{framing}: it ends as if it were complete"
         );
         assert_eq!(balancer.ask(READY).status(), 200);
-        assert!(upstream.quiet(), "{framing}: it was sent again");
+        assert!(upstream.quiet(), "{framing}: it was retried");
     }
 }
 
 #[test]
-fn a_request_that_is_spent_is_not_sent_again() {
+fn a_request_whose_body_is_consumed_is_not_retried() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
     client.write_all(head("pull", "r-1", "Content-Length: 3000000\r\n").as_bytes()).expect("it reads");
-    client.write_all(&bytes(400_000)).expect("it reads");
+    client.write_all(&pattern(400_000)).expect("it reads");
     let mut stream = upstream.accept();
     read_head(&mut stream);
-    stream.read_exact(&mut [0; 300_000]).expect("more than is kept");
+    stream.read_exact(&mut vec![0; 300_000]).expect("more than is buffered");
     drop(stream);
-    // It never ran: its caller may try again.
-    let refused = read(&mut client).expect("an answer");
-    assert_eq!((refused.status(), refused.header("connection")), (503, Some("close")));
-    assert!(upstream.quiet(), "it was sent again");
+    // It never ran: the client may retry.
+    let rejected = read(&mut client).expect("an answer");
+    assert_eq!((rejected.status(), rejected.header("connection")), (503, Some("close")));
+    assert!(upstream.quiet(), "it was retried");
 }
 
 #[test]
-fn an_early_answer_ends_a_long_request() {
+fn an_early_response_ends_a_long_request() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
     client.write_all(head("pay", "r-1", "Content-Length: 3000000\r\n").as_bytes()).expect("it reads");
-    client.write_all(&bytes(200_000)).expect("it reads");
+    client.write_all(&pattern(200_000)).expect("it reads");
     let mut stream = upstream.accept();
     read_head(&mut stream);
     answer(&mut stream, "503 Busy", "Srv-Declined: 1\r\n", b"");
@@ -178,24 +183,25 @@
 }
 
 #[test]
-fn a_request_over_the_limit_is_refused_on_the_way() {
+fn a_request_over_the_size_limit_is_rejected_on_the_way() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     std::thread::spawn(move || {
         let mut stream = upstream.accept();
-        while stream.read(&mut [0; 65_536]).is_ok_and(|n| n > 0) {}
+        let mut received = vec![0; 65_536];
+        while stream.read(&mut received).is_ok_and(|length| length > 0) {}
     });
     let mut client = balancer.connect();
     client.write_all(head("pay", "r-1", "Transfer-Encoding: chunked\r\n").as_bytes()).expect("it reads");
-    let data = chunk(&bytes(1 << 20));
+    let data = chunk(&pattern(1 << 20));
     while client.write_all(&data).is_ok() {}
     assert!(read(&mut client).is_none_or(|answer| answer.status() == 413));
     assert_eq!(balancer.ask(READY).status(), 200);
 }
 
 #[test]
-fn a_long_answer_goes_on_while_it_comes() {
-    let body = bytes(LARGE);
+fn a_long_response_is_forwarded_while_it_comes() {
+    let body = pattern(LARGE);
     for framing in [&format!("Content-Length: {LARGE}\r\n")[..], "Transfer-Encoding: chunked\r\n", ""] {
         let upstream = Peer::new();
         let balancer = Setup::knowing(&[upstream.address]).start();
@@ -208,7 +214,7 @@
         stream.write_all(&form(&body[..1000])).expect("it reads");
         let head = read_head(&mut client);
         assert!(head.starts_with("http/1.1 200 ok"), "{framing}: {head}");
-        // Its head has gone on: no limit ends it.
+        // Its head was forwarded: no time limit ends it.
         std::thread::sleep(Duration::from_millis(1500));
         let rest = body[1000..].to_vec();
         let end = if framing.starts_with('T') { "0\r\n\r\n" } else { "" };
@@ -216,7 +222,9 @@
         let writing = std::thread::spawn({
             let parts: Vec<_> = rest.chunks(77_777).map(form).collect();
             move || {
-                parts.iter().for_each(|part| stream.write_all(part).expect("it reads"));
+                for part in &parts {
+                    stream.write_all(part).expect("it reads");
+                }
                 stream.write_all(end.as_bytes()).expect("it reads");
                 if !framed {
                     stream.shutdown(Shutdown::Write).expect("it ends");
@@ -224,16 +232,16 @@
                 stream
             }
         });
-        let got = if head.contains("content-length") {
-            let mut got = vec![0; LARGE];
-            client.read_exact(&mut got).expect("a whole body");
-            got
+        let received = if head.contains("content-length") {
+            let mut received = vec![0; LARGE];
+            client.read_exact(&mut received).expect("a complete body");
+            received
         } else {
             read_chunks(&mut client).unwrap_or_else(|| {
                 panic!("{framing}: it breaks off");
             })
         };
-        assert!(got == body, "{framing}: the answer differs");
+        assert!(received == body, "{framing}: the answer differs");
         let mut stream = writing.join().expect("it was read");
         if framed {
             client.write_all(request("pay", "r-2", "").as_bytes()).expect("it reads");
@@ -243,7 +251,7 @@
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_seen_not_to_be_whole() {
+fn a_truncated_long_response_is_seen_to_be_incomplete() {
     for framing in ["Content-Length: 3000000\r\n", "Transfer-Encoding: chunked\r\n"] {
         let upstream = Peer::new();
         let balancer = Setup::knowing(&[upstream.address]).start();
@@ -252,25 +260,28 @@
         let mut stream = upstream.accept();
         read(&mut stream).expect("an attempt");
         stream.write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n").as_bytes()).expect("it reads");
-        let data = bytes(200_000);
+        let data = pattern(200_000);
         stream.write_all(&if framing.starts_with('T') { chunk(&data) } else { data }).expect("it reads");
         read_head(&mut client);
         drop(stream);
-        let mut got = Vec::new();
-        let _ = client.read_to_end(&mut got);
-        assert!(!got.ends_with(b"0\r\n\r\n") && got.len() < 3_000_000, "{framing}: it seems whole");
-        assert!(upstream.quiet(), "{framing}: asked again after its beginning went on");
+        let mut received = Vec::new();
+        let _ = client.read_to_end(&mut received);
+        assert!(
+            !received.ends_with(b"0\r\n\r\n") && received.len() < 3_000_000,
+            "{framing}: it seems complete"
+        );
+        assert!(upstream.quiet(), "{framing}: retried after its beginning was forwarded");
     }
 }
 
 #[test]
-fn callers_that_read_slowly_take_no_memory_and_hold_nobody_else() {
+fn clients_that_read_slowly_take_no_memory_and_delay_nobody_else() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
-    let long = bytes(30_000_000);
+    let long = pattern(30_000_000);
     let _requests = upstream.serve(move |message, stream| {
         let long = message.header("x-long").is_some();
-        if long { answer(stream, "200 OK", "", &self::bytes(30_000_000)) } else { ok(stream) }
+        if long { answer(stream, "200 OK", "", &pattern(30_000_000)) } else { ok(stream) }
     });
     let slow: Vec<_> = (0..6)
         .map(|id| {
@@ -287,12 +298,12 @@
     }
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", balancer.child.id())).expect("its status");
-    let held = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory").trim();
-    let held: usize = held.trim_end_matches(" kB").parse().expect("a number");
-    assert!(held < 20_000, "{held} kB for six answers of 30 MB");
+    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory").trim();
+    let resident: usize = resident.trim_end_matches(" kB").parse().expect("a number");
+    assert!(resident < 20_000, "{resident} kB for six answers of 30 MB");
     for mut client in slow {
-        let mut got = vec![0; long.len()];
-        client.read_exact(&mut got).expect("the rest");
-        assert!(got == long, "the answer differs");
+        let mut received = vec![0; long.len()];
+        client.read_exact(&mut received).expect("the rest");
+        assert!(received == long, "the answer differs");
     }
 }
