--- /dev/null
+++ b/crates/cli/tests/docs.rs
@@ -0,0 +1,53 @@
+//! The pages name files of the repository: a page that names one that is gone misleads its reader.
+
+use std::path::{Path, PathBuf};
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+/// The quoted paths of a page: `crates/...`, `docs/...`, `deploy/...`, without a trailing `::item` or wildcard.
+fn paths(page: &str) -> Vec<String> {
+    let quoted = page.split('`').skip(1).step_by(2);
+    quoted
+        .filter(|text| ["crates/", "docs/", "deploy/"].iter().any(|folder| text.starts_with(folder)))
+        .filter(|text| !text.contains([' ', '*', '{', '<']))
+        .map(|text| text.split("::").next().unwrap_or(text).trim_end_matches('/').to_owned())
+        .collect()
+}
+
+#[test]
+fn every_path_that_a_page_names_exists() {
+    let mut missing = Vec::new();
+    for page in [
+        "README.md",
+        "CONTRIBUTING.md",
+        "docs/architecture.md",
+        "docs/operations.md",
+        "docs/crossings.md",
+        "docs/model.md",
+    ] {
+        let text =
+            std::fs::read_to_string(root().join(page)).unwrap_or_else(|error| panic!("{page}: {error}"));
+        let named = paths(&text);
+        missing.extend(named.into_iter().filter(|path| !root().join(path).exists()).map(|path| (page, path)));
+    }
+    assert!(missing.is_empty(), "pages name files that do not exist: {missing:?}");
+}
+
+#[test]
+fn the_architecture_page_names_every_crate_and_every_module_folder_of_the_proxy() {
+    let page = std::fs::read_to_string(root().join("docs/architecture.md")).expect("the page");
+    for folder in ["crates", "crates/proxy/src"] {
+        for entry in std::fs::read_dir(root().join(folder)).expect("a folder") {
+            let entry = entry.expect("an entry");
+            if entry.file_type().expect("its type").is_dir() {
+                let name = entry.file_name().into_string().expect("a plain name");
+                assert!(
+                    page.contains(&format!("`{folder}/{name}`")),
+                    "the page does not name {folder}/{name}"
+                );
+            }
+        }
+    }
+}
