--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery and what its news do.
+//! The calls to discovery, and what the endpoint lists that it sends change.
 
 mod common;
 
@@ -7,24 +7,24 @@
 
 use common::*;
 
-fn asking(discovery: &Peer, upstream: &Peer) -> Balancer {
+fn start_polling(discovery: &Peer, upstream: &Peer) -> Balancer {
     let setup = Setup::knowing(&[upstream.address]);
-    // Idle connections are kept longer than any test waits: what closes them is the news.
+    // Idle connections are kept longer than any test waits: only a list closes them.
     let limits = r#","IdleCloseMs":90000.0"#;
     Setup { discovery: Some(discovery.address), limits, ..setup }.start()
 }
 
 #[test]
-fn a_watch_goes_on_from_the_version_told() {
+fn a_watch_continues_from_the_version_received() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
-    let _balancer = asking(&discovery, &upstream);
-    let mut line = discovery.accept();
+    let _balancer = start_polling(&discovery, &upstream);
+    let mut connection = discovery.accept();
     for generation in [41, 43, 44] {
-        let call = read(&mut line).expect("a call");
+        let call = read(&mut connection).expect("a call");
         let start = format!("GET /registry/instances?index={generation}&wait=");
         assert!(call.first_line().starts_with(&start), "{}", call.first_line());
         let next = if generation == 41 { 43 } else { generation + 1 };
-        answer(&mut line, "200 OK", "", list(next, false, &[]).as_bytes());
+        answer(&mut connection, "200 OK", "", list(next, false, &[]).as_bytes());
     }
 }
 
@@ -56,24 +56,24 @@
 #[test]
 fn any_failure_of_the_watch_is_followed_by_another_call() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
-    let balancer = asking(&discovery, &upstream);
+    let balancer = start_polling(&discovery, &upstream);
     for failure in ["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "", "what?\r\n\r\n"] {
-        let mut line = discovery.accept();
-        read(&mut line).expect("a call");
-        let _ = line.write_all(failure.as_bytes());
+        let mut connection = discovery.accept();
+        read(&mut connection).expect("a call");
+        let _ = connection.write_all(failure.as_bytes());
     }
-    let mut line = discovery.accept();
-    read(&mut line).expect("a call");
-    answer(&mut line, "200 OK", "", b"{\"generation\":\"none\"}");
-    let mut line = discovery.accept();
-    let call = read(&mut line).expect("a call");
+    let mut connection = discovery.accept();
+    read(&mut connection).expect("a call");
+    answer(&mut connection, "200 OK", "", b"{\"generation\":\"none\"}");
+    let mut connection = discovery.accept();
+    let call = read(&mut connection).expect("a call");
     assert!(call.first_line().contains("index=41&"), "{}", call.first_line());
-    // The list held before is good all the while.
+    // The list received before stays in force all the while.
     assert_eq!(balancer.ask(READY).status(), 200);
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_begun_anew_long_before_a_long_wait_is_over() {
+fn a_silent_watch_is_restarted_long_before_its_wait_is_over() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
     let setup = Setup::knowing(&[upstream.address]);
     let setup = Setup { discovery: Some(discovery.address), unasked: true, drain_grace_ms: 1000, ..setup };
@@ -84,51 +84,51 @@
     assert!(call.first_line().contains("&wait=400 "), "{}", call.first_line());
     let call = read(&mut discovery.accept()).expect("a call on a new connection");
     assert!(call.first_line().contains("index=41&"), "{}", call.first_line());
-    // Wide bounds: it takes under a second, and a watch of 20 s would take that long.
+    // Wide bounds: it takes under a second; a watch of 20 s would take that long.
     assert!(start.elapsed() < Duration::from_secs(15));
-    // The list held before is good all the while.
+    // The list received before stays in force all the while.
     assert_eq!(balancer.ask(READY).status(), 200);
 }
 
 #[test]
-fn news_that_is_to_come_unasked_is_watched_for_from_the_start_and_whatever_fails() {
+fn a_policy_that_does_not_poll_is_served_by_a_watch_that_restarts_itself() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
     let setup = Setup::knowing(&[nowhere()]);
     let balancer = Setup { discovery: Some(discovery.address), unasked: true, ..setup }.start();
     for failure in ["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "", "what?\r\n\r\n"] {
-        let mut line = discovery.accept();
-        let call = read(&mut line).expect("a call");
+        let mut connection = discovery.accept();
+        let call = read(&mut connection).expect("a call");
         assert!(call.first_line().contains("index=41&"), "{}", call.first_line());
-        let _ = line.write_all(failure.as_bytes());
+        let _ = connection.write_all(failure.as_bytes());
     }
-    let mut line = discovery.accept();
-    read(&mut line).expect("a call");
+    let mut connection = discovery.accept();
+    read(&mut connection).expect("a call");
     let moved = [entry("s-0", upstream.address, "SERVING")];
-    answer(&mut line, "200 OK", "", list(42, false, &moved).as_bytes());
-    read(&mut line).expect("the next call: the list was taken");
+    answer(&mut connection, "200 OK", "", list(42, false, &moved).as_bytes());
+    read(&mut connection).expect("the next call, after the list was applied");
     let _requests = upstream.serve(|_, stream| ok(stream));
     assert_eq!(balancer.ask(&request("pay", "r-1", "")).status(), 200);
 }
 
 #[test]
-fn without_a_known_list_the_whole_list_is_asked_for_first() {
+fn without_a_cached_list_the_complete_list_is_fetched_first() {
     let discovery = Peer::new();
     let setup = Setup { discovery: Some(discovery.address), unasked: true, ..Setup::knowing(&[]) };
     let balancer = setup.start();
     assert_eq!(balancer.ask(READY).status(), 503);
-    let mut line = discovery.accept();
-    assert_eq!(read(&mut line).expect("a call").first_line(), "GET /registry/instances HTTP/1.1");
-    answer(&mut line, "200 OK", "", list(0, true, &[]).as_bytes());
-    read(&mut line).expect("the next call: the list was taken");
+    let mut connection = discovery.accept();
+    assert_eq!(read(&mut connection).expect("a call").first_line(), "GET /registry/instances HTTP/1.1");
+    answer(&mut connection, "200 OK", "", list(0, true, &[]).as_bytes());
+    read(&mut connection).expect("the next call, after the list was applied");
     assert_eq!(balancer.ask(READY).status(), 200);
 }
 
 #[test]
-fn what_drains_or_is_gone_gets_nothing_new_and_what_moved_is_found() {
+fn endpoints_that_drain_or_are_gone_get_no_new_requests_and_moved_ones_are_found() {
     let (discovery, old, new) = (Peer::new(), Peer::new(), Peer::new());
-    let balancer = asking(&discovery, &old);
-    let mut line = discovery.accept();
-    read(&mut line).expect("a call");
+    let balancer = start_polling(&discovery, &old);
+    let mut connection = discovery.accept();
+    read(&mut connection).expect("a call");
     let mut client = balancer.connect();
     let mut serve = |peer: &Peer, id: &str| {
         client.write_all(request("pay", id, "").as_bytes()).expect("it reads");
@@ -139,33 +139,33 @@
         stream
     };
     let mut tell = |generation, reset, entries: &[String]| {
-        answer(&mut line, "200 OK", "", list(generation, reset, entries).as_bytes());
-        read(&mut line).expect("the next call: the list was taken");
+        answer(&mut connection, "200 OK", "", list(generation, reset, entries).as_bytes());
+        read(&mut connection).expect("the next call, after the list was applied");
     };
     let mut before = serve(&old, "r-1");
     tell(42, false, &[entry("s-0", new.address, "SERVING")]);
-    assert!(closed(&mut before), "a connection to where it was");
+    assert!(closed(&mut before), "a connection to its former address");
     let _moved = serve(&new, "r-2");
     tell(43, false, &[entry("s-0", new.address, "DRAINING"), entry("s-1", old.address, "SERVING")]);
     let mut other = serve(&old, "r-3");
     tell(44, false, &[entry("s-1", old.address, "DELETED"), entry("s-2", new.address, "SERVING")]);
-    assert!(closed(&mut other), "a connection to what is gone");
+    assert!(closed(&mut other), "a connection to a removed endpoint");
     let mut last = serve(&new, "r-4");
-    // A whole list without it: gone as well.
+    // A complete list without it removes it as well.
     tell(45, true, &[entry("s-3", old.address, "SERVING")]);
-    assert!(closed(&mut last), "a connection to what is not listed");
+    assert!(closed(&mut last), "a connection to an endpoint that is not listed");
     let _served = serve(&old, "r-5");
 }
 
 #[test]
-fn nothing_waits_for_a_connection_to_one_that_takes_nothing_new() {
-    // It drains, is gone, has another address, or is out by hand: each told while its connection comes up.
-    for news in ["DRAINING", "DELETED", "SERVING", "by hand"] {
+fn no_request_waits_for_a_connection_to_an_endpoint_that_is_closed_to_new_requests() {
+    // It drains, is removed, has moved, or is excluded by an operator, each while its connection is being established.
+    for change in ["DRAINING", "DELETED", "SERVING", "excluded"] {
         let (discovery, upstream, stalled) = (Peer::new(), Peer::new(), Stalled::new());
         let address = upstream.address;
         let _requests = upstream.serve(|_, stream| ok(stream));
         let setup = Setup::knowing(&[stalled.address]);
-        // No connection fails in time to go elsewhere for that reason.
+        // No connection attempt fails in time for a retry elsewhere to be the reason.
         let setup = Setup { connect_timeout_ms: 60_000, discovery: Some(discovery.address), ..setup };
         let balancer = Setup { management: Some("127.0.0.1:0"), ..setup }.start();
         let mut client = balancer.connect();
@@ -175,22 +175,22 @@
         read(&mut watch).expect("a call");
         let moved = entry("s-0", address, "SERVING");
         let other = entry("s-1", address, "SERVING");
-        let changes = match news {
+        let changes = match change {
             "SERVING" => vec![moved],
-            "by hand" => vec![other],
-            _ => vec![entry("s-0", stalled.address, news), other],
+            "excluded" => vec![other],
+            _ => vec![entry("s-0", stalled.address, change), other],
         };
         answer(&mut watch, "200 OK", "", list(42, false, &changes).as_bytes());
-        if news == "by hand" {
+        if change == "excluded" {
             read(&mut watch).expect("the next call");
             assert_eq!(balancer.call("POST", "/api/exclude/s-0"), 200);
         }
-        assert_eq!(read(&mut client).expect("an answer").status(), 200, "{news}");
+        assert_eq!(read(&mut client).expect("an answer").status(), 200, "{change}");
     }
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_takes_no_others_with_it_and_gets_nothing_new() {
+fn an_unreadable_entry_does_not_invalidate_others_and_its_instance_gets_no_new_requests() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
     let first = Peer::new();
     let setup = Setup::knowing(&[first.address]);
@@ -198,7 +198,7 @@
     let good = entry("s-9", upstream.address, "SERVING");
     let _requests = upstream.serve(|_, stream| ok(stream));
     let mut watch = discovery.accept();
-    // Indented, as lists may come.
+    // Indented, which lists may be.
     let bad = entry("s-0", first.address, "RESTING").replace(',', ",\n  ");
     let lost = r#"{"instanceId":"s-7","zone":"a","lifecycle":"SERVING"}"#.to_owned();
     for (generation, reset, entries) in [
@@ -217,18 +217,18 @@
     for i in 0..20 {
         assert_eq!(balancer.ask(&request("pay", &format!("r-{i}"), "")).status(), 200);
     }
-    assert!(first.quiet(), "it was asked though its entry could not be read");
+    assert!(first.quiet(), "a request was sent to the endpoint whose entry cannot be read");
 }
 
 #[test]
-fn changes_that_lead_to_an_older_version_are_followed_by_the_whole_list() {
+fn after_changes_towards_an_older_version_the_complete_list_is_fetched() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
-    let _balancer = asking(&discovery, &upstream);
-    let mut line = discovery.accept();
-    assert!(read(&mut line).expect("a call").first_line().contains("index=41&"));
-    answer(&mut line, "200 OK", "", list(40, false, &[]).as_bytes());
-    assert_eq!(read(&mut line).expect("a call").first_line(), "GET /registry/instances HTTP/1.1");
-    // What discovery holds counts, be its versions what they are.
-    answer(&mut line, "200 OK", "", list(7, true, &[]).as_bytes());
-    assert!(read(&mut line).expect("a call").first_line().contains("index=7&"));
+    let _balancer = start_polling(&discovery, &upstream);
+    let mut connection = discovery.accept();
+    assert!(read(&mut connection).expect("a call").first_line().contains("index=41&"));
+    answer(&mut connection, "200 OK", "", list(40, false, &[]).as_bytes());
+    assert_eq!(read(&mut connection).expect("a call").first_line(), "GET /registry/instances HTTP/1.1");
+    // The complete list is applied whatever its version.
+    answer(&mut connection, "200 OK", "", list(7, true, &[]).as_bytes());
+    assert!(read(&mut connection).expect("a call").first_line().contains("index=7&"));
 }
