--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -22,7 +22,7 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 use zincstand_policy::{ListKind, ServerState};
-use zincstand_settings::{micros, one};
+use zincstand_settings::{micros_from_millis, unit_weight};
 
 use crate::discovery::endpoint::Endpoint;
 
@@ -81,7 +81,7 @@
     #[serde(default)]
     cell: u32,
     lifecycle: Lifecycle,
-    #[serde(default = "one")]
+    #[serde(default = "unit_weight")]
     weight: f64,
     #[serde(default)]
     started_at_ms: f64,
@@ -139,7 +139,7 @@
                 },
                 weight: i.weight,
                 started: (i.started_at_ms > 0.0 && i.started_at_ms.is_finite())
-                    .then(|| micros(i.started_at_ms)),
+                    .then(|| micros_from_millis(i.started_at_ms)),
             })
         };
         self.instances.into_iter().filter_map(entry).collect()
--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy as policy;
 use zincstand_policy::{ListKind, ServerId, ServerState};
-use zincstand_settings::{Names, ring};
+use zincstand_settings::{Names, ring_position};
 
 use crate::discovery::endpoint::{Endpoint, Target};
 use crate::lifecycle::overrides::OperatorOverrides;
@@ -53,7 +53,7 @@
             kind: self.kind,
             cell: l.cell,
             // Of the instance: its address differs between balancers, the ring must not.
-            ring_position: ring(&l.instance),
+            ring_position: ring_position(&l.instance),
             state: match l.state {
                 ServerState::Ready if orders.excluded.contains(&l.instance) => ServerState::Draining,
                 state => state,
@@ -80,8 +80,8 @@
 impl Registry {
     /// None listed; `zones` holds the numbers that the settings use.
     pub fn new(zones: &Names) -> Registry {
-        let settled = zones.names.len() as u32;
-        let named = zones.names.iter().cloned().zip(0..).collect();
+        let settled = zones.as_slice().len() as u32;
+        let named = zones.as_slice().iter().cloned().zip(0..).collect();
         let none = || Numbers { by_name: HashMap::new(), next: 0 };
         let zones = Numbers { by_name: named, next: settled };
         Registry {
--- a/crates/proxy/src/discovery/registry/tests.rs
+++ b/crates/proxy/src/discovery/registry/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn what_is_gone_is_forgotten_and_its_number_never_given_again() {
     let mut zones = Names::default();
-    let home = zones.number("home");
+    let home = zones.intern("home");
     let mut registry = Registry::new(&zones);
     let mut seen = HashSet::new();
     for round in 0..1000 {
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 use zincstand_policy as policy;
 use zincstand_policy::{ListKind, Micros, ServerId};
-use zincstand_settings::{Names, settings};
+use zincstand_settings::Names;
 
 use crate::admin::AdminServer;
 use crate::config::Config;
@@ -154,7 +154,7 @@
     let mut interrupt = order(SignalKind::interrupt())?;
     let mut config = Config::read(variable)?;
     let mut zones = Names::default();
-    let settings = settings(&config.setup, &mut zones)?;
+    let settings = config.setup.to_policy_settings(&mut zones).map_err(|error| error.to_string())?;
 
     let shared = inherited.is_some();
     let folder = if shared || config.management.is_some() { overrides::folder(variable)? } else { None };
@@ -171,14 +171,9 @@
     let unasked = settings.discovery == policy::DiscoveryMode::Push;
     let drain_grace = Duration::from_micros(settings.rules.drain_grace);
     let discovery = Discovery::new(config.discovery, generation, unasked, drain_grace);
-    let classes: Vec<_> = config
-        .setup
-        .categories
-        .iter()
-        .map(|c| c.name.clone())
-        .zip(settings.classes.iter().cloned())
-        .collect();
-    let tenants = config.setup.realms.iter().map(|r| r.name.clone()).collect();
+    let classes: Vec<_> =
+        config.setup.classes.iter().map(|c| c.name.clone()).zip(settings.classes.iter().cloned()).collect();
+    let tenants = config.setup.tenants.iter().map(|r| r.name.clone()).collect();
     let engine = Dispatcher::new(
         settings,
         &zones,
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/conversion/tests.rs
@@ -14,7 +14,7 @@
         "OverloadFactor":3.0,"TipAfterMs":4.0,"WarmAfterMs":24.0},"Stage":1,"Stats":{"How":"probe"},
         "Tariffs":{"Connection":1.0,"CrossZone":2.0,"Discovery":3.0,"Handshake":4.0,"LateFail":5.0,
         "Probe":6.0,"Waste":7.0},"Tiers":["x","y"],"Weights":"live","WorthBy":"work","Zone":"b"}"#;
-    let setup = serde_json::from_str(setup).expect("a setup");
+    let setup: Setup = serde_json::from_str(setup).expect("a setup");
     let expected = policy::Settings {
         balancer_index: 3,
         balancer_count: 5,
@@ -81,5 +81,23 @@
         },
         tick: 5_000,
     };
-    assert_eq!(settings(&setup, &mut Names::default()), Ok(expected));
+    assert_eq!(setup.to_policy_settings(&mut Names::default()), Ok(expected));
+}
+
+#[test]
+fn values_that_are_absent_or_unknown_take_their_defaults() {
+    let setup = r#"{"Areas":[],"Balancers":1,"Categories":[{"DeadlineMs":9.0,"Effect":"dedup","Name":"c",
+        "TargetMs":8.0}],"Discovery":"automatic","GranularityMs":5.0,"Limits":{"MostTries":1},
+        "Rules":{"ColdFrom":0.1,"OverloadFactor":3.0,"TipAfterMs":4.0,"WarmAfterMs":24.0},
+        "Stats":{"How":"not known"},"Weights":"not known","WorthBy":"not known","Zone":"b","NotKnown":1}"#;
+    let setup: Setup = serde_json::from_str(setup).expect("a setup");
+    let settings = setup.to_policy_settings(&mut Names::default()).expect("settings without a fault");
+    assert_eq!((settings.zone_count, settings.tier_count, settings.over_quota_weight), (1, 1, 1.0));
+    assert_eq!(settings.weights, policy::ServerWeights::None);
+    assert_eq!(settings.load_reporting, policy::LoadReporting::None);
+    assert!(!settings.weight_by_work);
+    assert_eq!(settings.classes[0].priority_weight, 1.0);
+    let with_key = policy::Idempotency::WithKey { scope: policy::DedupScope::All, window: 0 };
+    assert_eq!(settings.classes[0].idempotency, with_key);
+    assert_eq!(settings.prices, policy::Prices::default());
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,51 +1,61 @@
-//! Joins the policy to the simulator: reads its wire on standard input and answers on standard output.
+//! Joins the policy to the simulator: reads the simulator's wire on standard input, replies on standard output.
+//!
+//! One process serves many balancers; they share nothing but the process. Exits at the end of the input, with
+//! status 0 if it lies between two batches.
 
+mod error;
 mod host;
 mod wire;
 
-use std::io::{self, BufRead, BufReader, BufWriter, Write};
+use std::io::{self, BufRead, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
+use crate::error::AdapterError;
+use crate::host::{BatchState, Host};
+
+/// Size of the buffers for input and output, in bytes: batches may run to megabytes.
+const BUFFER_SIZE: usize = 1 << 20;
+
 fn main() -> ExitCode {
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("zincstand-adapter: {why}");
+        Err(error) => {
+            eprintln!("zincstand-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Answers batch after batch until the input ends; an error names the line it is about.
-fn run(input: impl io::Read, output: impl Write) -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 20, input);
-    let mut output = BufWriter::with_capacity(1 << 20, output);
-    let mut host = host::Host::default();
+/// Replies to batch after batch until the input ends.
+fn run(input: impl Read, output: impl Write) -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(BUFFER_SIZE, input);
+    let mut output = BufWriter::with_capacity(BUFFER_SIZE, output);
+    let mut host = Host::default();
     let mut reply = Vec::new();
-    let mut line = Vec::new();
-    let mut number = 0_u64;
+    let mut text = Vec::new();
+    let mut line = 0;
     loop {
-        line.clear();
-        number += 1;
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("line {number}: {e}"))?;
-        if read == 0 {
-            return if host.in_batch() {
-                Err(format!("line {number}: input ends inside a batch"))
-            } else {
-                Ok(())
-            };
+        text.clear();
+        line += 1;
+        let length =
+            input.read_until(b'\n', &mut text).map_err(|source| AdapterError::Read { line, source })?;
+        if length == 0 {
+            break;
         }
-        if line.iter().all(u8::is_ascii_whitespace) {
+        if text.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let message = serde_json::from_slice(&line).map_err(|e| format!("line {number}: {e}"))?;
-        let done = host.take(message, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
-        if done {
-            output
-                .write_all(&reply)
-                .and_then(|()| output.flush())
-                .map_err(|e| format!("writing the reply: {e}"))?;
+        let message = serde_json::from_slice(&text).map_err(|source| AdapterError::Parse { line, source })?;
+        let batch =
+            host.receive(message, &mut reply).map_err(|source| AdapterError::Message { line, source })?;
+        if batch == BatchState::Complete {
+            output.write_all(&reply).map_err(AdapterError::Write)?;
+            output.flush().map_err(AdapterError::Write)?;
             reply.clear();
         }
     }
+    if host.is_in_batch() {
+        return Err(AdapterError::IncompleteBatch { line });
+    }
+    Ok(())
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -172,3 +172,19 @@
     let senseless = start(COMMIT).replace("\"MostTries\":3", "\"MostTries\":0");
     fails(&senseless, "no attempts allowed");
 }
+
+/// Two balancers over two seconds, one with pushed and one with polled discovery: requests of four classes, most
+/// kinds of outcome, a restart, a drain, a failed list. The replies were recorded from the adapter before its modules
+/// were split. After an intended change of decisions, record them anew:
+/// `zincstand-adapter < recorded-events.jsonl > recorded-replies.jsonl`.
+#[test]
+fn a_recorded_exchange_is_replied_to_byte_for_byte() {
+    let out = talk(include_str!("data/recorded-events.jsonl"));
+    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    let replies = String::from_utf8(out.stdout).expect("UTF-8");
+    let recorded = include_str!("data/recorded-replies.jsonl");
+    for (number, (reply, expected)) in replies.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(reply, expected, "line {}", number + 1);
+    }
+    assert_eq!(replies.len(), recorded.len());
+}
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -20,7 +20,7 @@
 use zincstand_proxy::discovery::endpoint::{Endpoint, Target};
 use zincstand_proxy::dispatch::transport::Transport;
 use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher};
-use zincstand_settings::{Names, Setup, settings};
+use zincstand_settings::{Names, Setup};
 
 use crate::discovery::processor_time;
 
@@ -185,7 +185,7 @@
     pub fn start(options: &Options) -> io::Result<Crowd> {
         let (mut names, text) = (Names::default(), setup(options));
         let setup: Setup = serde_json::from_value(text).map_err(io::Error::other)?;
-        let settings = settings(&setup, &mut names).map_err(io::Error::other)?;
+        let settings = setup.to_policy_settings(&mut names).map_err(io::Error::other)?;
         let (names, mark) = (Arc::new(names), Mark::default());
         let stalling = Arc::new(AtomicBool::new(false));
         let (sender, reached) = mpsc::channel();
