--- a/crates/cli/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -161,7 +161,7 @@
         let mut sides = Vec::new();
         for variant in VARIANTS {
             let (upstreams, discovery) = (Upstreams::start(size)?, Discovery::start()?);
-            discovery.set(upstreams.entries())?;
+            discovery.replace(upstreams.entries())?;
             let balancer =
                 Balancer::start(&bench.balancer, &variant.settings(&upstreams, &discovery)).await?;
             sides.push(Side { balancer, upstreams, _discovery: discovery });
--- a/crates/cli/src/scale/control.rs
+++ b/crates/cli/src/scale/control.rs
@@ -113,13 +113,13 @@
 
     for (name, mode) in [("discovery-down", Mode::Down), ("discovery-silent", Mode::Silent)] {
         for side in &sides {
-            side.discovery.mode(mode)?;
+            side.discovery.set_mode(mode)?;
         }
         let before = taken(&sides)?;
         sleep(down_span).await;
         slopes.extend(per_second(&format!("control/{name}"), &spent(&sides, &before)?));
         for side in &sides {
-            side.discovery.mode(Mode::Up)?;
+            side.discovery.set_mode(Mode::Up)?;
         }
         sleep(SETTLED).await;
     }
@@ -146,7 +146,7 @@
         let address = |i: usize| ([127, 0, (1 + i / 250) as u8, (1 + i % 250) as u8], 9).into();
         let entries: Vec<Entry> = (0..known).map(|i| Entry::serving(i, 1, address(i))).collect();
         let discovery = Discovery::start()?;
-        discovery.set(entries.clone())?;
+        discovery.replace(entries.clone())?;
         let settings = Settings { balancers: known as u32, ..Settings::alone(discovery.address()) };
         let balancer = Balancer::start(&bench.balancer, &settings).await?;
         Ok(Side { balancer, settings, discovery, entries })
@@ -162,7 +162,7 @@
         let entries = self.entries[..number].iter().map(|e| Entry { weight, ..e.clone() }).collect();
         match news {
             News::Part(_) => self.discovery.change(entries)?,
-            News::Whole => self.discovery.set(entries)?,
+            News::Whole => self.discovery.replace(entries)?,
         };
         Ok(())
     }
@@ -174,7 +174,7 @@
 fn taken(sides: &[Side]) -> Result<Vec<Taken>> {
     let one = |side: &Side| {
         let usage = side.balancer.usage().context("a balancer has ended under measurement")?;
-        Ok((usage, side.discovery.counted()?.total, Instant::now()))
+        Ok((usage, side.discovery.counters()?.total, Instant::now()))
     };
     sides.iter().map(one).collect()
 }
@@ -218,7 +218,7 @@
 /// one answer count as one; where there were none, by what was ordered so many times.
 fn beyond_idle(spent: &[Spent], idle: &[Spent], times: u32) -> Vec<Event> {
     let one = |(s, i): (&Spent, &Spent)| {
-        let told = s.traffic.changes + s.traffic.whole;
+        let told = s.traffic.deltas + s.traffic.snapshots;
         let events = if told > 0 { told as f64 } else { f64::from(times) };
         let idle = i.processor_us * s.seconds / i.seconds;
         // Watches that news cut short have no empty answers: all bytes are the news'.
--- a/crates/cli/src/scale/crowd.rs
+++ b/crates/cli/src/scale/crowd.rs
@@ -7,8 +7,8 @@
 use anyhow::{Context, Result, bail};
 use tokio::time::sleep;
 use zincstand_policy::{ListKind, ServerState};
-use zincstand_testbed::discovery::{Counted, Discovery, Entry, Lifecycle, Told};
-use zincstand_testbed::hollow::{Crowd, Learning, Options, Reached, Slow, descriptors};
+use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle, VersionChange};
+use zincstand_testbed::hollow::{Crowd, Options, Reached, Slow, UpdateMode, descriptors};
 
 /// What the pages' example has, and discovery's code derives its waits from.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_500);
@@ -62,10 +62,10 @@
 
 impl Scene {
     /// Started, each balancer holding the list and watching.
-    pub async fn start(balancers: u32, upstreams: usize, learning: Learning, seed: u64) -> Result<Scene> {
+    pub async fn start(balancers: u32, upstreams: usize, learning: UpdateMode, seed: u64) -> Result<Scene> {
         descriptors(2 * u64::from(balancers) + RESERVED)?;
         let discovery = Discovery::start().context("the stand-in discovery")?;
-        discovery.set((0..upstreams).map(entry).collect())?;
+        discovery.replace((0..upstreams).map(entry).collect())?;
         let cores = std::thread::available_parallelism().map_or(4, |n| n.get());
         let options = Options {
             balancers,
@@ -103,16 +103,20 @@
     }
 
     /// What has been counted once every balancer watches.
-    pub async fn all_waiting(&self) -> Result<Counted> {
+    pub async fn all_waiting(&self) -> Result<Counters> {
         let late = Instant::now() + LONG;
         loop {
-            let counted = self.discovery.counted()?;
+            let counted = self.discovery.counters()?;
             // At rest a few are always between two watches.
-            if counted.waiting >= u64::from(self.balancers - self.balancers / 100) {
+            if counted.waiting_watches >= u64::from(self.balancers - self.balancers / 100) {
                 return Ok(counted);
             }
             if Instant::now() > late {
-                bail!("only {} of {} balancers watch after {LONG:?}", counted.waiting, self.balancers);
+                bail!(
+                    "only {} of {} balancers watch after {LONG:?}",
+                    counted.waiting_watches,
+                    self.balancers
+                );
             }
             sleep(LOOK).await;
         }
@@ -120,12 +124,12 @@
 
     /// So many changes of one entry each, as fast as discovery takes them; the last one is marked. When discovery
     /// had the first.
-    pub fn change(&mut self, times: usize) -> Result<Told> {
+    pub fn change(&mut self, times: usize) -> Result<VersionChange> {
         let last = entry((self.changed + times - 1) % self.upstreams);
         self.crowd.mark(&last.instance_id, ServerState::Draining);
         let mut first = None;
         for _ in 0..times {
-            let entry = entry(self.changed % self.upstreams).now(Lifecycle::Draining);
+            let entry = entry(self.changed % self.upstreams).with_lifecycle(Lifecycle::Draining);
             self.changed += 1;
             let told = self.discovery.change(vec![entry])?;
             first.get_or_insert(told);
@@ -134,7 +138,7 @@
     }
 
     /// How long after that the balancers acted on the marked entry: all of them, and those that are never slow.
-    pub async fn lags(&self, told: Told) -> Result<(Lags, Lags)> {
+    pub async fn lags(&self, told: VersionChange) -> Result<(Lags, Lags)> {
         let first = self.first(|r| r.marked && r.at > told.at).await?;
         let lag = |at: &Instant| at.saturating_duration_since(told.at).as_secs_f64() * 1e3;
         let others = first.iter().filter(|(n, _)| !self.crowd.is_slow(**n)).map(|(_, at)| lag(at));
--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -109,7 +109,7 @@
     let state = if turn.is_multiple_of(2) { Lifecycle::Draining } else { Lifecycle::Serving };
     let number = |i| (first + i) % addresses.len();
     (0..BULK.min(addresses.len()))
-        .map(|i| Entry::serving(number(i), 1, addresses[number(i)]).now(state))
+        .map(|i| Entry::serving(number(i), 1, addresses[number(i)]).with_lifecycle(state))
         .collect()
 }
 
@@ -118,7 +118,7 @@
     let pair = |i: usize| {
         let (old, address) = (first / 2 + i, addresses[(first / 2 + i) % addresses.len()]);
         let new = Entry::serving(old + addresses.len(), 1, address);
-        [Entry::serving(old, 1, address).now(Lifecycle::Deleted), new]
+        [Entry::serving(old, 1, address).with_lifecycle(Lifecycle::Deleted), new]
     };
     (0..BULK.min(addresses.len()) / 2).flat_map(pair).collect()
 }
@@ -157,7 +157,7 @@
         change: impl FnOnce(&mut Settings),
     ) -> Result<(One, Upstreams)> {
         let (upstreams, discovery) = (Upstreams::start(known)?, Discovery::start()?);
-        discovery.set(upstreams.entries())?;
+        discovery.replace(upstreams.entries())?;
         let mut settings = Settings::alone(discovery.address());
         change(&mut settings);
         let balancer = Balancer::start(&bench.balancer, &settings).await?;
@@ -167,7 +167,7 @@
     /// Waits until the balancer asks for what follows a version.
     async fn holds(&self, version: u64) -> Result<()> {
         let late = Instant::now() + LONG;
-        while !self.discovery.seen()?.iter().any(|seen| seen.version >= version) {
+        while !self.discovery.take_acknowledgements()?.iter().any(|seen| seen.version >= version) {
             if Instant::now() > late {
                 bail!("the balancer does not take version {version} of the list over");
             }
--- a/crates/cli/src/scale/updates.rs
+++ b/crates/cli/src/scale/updates.rs
@@ -6,8 +6,8 @@
 use anyhow::{Result, bail};
 use tokio::time::sleep;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
-use zincstand_testbed::discovery::{Discovery, Lifecycle, Told};
-use zincstand_testbed::hollow::{Hush, Learning};
+use zincstand_testbed::discovery::{Discovery, Lifecycle, VersionChange};
+use zincstand_testbed::hollow::{Hush, UpdateMode};
 use zincstand_testbed::machine::Needs;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
@@ -57,7 +57,7 @@
 async fn real(bench: &Bench, rounds: u32) -> Result<Gathered> {
     let (sizes, (_, upstreams)) = (processes(bench), sizes(bench));
     let discovery = Discovery::start()?;
-    discovery.set((0..upstreams).map(entry).collect())?;
+    discovery.replace((0..upstreams).map(entry).collect())?;
     let (mut running, mut gathered, mut changed) = (Vec::new(), Gathered::default(), 0);
     for &processes in sizes {
         let mut settings = Settings::alone(discovery.address());
@@ -71,7 +71,7 @@
         for _ in 0..rounds {
             // Between two changes at no fixed point of a watch.
             sleep(Duration::from_millis(130)).await;
-            let told = discovery.change(vec![entry(changed).now(Lifecycle::Draining)])?;
+            let told = discovery.change(vec![entry(changed).with_lifecycle(Lifecycle::Draining)])?;
             changed += 1;
             lags.push(seen(&discovery, told, processes).await?);
         }
@@ -82,10 +82,11 @@
 }
 
 /// How long after a change so many watchers had taken its version over.
-async fn seen(discovery: &Discovery, told: Told, watchers: usize) -> Result<Lags> {
+async fn seen(discovery: &Discovery, told: VersionChange, watchers: usize) -> Result<Lags> {
     let (mut first, late) = (BTreeMap::new(), Instant::now() + LONG);
     while first.len() < watchers {
-        for seen in discovery.seen()?.into_iter().filter(|seen| seen.version >= told.version) {
+        for seen in discovery.take_acknowledgements()?.into_iter().filter(|seen| seen.version >= told.version)
+        {
             first.entry(seen.connection).or_insert(seen.at);
         }
         if Instant::now() > late {
@@ -134,7 +135,7 @@
     let (mut answers, mut processor) = (Vec::new(), Vec::new());
     for &balancers in sizes {
         let x = f64::from(balancers);
-        let mut scene = Scene::start(balancers, upstreams, Learning::Told, bench.seed).await?;
+        let mut scene = Scene::start(balancers, upstreams, UpdateMode::Push, bench.seed).await?;
         let (mut lags, before) = (Vec::new(), scene.crowd.processor());
         for _ in 0..rounds {
             let told = scene.change(1)?;
@@ -152,7 +153,7 @@
             scene.all_waiting().await?;
         }
         let passed = scene.all_waiting().await?.total.since(&before);
-        answers.push(Point { x, y: passed.changes as f64 / x / bursts as f64 });
+        answers.push(Point { x, y: passed.deltas as f64 / x / bursts as f64 });
         burst.add(balancers, &lags);
 
         scene.crowd.stall(true);
--- a/crates/cli/src/scale/watchers.rs
+++ b/crates/cli/src/scale/watchers.rs
@@ -5,8 +5,8 @@
 use anyhow::Result;
 use tokio::time::sleep;
 use zincstand_policy::ListKind;
-use zincstand_testbed::discovery::{BUCKET, Mode, Traffic};
-use zincstand_testbed::hollow::{Hush, Learning};
+use zincstand_testbed::discovery::{Mode, TRAFFIC_BUCKET, Traffic};
+use zincstand_testbed::hollow::{Hush, UpdateMode};
 use zincstand_testbed::machine::Needs;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
@@ -88,9 +88,14 @@
     let (peak, at) = busiest(counted.buckets_from(from));
     slopes.add(name, "connections", x, passed.connections as f64);
     slopes.add(name, "connections in the busiest 100 ms", x, peak as f64);
-    slopes.add(name, "ms to the start of the busiest 100 ms", x, at as f64 * BUCKET.as_secs_f64() * 1e3);
-    slopes.add(name, "calls", x, passed.calls as f64);
-    slopes.add(name, "whole lists", x, passed.whole as f64);
+    slopes.add(
+        name,
+        "ms to the start of the busiest 100 ms",
+        x,
+        at as f64 * TRAFFIC_BUCKET.as_secs_f64() * 1e3,
+    );
+    slopes.add(name, "calls", x, passed.requests as f64);
+    slopes.add(name, "whole lists", x, passed.snapshots as f64);
     slopes.add(name, "bytes out", x, passed.bytes_out as f64);
     slopes.add(name, "ms until the last acts on a change made at once", x, lags.last());
     Ok(())
@@ -106,21 +111,26 @@
     let mut slopes = Slopes::default();
     for &balancers in sizes {
         let x = f64::from(balancers);
-        let mut scene = Scene::start(balancers, upstreams, Learning::Told, bench.seed).await?;
-        let started = scene.discovery.counted()?.total;
+        let mut scene = Scene::start(balancers, upstreams, UpdateMode::Push, bench.seed).await?;
+        let started = scene.discovery.counters()?.total;
         slopes.add("all started together", "connections", x, started.connections as f64);
-        slopes.add("all started together", "whole lists", x, started.whole as f64);
+        slopes.add("all started together", "whole lists", x, started.snapshots as f64);
 
-        let (before, crowd, began) = (scene.discovery.counted()?, scene.crowd.processor(), Instant::now());
+        let (before, crowd, began) = (scene.discovery.counters()?, scene.crowd.processor(), Instant::now());
         sleep(rest).await;
-        let (after, span) = (scene.discovery.counted()?, began.elapsed().as_secs_f64());
+        let (after, span) = (scene.discovery.counters()?, began.elapsed().as_secs_f64());
         let passed = after.total.since(&before.total);
-        slopes.add("at rest", "connections open", x, after.open as f64);
-        slopes.add("at rest", "calls a second", x, passed.calls as f64 / span);
+        slopes.add("at rest", "connections open", x, after.open_connections as f64);
+        slopes.add("at rest", "calls a second", x, passed.requests as f64 / span);
         slopes.add("at rest", "bytes in a second", x, passed.bytes_in as f64 / span);
         slopes.add("at rest", "bytes out a second", x, passed.bytes_out as f64 / span);
         let busy = |spent: Duration| spent.as_secs_f64() / span * 100.0;
-        slopes.add("at rest", "% of a core", x, busy(after.processor.saturating_sub(before.processor)));
+        slopes.add(
+            "at rest",
+            "% of a core",
+            x,
+            busy(after.processor_time.saturating_sub(before.processor_time)),
+        );
         let spent = scene.crowd.processor().saturating_sub(crowd);
         slopes.add("at rest, all balancers", "% of a core", x, busy(spent));
 
@@ -130,29 +140,29 @@
             scene.lags(told).await?;
             scene.all_waiting().await?;
         }
-        let after = scene.discovery.counted()?;
+        let after = scene.discovery.counters()?;
         let (passed, each) = (after.total.since(&before.total), f64::from(changes));
-        slopes.add("at a change", "calls", x, passed.calls as f64 / each);
+        slopes.add("at a change", "calls", x, passed.requests as f64 / each);
         slopes.add("at a change", "bytes in", x, passed.bytes_in as f64 / each);
         slopes.add("at a change", "bytes out", x, passed.bytes_out as f64 / each);
-        slopes.add("at a change", "whole lists", x, passed.whole as f64 / each);
-        let spent = after.processor.saturating_sub(before.processor);
+        slopes.add("at a change", "whole lists", x, passed.snapshots as f64 / each);
+        let spent = after.processor_time.saturating_sub(before.processor_time);
         slopes.add("at a change", "ms of processor", x, spent.as_secs_f64() * 1e3 / each);
 
         let (before, crowd) = (scene.all_waiting().await?, scene.crowd.processor());
-        let told = scene.discovery.set((0..upstreams).map(entry).collect())?;
+        let told = scene.discovery.replace((0..upstreams).map(entry).collect())?;
         let first = scene.first(|r| r.kind == ListKind::Snapshot && r.at > told.at).await?;
         let after = scene.all_waiting().await?;
         let passed = after.total.since(&before.total);
-        slopes.add("whole list to all", "whole lists", x, passed.whole as f64);
+        slopes.add("whole list to all", "whole lists", x, passed.snapshots as f64);
         slopes.add("whole list to all", "bytes out", x, passed.bytes_out as f64);
         slopes.add(
             "whole list to all",
             "bytes a list",
             x,
-            passed.bytes_out as f64 / passed.whole.max(1) as f64,
+            passed.bytes_out as f64 / passed.snapshots.max(1) as f64,
         );
-        let spent = after.processor.saturating_sub(before.processor);
+        let spent = after.processor_time.saturating_sub(before.processor_time);
         slopes.add("whole list to all", "ms of processor", x, spent.as_secs_f64() * 1e3);
         let last = first.values().max().map_or(0.0, |last| ms(told.at, *last));
         slopes.add("whole list to all", "ms until the last acts on it", x, last);
@@ -160,28 +170,28 @@
         slopes.add("whole list, a balancer", "ms of processor", x, spent * 1e3 / x);
 
         let before = scene.all_waiting().await?.total;
-        let told = scene.discovery.break_all()?;
+        let told = scene.discovery.close_connections()?;
         back(&mut scene, &mut slopes, "all watches broken", x, told.at, before).await?;
 
-        scene.discovery.mode(Mode::Down)?;
+        scene.discovery.set_mode(Mode::Down)?;
         sleep(outage).await;
-        let before = scene.discovery.counted()?.total;
-        let told = scene.discovery.mode(Mode::Up)?;
+        let before = scene.discovery.counters()?.total;
+        let told = scene.discovery.set_mode(Mode::Up)?;
         back(&mut scene, &mut slopes, "back from an outage", x, told.at, before).await?;
 
         let before = scene.all_waiting().await?.total;
-        scene.discovery.mode(Mode::Silent)?;
+        scene.discovery.set_mode(Mode::Silent)?;
         sleep(outage).await;
-        let silent = scene.discovery.counted()?.total;
+        let silent = scene.discovery.counters()?.total;
         slopes.add("in silence", "connections", x, silent.since(&before).connections as f64);
-        let told = scene.discovery.mode(Mode::Up)?;
+        let told = scene.discovery.set_mode(Mode::Up)?;
         back(&mut scene, &mut slopes, "back from silence", x, told.at, silent).await?;
     }
     if !bench.quick {
         let most = sizes.iter().copied().max().unwrap_or(0);
-        let mut scene = Scene::start(most, FEW, Learning::Asks, bench.seed).await?;
+        let mut scene = Scene::start(most, FEW, UpdateMode::Poll, bench.seed).await?;
         let before = scene.all_waiting().await?.total;
-        let told = scene.discovery.break_all()?;
+        let told = scene.discovery.close_connections()?;
         back(&mut scene, &mut slopes, "all watches broken, asking", f64::from(most), told.at, before).await?;
     }
     slopes.remark("at rest", format!("{upstreams} upstreams; processor time is that {STAND_IN}"));
--- a/crates/proxy/tests/scale.rs
+++ b/crates/proxy/tests/scale.rs
@@ -12,7 +12,7 @@
 const LONG: Duration = Duration::from_secs(30);
 
 async fn start(discovery: &Discovery, entries: Vec<Entry>) -> Balancer {
-    discovery.set(entries).expect("a list");
+    discovery.replace(entries).expect("a list");
     // A deadline, a watch and connections that outlast the test, however busy the machine is.
     let settings = Settings {
         deadline_ms: 30_000,
@@ -33,12 +33,13 @@
 
 /// What a change of so many entries makes pass, until the balancer watches again.
 async fn traffic(discovery: &Discovery, changed: Vec<Entry>) -> Traffic {
-    until("it watches", || discovery.counted().expect("counts").waiting > 0).await;
-    let before = discovery.counted().expect("counts").total;
+    until("it watches", || discovery.counters().expect("counts").waiting_watches > 0).await;
+    let before = discovery.counters().expect("counts").total;
     let version = discovery.change(changed).expect("a version").version;
-    let taken_over = || discovery.seen().expect("watches").iter().any(|seen| seen.version == version);
+    let taken_over =
+        || discovery.take_acknowledgements().expect("watches").iter().any(|seen| seen.version == version);
     until("it takes the version over", taken_over).await;
-    discovery.counted().expect("counts").total.since(&before)
+    discovery.counters().expect("counts").total.since(&before)
 }
 
 #[tokio::test]
@@ -69,9 +70,10 @@
         let discovery = Discovery::start().expect("discovery");
         let _balancer = start(&discovery, entries(known)).await;
         for changed in [1, 11, 21] {
-            let changed: Vec<_> = entries(changed).iter().map(|e| e.now(Lifecycle::Draining)).collect();
+            let changed: Vec<_> =
+                entries(changed).iter().map(|e| e.with_lifecycle(Lifecycle::Draining)).collect();
             let told = traffic(&discovery, changed).await;
-            assert_eq!((told.calls, told.changes, told.whole, told.connections), (1, 1, 0, 0));
+            assert_eq!((told.requests, told.deltas, told.snapshots, told.connections), (1, 1, 0, 0));
             bytes.push(told.bytes_out);
         }
     }
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -22,7 +22,7 @@
 use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher};
 use zincstand_settings::{Names, Setup, settings};
 
-use crate::discovery::processor_time;
+use crate::discovery::thread_processor_time;
 
 /// How one balancer in so many is slow: its thread stands still for a part of the time, as one whose core has other
 /// work does.
@@ -38,11 +38,11 @@
 
 /// How the balancers learn of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learning {
+pub enum UpdateMode {
     /// The module counts on being told; the watch is begun at the start and again after each failure.
-    Told,
+    Push,
     /// The module asks for its watch, spread over a part of `AskWithinMs`.
-    Asks,
+    Poll,
 }
 
 /// How balancers are made.
@@ -55,7 +55,7 @@
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// How they learn of changes.
-    pub learning: Learning,
+    pub learning: UpdateMode,
     /// `DrainGraceMs` of their settings, from which the discovery code derives its waits.
     pub drain_grace: Duration,
     /// `AskWithinMs` of their settings.
@@ -76,8 +76,8 @@
             "DeadlineMs": deadline, "LateWorth": 0.2, "Streaming": false, "Value": 1.0})
     };
     let discovery = match options.learning {
-        Learning::Told => "automatic",
-        Learning::Asks => "subscribe",
+        UpdateMode::Push => "automatic",
+        UpdateMode::Poll => "subscribe",
     };
     json!({
         "Areas": zones, "Zone": zones[0], "Balancers": options.balancers, "Me": 0, "Discovery": discovery,
@@ -292,7 +292,7 @@
             });
         }
         while let Some(Order::Processor(reply)) = orders.recv().await {
-            let _ = reply.send(processor_time());
+            let _ = reply.send(thread_processor_time());
         }
     }
 
@@ -300,7 +300,7 @@
         let mut settings = self.settings.clone();
         settings.balancer_index = number;
         settings.zone = number % self.options.zones.max(1);
-        let unasked = self.options.learning == Learning::Told;
+        let unasked = self.options.learning == UpdateMode::Push;
         let discovery = Discovery::new(self.options.discovery, None, unasked, self.options.drain_grace);
         let tell = Tell { number, reached: self.reached.clone(), mark: self.mark.clone() };
         let wire = Hollow { discovery: discovery.clone(), tell: Rc::new(tell) };
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use zincstand_testbed::discovery::{Discovery, Entry, KEPT, Lifecycle, Mode};
+use zincstand_testbed::discovery::{Discovery, Entry, KEPT_VERSIONS, Lifecycle, Mode};
 
 fn entry(number: usize) -> Entry {
     Entry::serving(number, 2, SocketAddr::from(([127, 0, 0, 1], 9)))
@@ -38,7 +38,7 @@
 #[test]
 fn a_watch_is_told_the_changes_since_its_version_and_the_whole_list_where_that_is_too_old() {
     let discovery = Discovery::start().expect("it starts");
-    let set = discovery.set((0..3).map(entry).collect()).expect("set").version;
+    let set = discovery.replace((0..3).map(entry).collect()).expect("set").version;
     let mut stream = connect(&discovery);
     ask(&mut stream, "");
     let whole = answer(&mut stream);
@@ -51,11 +51,12 @@
     assert_eq!(empty, serde_json::json!({"generation": set, "reset": false, "instances": []}));
     // It waits, is told, and the next watch from the older version is told both changes, each entry once.
     ask(&mut stream, &format!("?index={set}&wait=60000"));
-    let first = discovery.change(vec![entry(1).now(Lifecycle::Draining)]).expect("changed").version;
+    let first =
+        discovery.change(vec![entry(1).with_lifecycle(Lifecycle::Draining)]).expect("changed").version;
     let told = answer(&mut stream);
     assert_eq!((told["generation"].as_u64(), told["reset"].as_bool()), (Some(first), Some(false)));
     assert_eq!(told["instances"][0]["lifecycle"], "DRAINING");
-    let gone = [entry(1).now(Lifecycle::Deleted), entry(2).now(Lifecycle::Draining)];
+    let gone = [entry(1).with_lifecycle(Lifecycle::Deleted), entry(2).with_lifecycle(Lifecycle::Draining)];
     discovery.change(gone.to_vec()).expect("changed");
     ask(&mut stream, &format!("?index={set}&wait=60000"));
     let both = answer(&mut stream);
@@ -64,15 +65,15 @@
     assert_eq!(lives, ["DELETED", "DRAINING"]);
     ask(&mut stream, "");
     assert_eq!(answer(&mut stream)["instances"].as_array().map(Vec::len), Some(2));
-    for _ in 0..KEPT {
+    for _ in 0..KEPT_VERSIONS {
         discovery.change(vec![entry(0)]).expect("changed");
     }
     ask(&mut stream, &format!("?index={set}&wait=60000"));
     assert_eq!(answer(&mut stream)["reset"], true);
-    let counted = discovery.counted().expect("counted");
-    assert_eq!((counted.total.connections, counted.total.calls, counted.open), (1, 6, 1));
-    assert_eq!((counted.total.whole, counted.total.changes, counted.total.empty), (3, 2, 1));
-    let seen: Vec<_> = discovery.seen().expect("seen").iter().map(|s| s.version).collect();
+    let counted = discovery.counters().expect("counted");
+    assert_eq!((counted.total.connections, counted.total.requests, counted.open_connections), (1, 6, 1));
+    assert_eq!((counted.total.snapshots, counted.total.deltas, counted.total.empty), (3, 2, 1));
+    let seen: Vec<_> = discovery.take_acknowledgements().expect("seen").iter().map(|s| s.version).collect();
     assert_eq!(seen, [set]);
 }
 
@@ -82,17 +83,17 @@
     let mut stream = connect(&discovery);
     ask(&mut stream, "");
     answer(&mut stream);
-    discovery.mode(Mode::Down).expect("down");
+    discovery.set_mode(Mode::Down).expect("down");
     assert_eq!(stream.read(&mut [0]).expect("closed"), 0);
     assert!(TcpStream::connect(discovery.address()).is_err());
-    discovery.mode(Mode::Silent).expect("silent");
+    discovery.set_mode(Mode::Silent).expect("silent");
     let mut stream = connect(&discovery);
     ask(&mut stream, "");
-    while discovery.counted().expect("counted").total.calls < 2 {}
-    assert_eq!(discovery.counted().expect("counted").total.whole, 1);
-    discovery.mode(Mode::Up).expect("up");
+    while discovery.counters().expect("counted").total.requests < 2 {}
+    assert_eq!(discovery.counters().expect("counted").total.snapshots, 1);
+    discovery.set_mode(Mode::Up).expect("up");
     assert_eq!(answer(&mut stream)["generation"], 1);
-    discovery.break_all().expect("broken");
+    discovery.close_connections().expect("broken");
     assert_eq!(stream.read(&mut [0]).expect("closed"), 0);
     let mut stream = connect(&discovery);
     ask(&mut stream, "");
