--- a/crates/fleet-model/src/judge.rs
+++ b/crates/fleet-model/src/judge.rs
@@ -176,7 +176,7 @@
 
 /// What the world counts while a day is played.
 #[derive(Default)]
-pub(crate) struct Tally {
+pub(crate) struct Metrics {
     pub first_tries: u64,
     pub attempts: u64,
     pub crossings: u64,
@@ -343,7 +343,7 @@
 pub(crate) fn judge(
     day: &Day,
     arrivals: &[Arrival],
-    tally: Tally,
+    tally: Metrics,
     choked: (usize, usize),
     fallen: usize,
 ) -> (Result, Detail) {
--- a/crates/fleet-model/src/policy.rs
+++ b/crates/fleet-model/src/policy.rs
@@ -305,15 +305,15 @@
         let part = QUEUE[0] + (QUEUE[1] - QUEUE[0]) * rank / (classes.len() - 1).max(1) as f64;
         // What a tier above has worked on already is not given up behind it.
         let most = if self.settings.tier == 0 { least * part } else { f64::INFINITY };
-        if self.settings.tier == 0 && truth.behind(0) > most {
+        if self.settings.tier == 0 && truth.backlog_behind(0) > most {
             return None;
         }
         let mut best: Option<(f64, ServerId)> = None;
         for &id in ready {
             let (Some(state), Some(known)) = (truth.of(id), self.servers.get(&id)) else { continue };
-            let pressed = state.share < 1.0
-                && state.backlog > COLD_PART * self.settings.rules.overload_window as f64 * state.share;
-            if !state.takes || state.spare <= 1.0 || state.choked || pressed || state.backlog > most {
+            let pressed = state.warm_share < 1.0
+                && state.backlog > COLD_PART * self.settings.rules.overload_window as f64 * state.warm_share;
+            if !state.accepts || state.spare <= 1.0 || state.choked || pressed || state.backlog > most {
                 continue;
             }
             let away = if known.entry.zone == self.settings.zone { 0.0 } else { 40_000.0 };
--- a/crates/fleet-model/src/ramp.rs
+++ b/crates/fleet-model/src/ramp.rs
@@ -3,14 +3,13 @@
 use rand::RngExt;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
-use zincstand_policy::Micros;
 
 use crate::day::{Day, DayError, Fault, FaultKind, Spread};
 use crate::draw::{self, For, within};
 use crate::kinds::{self, Size};
 use crate::policy::Kind;
 use crate::span::Span;
-use crate::world;
+use crate::world::{self, ArrivalAtServer};
 
 /// When servers begin to go: thin balancers have sent some requests by then.
 const BEGIN: f64 = 8.0;
@@ -139,24 +138,6 @@
     Ok(day)
 }
 
-/// What reached a server after it had started.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Landing {
-    pub server: u32,
-    pub started: Micros,
-    pub at: Micros,
-    pub work: f64,
-    pub told: bool,
-}
-
-/// What is written down of a day whose cold servers are looked at.
-#[derive(Default)]
-pub(crate) struct Watch {
-    /// Servers with what all their cores do, each time they start.
-    pub starts: Vec<(u32, Micros, f64)>,
-    pub landings: Vec<Landing>,
-}
-
 /// What one day's cold servers got.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Played {
@@ -186,7 +167,7 @@
 ///
 /// The day contradicts itself.
 pub fn play(day: &Day, kind: Kind) -> Result<Played, DayError> {
-    let (played, watch) = world::play_watched(day, kind)?;
+    let (played, watch) = world::play_recorded(day, kind)?;
     let t = &day.tiers[0];
     let shares: f64 = day.classes.iter().map(|c| c.share).sum();
     let mean =
@@ -204,9 +185,9 @@
         g: played.result.g,
         ..Played::default()
     };
-    for &(server, started, capacity) in &watch.starts {
-        let own: Vec<&Landing> =
-            watch.landings.iter().filter(|l| (l.server, l.started) == (server, started)).collect();
+    for &world::ServerStart { server, at: started, full_capacity: capacity } in &watch.starts {
+        let own: Vec<&ArrivalAtServer> =
+            watch.arrivals.iter().filter(|l| (l.server, l.started) == (server, started)).collect();
         for l in &own {
             let at = ((l.at - started) as f64 / bin) as usize;
             if at < BINS {
@@ -226,8 +207,8 @@
             let age = (l.at - started) as f64 / warm_after as f64;
             let share = t.cold_from + (1.0 - t.cold_from) * age;
             let n = day.rules.overload_factor * share * capacity * tip as f64 / mean;
-            let told = window.iter().filter(|l| l.told).count() as f64 > TOLD * window.len() as f64;
-            let told_work: f64 = window.iter().filter(|l| l.told).map(|l| l.work / mean).sum();
+            let told = window.iter().filter(|l| l.informed).count() as f64 > TOLD * window.len() as f64;
+            let told_work: f64 = window.iter().filter(|l| l.informed).map(|l| l.work / mean).sum();
             out.excess = out.excess.max((window.len() as f64 - n) / n.sqrt());
             if told {
                 out.excess_told = out.excess_told.max((window.len() as f64 - n) / n.sqrt());
--- /dev/null
+++ b/crates/fleet-model/src/server/choke.rs
@@ -0,0 +1,110 @@
+//! Servers that turn slow from crowding and stay slow until they have rested.
+
+use std::collections::VecDeque;
+
+use zincstand_policy::Micros;
+
+use crate::day::Choke;
+
+/// Busy time of a choked server is sampled this many times in the span that it must rest.
+const SAMPLES_PER_REST: u64 = 10;
+
+/// Busy time up to an instant.
+#[derive(Clone, Copy)]
+struct BusySample {
+    at: Micros,
+    busy_time: f64,
+}
+
+/// Whether a server is choked, and the observations that decide when this changes.
+pub(super) struct ChokeState {
+    settings: Choke,
+    choked_since: Option<Micros>,
+    ever_choked: bool,
+    crowded_since: Option<Micros>,
+    /// Taken while choked, oldest first.
+    busy_samples: VecDeque<BusySample>,
+}
+
+impl ChokeState {
+    pub fn new(settings: Choke) -> ChokeState {
+        ChokeState {
+            settings,
+            choked_since: None,
+            ever_choked: false,
+            crowded_since: None,
+            busy_samples: VecDeque::new(),
+        }
+    }
+
+    pub fn is_choked(&self) -> bool {
+        self.choked_since.is_some()
+    }
+
+    pub fn has_ever_choked(&self) -> bool {
+        self.ever_choked
+    }
+
+    /// How many times longer work takes at present.
+    pub fn slowdown(&self) -> f64 {
+        if self.is_choked() { self.settings.slower } else { 1.0 }
+    }
+
+    /// Jobs that may run or wait at a server of so many cores before it counts as crowded.
+    pub fn crowding_limit(&self, cores: f64) -> f64 {
+        (1.0 + self.settings.at) * cores
+    }
+
+    /// When it has to be updated even if nothing happens.
+    pub fn next_change(&self, now: Micros) -> Option<Micros> {
+        let choke_at = self.crowded_since.map(|since| (since + self.settings.over.0).max(now + 1));
+        let sample_at = self.choked_since.map(|_| now + (self.settings.rest.0 / SAMPLES_PER_REST).max(1));
+        [choke_at, sample_at].into_iter().flatten().min()
+    }
+
+    /// Takes note of a server's crowd (jobs beyond its cores) and busy time; it may choke or recover.
+    pub fn update(&mut self, now: Micros, crowd: f64, cores: f64, busy_time: f64) {
+        match self.choked_since {
+            Some(since) => self.recover_if_rested(now, since, busy_time),
+            None => self.choke_if_crowded(now, crowd, cores),
+        }
+    }
+
+    /// A server's process has ended, and its crowd with it.
+    pub fn reset(&mut self) {
+        self.choked_since = None;
+        self.crowded_since = None;
+        self.busy_samples.clear();
+    }
+
+    fn recover_if_rested(&mut self, now: Micros, since: Micros, busy_time: f64) {
+        let rest = self.settings.rest.0;
+        let sample_interval = rest / SAMPLES_PER_REST;
+        if self.busy_samples.back().is_none_or(|last| now >= last.at + sample_interval) {
+            self.busy_samples.push_back(BusySample { at: now, busy_time });
+        }
+        while self.busy_samples.len() > 1 && self.busy_samples[1].at + rest <= now {
+            self.busy_samples.pop_front();
+        }
+        let first = self.busy_samples[0];
+        let busy_since_first = busy_time - first.busy_time;
+        let rested =
+            now >= first.at + rest && busy_since_first < self.settings.below * (now - first.at) as f64;
+        if rested || now >= since + self.settings.most.0 {
+            self.reset();
+        }
+    }
+
+    fn choke_if_crowded(&mut self, now: Micros, crowd: f64, cores: f64) {
+        if crowd <= self.settings.at * cores {
+            self.crowded_since = None;
+            return;
+        }
+        let since = *self.crowded_since.get_or_insert(now);
+        if now >= since + self.settings.over.0 {
+            self.choked_since = Some(now);
+            self.ever_choked = true;
+            self.crowded_since = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/server/mod.rs
@@ -0,0 +1,459 @@
+//! A server: cores that its jobs share, slots, a waiting room, and the conditions that make it slow.
+
+mod choke;
+mod cold;
+mod truth;
+
+use std::cmp::Reverse;
+use std::collections::{BTreeSet, BinaryHeap, VecDeque};
+
+use rand::RngExt;
+use zincstand_policy::Micros;
+
+use self::choke::ChokeState;
+use self::cold::ColdWorkWindow;
+use crate::day::{Spread, Tier};
+use crate::draw::{self, For};
+
+pub(crate) use self::cold::{ColdWork, OverloadRule};
+pub use self::truth::{TrueState, Truth};
+
+/// Index of a job in the world's list of jobs.
+pub(crate) type JobIndex = u32;
+
+/// Work that makes a server warm, as a share of what it could do in its warm-up time.
+const WARM_UP_WORK_SHARE: f64 = 0.5;
+/// Shortest warm-up time of a server, as a share of its tier's.
+const MIN_WARM_UP_SHARE: f64 = 0.6;
+/// A cold server's capacity is reckoned anew after this part of its warm-up time, as it grows meanwhile.
+const WARM_UP_STEPS: Micros = 64;
+/// Share of its capacity that a server keeps however full its table of connections is.
+const MIN_CONNECTION_TAX_FACTOR: f64 = 0.1;
+/// Service within which a job counts as done, in microseconds: rounding must not leave it running.
+const SERVICE_TOLERANCE: f64 = 1e-6;
+/// Longest wait for the end of a job that is planned, in microseconds; one at a stalled server ends no sooner.
+const MAX_PLANNED_DELAY: f64 = 1e12;
+
+/// Where a server stands.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ServerPlace {
+    pub tier: usize,
+    pub zone: u32,
+    /// Servers of one cell share their memory of idempotency keys.
+    pub cell: u32,
+    /// Index of its network address; a replacement takes it over.
+    pub address: usize,
+}
+
+/// State of a server's process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ProcessState {
+    Running,
+    /// It completes what it has and rejects everything new.
+    Draining,
+    Stopped,
+    /// It was overloaded while cold and stays down for the rest of the day.
+    Collapsed,
+}
+
+/// How a server serves its jobs at an instant, the most severe condition first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Condition {
+    /// It answers nobody.
+    Silent,
+    /// It has turned slow from crowding.
+    Choked,
+    Cold,
+    /// A fault has slowed it.
+    Slowed,
+    Healthy,
+}
+
+/// Where a job stands once a server has taken it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum JobAdmission {
+    Running,
+    Waiting,
+}
+
+/// A fault that makes work take longer.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Slowdown {
+    pub factor: f64,
+    /// The class that it affects; all if `None`.
+    pub class: Option<usize>,
+}
+
+/// Attempts that a server answered since it was last sampled.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct AnsweredAttempts {
+    count: u32,
+    total_latency: Micros,
+}
+
+impl AnsweredAttempts {
+    pub fn add(&mut self, latency: Micros) {
+        self.count += 1;
+        self.total_latency += latency;
+    }
+
+    /// Mean latency in microseconds; 0 without answers.
+    pub fn mean_latency(self) -> f64 {
+        self.total_latency as f64 / f64::from(self.count.max(1))
+    }
+}
+
+/// A server's properties and present state.
+pub(crate) struct Server {
+    pub tier: usize,
+    pub zone: u32,
+    pub cell: u32,
+    pub address: usize,
+    cores: f64,
+    /// Work a microsecond of one core.
+    speed: f64,
+    slots: usize,
+    waiting_room: usize,
+    /// Loss of efficiency for each job beyond `crowded_from`.
+    thrash: f64,
+    crowded_from: f64,
+    /// Share of its capacity with which it starts.
+    cold_from: f64,
+    warm_up_time: Micros,
+    max_connections: u32,
+    /// Share of its capacity that a full table of connections takes.
+    full_table_tax: f64,
+    process: ProcessState,
+    /// The machine answers nobody.
+    pub vanished: bool,
+    /// Counts its processes.
+    pub epoch: u32,
+    /// When its process started, if during the day.
+    pub started: Option<Micros>,
+    pub connections: u32,
+    choke: Option<ChokeState>,
+    /// Time that its cores were busy, in microseconds.
+    busy_time: f64,
+    paused: bool,
+    /// Jobs that share the cores, by the virtual service at which each is done (bits of a non-negative float).
+    running: BinaryHeap<Reverse<(u64, JobIndex)>>,
+    waiting: VecDeque<JobIndex>,
+    /// Jobs that hold a slot or wait for one.
+    present: BTreeSet<JobIndex>,
+    slots_in_use: usize,
+    /// Virtual service: what each running job has received since the cores were last idle, in microseconds of work.
+    served: f64,
+    advanced_to: Micros,
+    /// Work done since its start, which warms it up.
+    warm_up_work: f64,
+    /// Version of its planned next change; events of earlier plans are obsolete.
+    pub plan: u32,
+    /// Work of the jobs that wait or run, in microseconds.
+    pub pending: f64,
+    /// Share of requests that fail at once.
+    pub error_rate: f64,
+    /// It takes requests and answers none.
+    pub silent: bool,
+    /// Share of requests whose connection breaks.
+    pub reset_rate: f64,
+    pub slowdown: Option<Slowdown>,
+    pub answered: AnsweredAttempts,
+    cold_work: ColdWorkWindow,
+}
+
+impl Server {
+    /// A warm server that runs; `number` decides how its speed and warm-up time differ from its tier's.
+    pub fn new(seed: u64, number: u64, tier: &Tier, place: ServerPlace) -> Server {
+        let mut rng = draw::stream(seed, For::Server, number);
+        let speed = tier.speed * draw::factor(&mut rng, Spread::Lognormal, tier.speed_cv);
+        // Servers warm up at their own pace, never slower than the tier's figure.
+        let warm_up_share = MIN_WARM_UP_SHARE + (1.0 - MIN_WARM_UP_SHARE) * rng.random::<f64>();
+        Server {
+            tier: place.tier,
+            zone: place.zone,
+            cell: place.cell,
+            address: place.address,
+            cores: f64::from(tier.cores),
+            speed,
+            slots: tier.slots as usize,
+            waiting_room: tier.waiting as usize,
+            thrash: tier.thrash,
+            crowded_from: tier.crowded,
+            cold_from: tier.cold_from,
+            warm_up_time: (tier.warm_after.0 as f64 * warm_up_share) as Micros,
+            max_connections: tier.connections.most,
+            full_table_tax: tier.connections.full_tax,
+            process: ProcessState::Running,
+            vanished: false,
+            epoch: 0,
+            started: None,
+            connections: 0,
+            choke: tier.choke.clone().map(ChokeState::new),
+            busy_time: 0.0,
+            paused: false,
+            running: BinaryHeap::new(),
+            waiting: VecDeque::new(),
+            present: BTreeSet::new(),
+            slots_in_use: 0,
+            served: 0.0,
+            advanced_to: 0,
+            warm_up_work: 0.0,
+            plan: 0,
+            pending: 0.0,
+            error_rate: tier.error_rate,
+            silent: false,
+            reset_rate: 0.0,
+            slowdown: None,
+            answered: AnsweredAttempts::default(),
+            cold_work: ColdWorkWindow::default(),
+        }
+    }
+
+    /// A server that takes over the address of `predecessor`, whose connections lead nowhere. It is not started yet.
+    pub fn replacement(seed: u64, number: u64, tier: &Tier, predecessor: &Server) -> Server {
+        let place = ServerPlace {
+            tier: predecessor.tier,
+            zone: predecessor.zone,
+            cell: predecessor.cell,
+            address: predecessor.address,
+        };
+        let mut server = Server::new(seed, number, tier, place);
+        server.epoch = predecessor.epoch + 1;
+        server.process = ProcessState::Stopped;
+        server
+    }
+
+    /// Whether its process runs, draining or not.
+    pub fn is_up(&self) -> bool {
+        matches!(self.process, ProcessState::Running | ProcessState::Draining)
+    }
+
+    pub fn is_draining(&self) -> bool {
+        self.process == ProcessState::Draining
+    }
+
+    pub fn has_collapsed(&self) -> bool {
+        self.process == ProcessState::Collapsed
+    }
+
+    pub fn is_choked(&self) -> bool {
+        self.choke.as_ref().is_some_and(ChokeState::is_choked)
+    }
+
+    pub fn has_ever_choked(&self) -> bool {
+        self.choke.as_ref().is_some_and(ChokeState::has_ever_choked)
+    }
+
+    /// Share of its full capacity that it has at present: below 1 while it warms up.
+    pub fn warm_share(&self, now: Micros) -> f64 {
+        let Some(started) = self.started else { return 1.0 };
+        let age = now.saturating_sub(started) as f64 / self.warm_up_time.max(1) as f64;
+        let enough_work = WARM_UP_WORK_SHARE * self.cores * self.speed * self.warm_up_time as f64;
+        let warm = age.max(self.warm_up_work / enough_work.max(1.0));
+        (self.cold_from + (1.0 - self.cold_from) * warm).min(1.0)
+    }
+
+    /// Work a microsecond, were all its cores busy.
+    pub fn capacity(&self, now: Micros) -> f64 {
+        let choke_factor = self.choke.as_ref().map_or(1.0, ChokeState::slowdown);
+        let fault_factor = match self.slowdown {
+            Some(Slowdown { factor, class: None }) => factor,
+            _ => 1.0,
+        };
+        let over = (self.present.len() as f64 - self.crowded_from).max(0.0);
+        let tax = 1.0 - self.full_table_tax * f64::from(self.connections) / f64::from(self.max_connections);
+        self.cores * self.speed * self.warm_share(now) * tax.max(MIN_CONNECTION_TAX_FACTOR)
+            / ((1.0 + self.thrash * over) * choke_factor * fault_factor)
+    }
+
+    /// Work a microsecond, were it warm and healthy and all its cores busy.
+    pub fn full_capacity(&self) -> f64 {
+        self.cores * self.speed
+    }
+
+    /// Service a microsecond that each running job gets.
+    fn service_rate(&self, now: Micros) -> f64 {
+        if self.paused || self.running.is_empty() {
+            return 0.0;
+        }
+        let running = self.running.len() as f64;
+        self.capacity(now) / self.cores * (self.cores / running).min(1.0)
+    }
+
+    pub fn condition(&self, now: Micros) -> Condition {
+        if self.silent || self.vanished {
+            Condition::Silent
+        } else if self.is_choked() {
+            Condition::Choked
+        } else if self.warm_share(now) < 1.0 {
+            Condition::Cold
+        } else if self.slowdown.is_some() {
+            Condition::Slowed
+        } else {
+            Condition::Healthy
+        }
+    }
+
+    /// Whether its slots and its waiting room are taken.
+    pub fn is_full(&self) -> bool {
+        self.present.len() >= self.slots + self.waiting_room
+    }
+
+    pub fn is_connection_table_full(&self) -> bool {
+        self.connections >= self.max_connections
+    }
+
+    /// Jobs that hold a slot or wait for one.
+    pub fn held(&self) -> usize {
+        self.present.len()
+    }
+
+    /// Jobs that run or wait for a slot; one whose call of the next tier is in flight does neither.
+    fn running_or_waiting(&self) -> f64 {
+        (self.running.len() + self.waiting.len()) as f64
+    }
+
+    /// Brings its jobs to `now`. Must be called before whatever changes its rate.
+    pub fn advance(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.advanced_to) as f64;
+        if elapsed > 0.0 && !self.running.is_empty() {
+            let running = self.running.len() as f64;
+            // The capacity of a cold server grows meanwhile; plans are short enough for one rate each.
+            let done = self.service_rate(self.advanced_to) * elapsed;
+            self.served += done;
+            if self.started.is_some() {
+                self.warm_up_work += done * running;
+            }
+            if !self.paused {
+                self.busy_time += elapsed * (running / self.cores).min(1.0);
+            }
+        }
+        self.advanced_to = now;
+    }
+
+    /// Takes a job, which runs at once if a slot is free.
+    pub fn admit(&mut self, job: JobIndex, work: f64) -> JobAdmission {
+        self.present.insert(job);
+        self.pending += work;
+        if self.slots_in_use < self.slots {
+            self.slots_in_use += 1;
+            self.run(job, work);
+            return JobAdmission::Running;
+        }
+        self.waiting.push_back(job);
+        JobAdmission::Waiting
+    }
+
+    /// Runs a job that holds a slot.
+    pub fn run(&mut self, job: JobIndex, work: f64) {
+        if self.running.is_empty() {
+            self.served = 0.0;
+        }
+        self.running.push(Reverse(((self.served + work).to_bits(), job)));
+    }
+
+    /// Spends work beside its jobs: they share the delay, and idle cores take their part of it.
+    pub fn spend(&mut self, work: f64) {
+        self.served = (self.served - work / (self.running.len() as f64).max(self.cores)).max(0.0);
+    }
+
+    /// Removes and returns the next job that has received its service.
+    pub fn pop_finished(&mut self) -> Option<JobIndex> {
+        let Reverse((done_at, _)) = *self.running.peek()?;
+        if f64::from_bits(done_at) > self.served + SERVICE_TOLERANCE {
+            return None;
+        }
+        self.running.pop().map(|Reverse((_, job))| job)
+    }
+
+    /// Removes a job that held a slot and returns the waiting job that gets the slot.
+    pub fn leave(&mut self, job: JobIndex) -> Option<JobIndex> {
+        self.present.remove(&job);
+        self.slots_in_use -= 1;
+        let next = self.waiting.pop_front()?;
+        self.slots_in_use += 1;
+        Some(next)
+    }
+
+    /// When its state changes by itself, if nothing arrives.
+    pub fn next_change(&self, now: Micros) -> Option<Micros> {
+        let mut at = Micros::MAX;
+        let rate = self.service_rate(now);
+        if let (Some(Reverse((done_at, _))), true) = (self.running.peek(), rate > 0.0) {
+            let left = (f64::from_bits(*done_at) - self.served).max(0.0);
+            let delay = (left / rate).ceil().min(MAX_PLANNED_DELAY);
+            at = now + (delay as Micros).max(1);
+            if self.warm_share(now) < 1.0 {
+                at = at.min(now + (self.warm_up_time / WARM_UP_STEPS).max(1));
+            }
+        }
+        if let Some(next) = self.choke.as_ref().and_then(|choke| choke.next_change(now)) {
+            at = at.min(next);
+        }
+        (at < Micros::MAX).then_some(at)
+    }
+
+    /// Lets it choke from crowding, or recover.
+    pub fn update_choke(&mut self, now: Micros) {
+        let crowd = self.running_or_waiting() - self.cores;
+        if let Some(choke) = &mut self.choke {
+            choke.update(now, crowd, self.cores, self.busy_time);
+        }
+    }
+
+    /// Stops its cores for a moment, or lets them continue.
+    pub fn set_paused(&mut self, paused: bool) {
+        self.paused = paused;
+    }
+
+    /// Counts work that arrives while it is cold. If that is more than the rule allows, it collapses: returns the
+    /// share of the work whose senders had been notified of its start.
+    pub fn record_cold_work(&mut self, arrived: ColdWork, rule: OverloadRule) -> Option<f64> {
+        let share = self.warm_share(arrived.at);
+        if share >= 1.0 {
+            self.cold_work.clear();
+            return None;
+        }
+        let limit = rule.factor * share * self.cores * self.speed * rule.window as f64;
+        self.cold_work.add(arrived, rule.window, limit)
+    }
+
+    /// Starts to drain; a process that does not run cannot.
+    pub fn drain(&mut self) {
+        if self.process == ProcessState::Running {
+            self.process = ProcessState::Draining;
+        }
+    }
+
+    /// Ends its process and returns the jobs that are lost with it.
+    pub fn stop(&mut self) -> Vec<JobIndex> {
+        self.process = ProcessState::Stopped;
+        self.epoch += 1;
+        self.plan += 1;
+        self.connections = 0;
+        if let Some(choke) = &mut self.choke {
+            choke.reset();
+        }
+        self.running.clear();
+        self.waiting.clear();
+        self.cold_work.clear();
+        self.slots_in_use = 0;
+        self.pending = 0.0;
+        std::mem::take(&mut self.present).into_iter().collect()
+    }
+
+    /// Marks a stopped server as one that stays down.
+    pub fn collapse(&mut self) {
+        self.process = ProcessState::Collapsed;
+    }
+
+    /// Starts a new process, cold.
+    pub fn start(&mut self, now: Micros) {
+        self.process = ProcessState::Running;
+        self.vanished = false;
+        self.started = Some(now);
+        self.warm_up_work = 0.0;
+        self.advanced_to = now;
+        self.paused = false;
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/actions.rs
@@ -0,0 +1,179 @@
+//! A policy's actions, carried out in the world, with a check of each send against the rules.
+
+use zincstand_policy::{Action, Micros, Outcome, RequestId};
+
+use super::World;
+use super::event::{Message, Reply, WorldEvent};
+use super::state::{AttemptIndex, PossibleRun, ProcessIndex, RecentEvent, RequestIndex, ServerIndex};
+use crate::day::{Class, Effect};
+use crate::judge::Rule;
+
+/// A rule that an action breaks, and how.
+struct Violation {
+    rule: Rule,
+    what: String,
+}
+
+impl World<'_> {
+    /// Carries out one action of a process's policy.
+    pub(super) fn apply_action(&mut self, process: ProcessIndex, action: Action) {
+        match action {
+            Action::Send { request, server, limit } => {
+                self.send(process, request as RequestIndex, server, limit);
+            }
+            Action::Reject { request, retry_after } => {
+                self.reject(process, request as RequestIndex, retry_after);
+            }
+            Action::Fail { request } => {
+                let request = request as RequestIndex;
+                if !self.requests[request as usize].closed {
+                    self.remember_event(process, RecentEvent::RequestFailed { request });
+                    self.give_up(request, Reply::Failed);
+                }
+            }
+            Action::Cancel { request, attempt } => self.cancel(process, request, attempt),
+            Action::HealthCheck { server } => self.health_check(process, server),
+            Action::CloseIdle { server } => {
+                let address = self.servers[server as usize].address as u32;
+                self.drop_idle_connections(process, address);
+            }
+            Action::Timer { delay, token } => {
+                let message = Message::Timer(token);
+                self.schedule_after(delay.max(1), WorldEvent::Message { process, message });
+            }
+            Action::Watch => self.call_discovery(process, true),
+            Action::Fetch => self.call_discovery(process, false),
+        }
+    }
+
+    fn reject(&mut self, process: ProcessIndex, request: RequestIndex, retry_after: Micros) {
+        let record = &self.requests[request as usize];
+        if record.closed {
+            return;
+        }
+        let idempotent = self.scenario.classes[record.class].effect == Effect::Safe;
+        if record.possible_run.is_some() && !idempotent {
+            let what = format!("request {request} is rejected though it may have run");
+            self.record_breach(Rule::Duplicate, process, None, what);
+        }
+        self.remember_event(process, RecentEvent::RequestRejected { request });
+        self.give_up(request, Reply::Rejected { retry_after });
+    }
+
+    fn give_up(&mut self, request: RequestIndex, reply: Reply) {
+        self.charge_held_time(request);
+        self.close_request(request, reply, 0.0);
+    }
+
+    fn cancel(&mut self, process: ProcessIndex, request: RequestId, number: u32) {
+        let in_flight = &self.processes[process as usize].attempts_in_flight;
+        let found = in_flight.iter().rev().copied().find(|&attempt| {
+            let attempt = &self.attempts[attempt as usize];
+            u64::from(attempt.request) == request && attempt.number == number
+        });
+        if let Some(attempt) = found {
+            self.charge_abandoned_attempt(attempt);
+            self.end_attempt(attempt, false);
+            self.send_to_self(process, Message::Outcome(attempt, Outcome::Cancelled));
+        }
+    }
+
+    /// Sends an attempt. One that breaks a rule is recorded and sent all the same; one beyond the most attempts is not.
+    fn send(&mut self, process: ProcessIndex, request: RequestIndex, server: ServerIndex, limit: Micros) {
+        let record = &self.requests[request as usize];
+        if record.closed || record.attempts_sent >= self.scenario.limits.max_attempts {
+            let attempt = self.new_attempt(process, request, server, limit);
+            self.attempts[attempt as usize].ended = true;
+            return self.send_to_self(process, Message::Outcome(attempt, Outcome::NotSent));
+        }
+        if let Some(violation) = self.violation_of_send(process, request, server) {
+            self.record_breach(violation.rule, process, Some(server), violation.what);
+        }
+        self.remember_event(process, RecentEvent::AttemptSent { request, server, limit });
+        self.charge_held_time(request);
+        let attempt = self.new_attempt(process, request, server, limit);
+        self.account_attempt(attempt);
+        self.send_attempt(attempt);
+    }
+
+    /// Books an attempt that is about to be sent.
+    fn account_attempt(&mut self, attempt: AttemptIndex) {
+        let attempt_record = &self.attempts[attempt as usize];
+        let process = &mut self.processes[attempt_record.process as usize];
+        process.attempts_in_flight.insert(attempt);
+        let server = &self.servers[attempt_record.server as usize];
+        let tier = server.tier;
+        let request = &mut self.requests[attempt_record.request as usize];
+        request.attempts_sent += 1;
+        request.attempts_in_flight += 1;
+        request.latest_attempt = Some(attempt);
+        request.possible_run.get_or_insert(PossibleRun { attempt, sent_at: self.now, cell: server.cell });
+        let arrival = request.arrival;
+        self.metrics.attempts += 1;
+        if tier == process.tier && server.zone != process.zone {
+            self.metrics.crossings += 1;
+        }
+        self.tier_count(arrival, tier).attempts += 1;
+        self.arrivals[arrival as usize].attempts += 1;
+    }
+
+    /// The rule that an attempt breaks if it is sent now; the last one if there are several.
+    fn violation_of_send(
+        &self,
+        process: ProcessIndex,
+        request: RequestIndex,
+        server: ServerIndex,
+    ) -> Option<Violation> {
+        let drain = self.drain_violation(process, request, server);
+        self.duplicate_violation(request, server).or(drain)
+    }
+
+    fn drain_violation(
+        &self,
+        process: ProcessIndex,
+        request: RequestIndex,
+        server: ServerIndex,
+    ) -> Option<Violation> {
+        let notifications = &self.processes[process as usize].notifications;
+        let notification = notifications.get(&server).copied().unwrap_or_default();
+        if let Some(out_since) = notification.out_since
+            && self.now > out_since + self.scenario.rules.drain_grace.0
+        {
+            let seconds = (self.now - out_since) as f64 / 1e6;
+            let what = format!("request {request} goes to a server draining or removed for {seconds:.2} s");
+            return Some(Violation { rule: Rule::Drain, what });
+        }
+        if !notification.known {
+            let what = format!("request {request} goes to a server that was on no list");
+            return Some(Violation { rule: Rule::Drain, what });
+        }
+        None
+    }
+
+    fn duplicate_violation(&self, request: RequestIndex, server: ServerIndex) -> Option<Violation> {
+        let record = &self.requests[request as usize];
+        let run = record.possible_run?;
+        if record.attempts_in_flight > 0 && !self.scenario.limits.second_copies {
+            let what = format!("request {request} has two attempts in flight at once");
+            return Some(Violation { rule: Rule::Duplicate, what });
+        }
+        let class = &self.scenario.classes[record.class];
+        if !self.may_repeat(class, run, server) {
+            let what = format!("request {request} may run twice");
+            return Some(Violation { rule: Rule::Duplicate, what });
+        }
+        None
+    }
+
+    /// Whether a request that may have run may be sent to a server.
+    fn may_repeat(&self, class: &Class, run: PossibleRun, server: ServerIndex) -> bool {
+        match class.effect {
+            Effect::Safe => true,
+            Effect::Keyed => {
+                let same_cell = run.cell == self.servers[server as usize].cell;
+                same_cell && self.now < run.sent_at + class.repeats_dropped.0
+            }
+            Effect::Unsafe => false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/arrivals.rs
@@ -0,0 +1,104 @@
+//! The traffic of a day: when clients send their first tries, and what these ask for.
+
+use rand::RngExt;
+use zincstand_policy::Micros;
+
+use crate::day::{Day, Shape, Tenant};
+use crate::draw::{self, For};
+use crate::judge::Arrival;
+
+/// Length of a spell of high or low load on a bursty day, in seconds.
+const SPELL_SECONDS: f64 = 1.5;
+/// Times that the load rises and falls on a wavy day.
+const WAVES: f64 = 1.5;
+/// Seconds of its quota that a tenant may send at once.
+const QUOTA_BURST_SECONDS: f64 = 1.0;
+
+/// A tenant's token bucket: requests that find a token are within its quota.
+struct TokenBucket {
+    tokens: f64,
+    /// When it was last refilled, in seconds.
+    refilled_at: f64,
+}
+
+impl TokenBucket {
+    fn full(tenant: &Tenant) -> TokenBucket {
+        TokenBucket { tokens: tenant.quota * QUOTA_BURST_SECONDS, refilled_at: 0.0 }
+    }
+
+    /// Refills the bucket and takes a token if there is one.
+    fn take(&mut self, now: f64, quota: f64) -> bool {
+        let refilled = self.tokens + (now - self.refilled_at) * quota;
+        self.tokens = refilled.min(quota * QUOTA_BURST_SECONDS);
+        self.refilled_at = now;
+        let within = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(within));
+        within
+    }
+}
+
+/// How the load differs from its mean at a time of the day, from -1 to 1.
+fn load_swing(day: &Day, phase: f64, seconds: f64) -> f64 {
+    match day.load.shape {
+        Shape::Wave => (std::f64::consts::TAU * (seconds / day.length.secs() * WAVES + phase)).sin(),
+        Shape::Bursty => {
+            let spell = draw::unit(day.seed, For::Arrivals, 1 + (seconds / SPELL_SECONDS) as u64);
+            if spell < 0.5 { -1.0 } else { 1.0 }
+        }
+    }
+}
+
+/// Draws all first tries of the day, in the order in which they are sent.
+pub(super) fn draw_arrivals(day: &Day) -> Vec<Arrival> {
+    let mut rng = draw::stream(day.seed, For::Arrivals, 0);
+    let phase: f64 = rng.random();
+    let length = day.length.secs();
+    let peak_rate = day.load.rate * (1.0 + day.load.swing);
+    let mut buckets: Vec<TokenBucket> = day.tenants.iter().map(TokenBucket::full).collect();
+    let mut arrivals = Vec::new();
+    let mut now = 0.0;
+    loop {
+        now += -(1.0 - rng.random::<f64>()).ln() / peak_rate;
+        if now >= length {
+            return arrivals;
+        }
+        // Thinning: candidates come at the peak rate, and are kept with the ratio of the present rate to it.
+        let rate = day.load.rate * (1.0 + day.load.swing * load_swing(day, phase, now));
+        if rng.random::<f64>() * peak_rate > rate {
+            continue;
+        }
+        let mut arrival = draw_arrival(day, arrivals.len(), now);
+        if let Some(tenant) = arrival.tenant {
+            arrival.within = buckets[tenant].take(now, day.tenants[tenant].quota);
+        }
+        arrivals.push(arrival);
+    }
+}
+
+/// Draws what one first try asks for.
+fn draw_arrival(day: &Day, number: usize, now: f64) -> Arrival {
+    let mut rng = draw::stream(day.seed, For::Request, number as u64);
+    let zone = weighted_index(rng.random(), day.load.zone_shares.iter().copied());
+    let class = weighted_index(rng.random(), day.classes.iter().map(|class| class.share));
+    let drawn: f64 = rng.random();
+    let tenant_weights = day.tenants.iter().map(|tenant| tenant.share * tenant.usage);
+    let tenant = (!day.tenants.is_empty()).then(|| weighted_index(drawn, tenant_weights));
+    let work = day.classes[class].draw(&mut rng);
+    Arrival::new((now * 1e6) as Micros, zone as u32, class, tenant, work)
+}
+
+/// The index at which a number from 0 to 1 falls among weights.
+pub(super) fn weighted_index(drawn: f64, weights: impl Iterator<Item = f64> + Clone) -> usize {
+    let mut left = drawn * weights.clone().sum::<f64>();
+    let mut last = 0;
+    for (index, weight) in weights.enumerate() {
+        if weight > 0.0 {
+            last = index;
+            if left < weight {
+                return index;
+            }
+        }
+        left -= weight;
+    }
+    last
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/attribution.rs
@@ -0,0 +1,58 @@
+//! Which cause the time of a request is charged to.
+
+use super::World;
+use super::state::{Attempt, AttemptIndex, Job, JobPhase, RequestIndex, ServerIndex};
+use crate::judge::Cause;
+use crate::server::Condition;
+
+impl World<'_> {
+    /// The cause of time spent at a server: its condition, or `if_healthy`.
+    pub(super) fn server_cause(&self, server: ServerIndex, if_healthy: Cause) -> Cause {
+        match self.servers[server as usize].condition(self.now) {
+            Condition::Healthy => if_healthy,
+            Condition::Cold => Cause::Cold,
+            Condition::Choked => Cause::Choke,
+            Condition::Silent => Cause::Silent,
+            Condition::Slowed => Cause::Slowed,
+        }
+    }
+
+    /// Charges the time of an attempt that is given up to whatever holds it.
+    pub(super) fn charge_abandoned_attempt(&mut self, attempt: AttemptIndex) {
+        let Attempt { destination, sent, request, job, .. } = self.attempts[attempt as usize];
+        let arrival = self.requests[request as usize].arrival;
+        let Some(job) = job else {
+            let cause = self.server_cause(destination, Cause::TimeOut);
+            return self.arrivals[arrival as usize].charge(cause, Some(destination), self.now - sent);
+        };
+        let Job { phase, since, call, .. } = self.jobs[job as usize];
+        if let (JobPhase::Calling, Some(call)) = (phase, call) {
+            return self.charge_abandoned_call(call);
+        }
+        let if_healthy = if phase == JobPhase::Waiting { Cause::Queueing } else { Cause::TimeOut };
+        let cause = self.server_cause(destination, if_healthy);
+        self.arrivals[arrival as usize].charge(cause, Some(destination), self.now - since);
+    }
+
+    fn charge_abandoned_call(&mut self, call: RequestIndex) {
+        let request = &self.requests[call as usize];
+        let in_flight = request.latest_attempt.filter(|attempt| !self.attempts[*attempt as usize].ended);
+        if let Some(attempt) = in_flight {
+            self.charge_abandoned_attempt(attempt);
+        } else {
+            let held = self.now - request.idle_since;
+            self.arrivals[request.arrival as usize].charge(Cause::Held, None, held);
+        }
+    }
+
+    /// Charges the time for which a balancer has held a request without an attempt in flight.
+    pub(super) fn charge_held_time(&mut self, request: RequestIndex) {
+        let request = &self.requests[request as usize];
+        if request.attempts_in_flight > 0 {
+            return;
+        }
+        let cause = if request.attempts_sent == 0 { Cause::Held } else { Cause::Retry };
+        let held = self.now - request.idle_since;
+        self.arrivals[request.arrival as usize].charge(cause, None, held);
+    }
+}
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -1,160 +1,125 @@
-//! Clients: what they send, how long they wait, when they try again.
+//! Clients: which balancer they call, how long they wait, and when they retry.
 
-use rand::RngExt;
 use zincstand_policy::Micros;
 
-use super::{Caller, Edge, Ev, Message, ProcessAt, Reply, Request, RequestAt, World};
-use crate::day::{Day, Effect, Shape};
+use super::World;
+use super::arrivals::weighted_index;
+use super::event::{Message, Reply, WorldEvent};
+use super::state::{Caller, ClientTry, FrontBalancer, ProcessIndex, Request, RequestIndex};
+use crate::day::Effect;
 use crate::draw::{self, For};
-use crate::judge::{Arrival, Cause, End, Rule};
-
-/// A spell of a bursty day.
-const SPELL: f64 = 1.5;
-/// Times that the rate goes up and down in a wavy day.
-const WAVES: f64 = 1.5;
-/// Seconds of quota that a tenant may send at once.
-const BURST: f64 = 1.0;
-
-/// Draws all first tries of the day.
-pub(super) fn arrivals(day: &Day) -> Vec<Arrival> {
-    let mut rng = draw::stream(day.seed, For::Arrivals, 0);
-    let phase: f64 = rng.random();
-    let length = day.length.secs();
-    let top = day.load.rate * (1.0 + day.load.swing);
-    let swing = |t: f64| match day.load.shape {
-        Shape::Wave => (std::f64::consts::TAU * (t / length * WAVES + phase)).sin(),
-        Shape::Bursty => {
-            let spell = draw::unit(day.seed, For::Arrivals, 1 + (t / SPELL) as u64);
-            if spell < 0.5 { -1.0 } else { 1.0 }
-        }
-    };
-    let mut tokens: Vec<(f64, f64)> = day.tenants.iter().map(|t| (t.quota * BURST, 0.0)).collect();
-    let (mut all, mut now) = (Vec::new(), 0.0);
-    loop {
-        now += -(1.0 - rng.random::<f64>()).ln() / top;
-        if now >= length {
-            return all;
-        }
-        if rng.random::<f64>() * top > day.load.rate * (1.0 + day.load.swing * swing(now)) {
-            continue;
-        }
-        let mut own = draw::stream(day.seed, For::Request, all.len() as u64);
-        let zone = weighted(own.random(), day.load.zone_shares.iter().copied());
-        let class = weighted(own.random(), day.classes.iter().map(|c| c.share));
-        let drawn: f64 = own.random();
-        let tenant =
-            (!day.tenants.is_empty()).then(|| weighted(drawn, day.tenants.iter().map(|t| t.share * t.usage)));
-        let c = &day.classes[class];
-        let work = c.draw(&mut own);
-        let mut arrival = Arrival::new((now * 1e6) as Micros, zone as u32, class, tenant, work);
-        if let Some(t) = tenant {
-            let (have, at) = &mut tokens[t];
-            let quota = day.tenants[t].quota;
-            *have = (*have + (now - *at) * quota).min(quota * BURST);
-            *at = now;
-            arrival.within = *have >= 1.0;
-            *have -= f64::from(u8::from(arrival.within));
-        }
-        all.push(arrival);
-    }
-}
+use crate::judge::{Cause, End, Rule};
 
-/// The place of a number from 0 to 1 among weights.
-fn weighted(drawn: f64, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = drawn * weights.clone().sum::<f64>();
-    let mut last = 0;
-    for (i, w) in weights.enumerate() {
-        if w > 0.0 {
-            last = i;
-            if left < w {
-                return i;
-            }
-        }
-        left -= w;
-    }
-    last
-}
+/// A client with less time left than this does not send a try.
+const MIN_TRY_TIME: Micros = 1_000;
+/// Retries after which the backoff no longer doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// Keeps the draws of a backoff apart from those of the try before it; the try's number is added.
+const BACKOFF_KEY: u64 = 1_000;
 
 impl World<'_> {
     /// The front learns whether a balancer takes connections.
-    pub(super) fn front(&mut self, balancer: u32, open: bool) {
-        self.edges[balancer as usize].listed = open;
-        self.deal();
+    pub(super) fn front_update(&mut self, balancer: u32, open: bool) {
+        self.front_balancers[balancer as usize].listed = open;
+        self.update_front_routes();
     }
 
-    /// Clients go to the balancers of their zone, or to any where that has none.
-    pub(super) fn deal(&mut self) {
-        let listed = |zone: Option<u32>| {
-            let takes = |e: &Edge| e.listed && zone.is_none_or(|z| e.zone == z);
-            (0..self.edges.len() as u32).filter(|&i| takes(&self.edges[i as usize])).collect::<Vec<_>>()
+    /// Routes clients to the balancers of their zone, or to all where their zone has none.
+    pub(super) fn update_front_routes(&mut self) {
+        let listed = |in_zone: &dyn Fn(&FrontBalancer) -> bool| -> Vec<u32> {
+            let balancers = self.front_balancers.iter().enumerate();
+            let taking = balancers.filter(|(_, balancer)| balancer.listed && in_zone(balancer));
+            taking.map(|(index, _)| index as u32).collect()
+        };
+        let route = |zone: u32| {
+            let local = listed(&|balancer| balancer.zone == zone);
+            if local.is_empty() { listed(&|_| true) } else { local }
         };
-        let own = (0..self.taking.len() as u32).map(|zone| listed(Some(zone)));
-        self.taking = own.map(|own| if own.is_empty() { listed(None) } else { own }).collect();
+        self.front_routes = (0..self.front_routes.len() as u32).map(route).collect();
     }
 
-    /// The time that a client gives one try.
-    fn patience(&self, arrival: u32) -> (Micros, Micros) {
-        let a = &self.arrivals[arrival as usize];
-        let deadline = self.day.classes[a.class].deadline.0;
-        let each = (deadline as f64 * self.day.clients.try_share) as Micros;
-        (each, (a.at + deadline).saturating_sub(self.now))
+    /// How long a client waits for a try sent now: its limit for one try, within what is left of its deadline.
+    fn client_time_limit(&self, arrival: u32) -> Micros {
+        let arrival = &self.arrivals[arrival as usize];
+        let deadline = self.scenario.classes[arrival.class].deadline.0;
+        let per_try = (deadline as f64 * self.scenario.clients.try_share) as Micros;
+        per_try.min((arrival.at + deadline).saturating_sub(self.now))
     }
 
-    pub(super) fn send_try(&mut self, arrival: u32, number: u32) {
-        let (each, left) = self.patience(arrival);
-        let wait = each.min(left);
-        if wait < 1_000 {
-            return self.try_ended(arrival, number, Reply::Failed);
+    /// A client sends a try to a balancer.
+    pub(super) fn send_client_try(&mut self, arrival: u32, number: u32) {
+        let limit = self.client_time_limit(arrival);
+        if limit < MIN_TRY_TIME {
+            return self.client_try_failed(arrival, number, Reply::Failed);
         }
         if number == 0 {
-            self.tally.first_tries += 1;
+            self.metrics.first_tries += 1;
         } else {
-            self.tally.client_retries += 1;
+            self.metrics.client_retries += 1;
         }
-        self.tries[arrival as usize] = (number, true);
-        self.after(wait, Ev::TryOver { arrival, number });
-        let a = &self.arrivals[arrival as usize];
-        let (zone, class) = (a.zone, a.class);
+        self.client_tries[arrival as usize] = ClientTry { number, pending: true };
+        self.schedule_after(limit, WorldEvent::ClientTryTimedOut { arrival, number });
+        let latency = self.scenario.network.client.0;
         let key = draw::pair(u64::from(arrival), u64::from(number));
-        let drawn = draw::unit(self.day.seed, For::Front, key);
-        let taken = &self.taking[zone as usize];
-        let way = self.day.network.client.0;
-        let shares = &self.day.balancers.shares;
-        let at = match shares.is_empty() {
-            true => (drawn * taken.len() as f64) as usize,
-            false => weighted(drawn, taken.iter().map(|&i| shares[i as usize])),
-        };
-        let picked = taken.get(at);
-        let process = picked.and_then(|&i| self.edges[i as usize].process);
-        let Some(process) = process.filter(|p| self.processes[*p as usize].alive) else {
-            let reply = Reply::Unreachable;
-            return self.after(2 * way, Ev::Reply { arrival, number, reply, useful: 0.0 });
+        match self.choose_front_process(arrival, key) {
+            Ok(process) => self.call_balancer(process, arrival, number, limit),
+            Err(reply) => {
+                let event = WorldEvent::ReplyArrived { arrival, number, reply, useful: 0.0 };
+                self.schedule_after(2 * latency, event);
+            }
+        }
+    }
+
+    /// The process that the front connects a client to, or the reply if none takes the connection.
+    fn choose_front_process(&self, arrival: u32, key: u64) -> Result<ProcessIndex, Reply> {
+        let drawn = draw::unit(self.scenario.seed, For::Front, key);
+        let route = &self.front_routes[self.arrivals[arrival as usize].zone as usize];
+        let shares = &self.scenario.balancers.shares;
+        let index = if shares.is_empty() {
+            (drawn * route.len() as f64) as usize
+        } else {
+            weighted_index(drawn, route.iter().map(|&balancer| shares[balancer as usize]))
         };
-        let full = self.processes[process as usize].open.len() >= self.day.limits.max_open.max(1) as usize;
-        if full {
-            let reply = Reply::Refused { retry_after: 0 };
-            return self.after(2 * way, Ev::Reply { arrival, number, reply, useful: 0.0 });
+        let balancer = route.get(index).map(|&balancer| &self.front_balancers[balancer as usize]);
+        let process = balancer.and_then(|balancer| balancer.process);
+        let alive = process.filter(|process| self.processes[*process as usize].alive);
+        let process = alive.ok_or(Reply::Unreachable)?;
+        let open_requests = self.processes[process as usize].open_requests.len();
+        if open_requests >= self.scenario.limits.max_open.max(1) as usize {
+            return Err(Reply::Rejected { retry_after: 0 });
         }
+        Ok(process)
+    }
+
+    fn call_balancer(&mut self, process: ProcessIndex, arrival: u32, number: u32, limit: Micros) {
+        let latency = self.scenario.network.client.0;
+        let class = self.arrivals[arrival as usize].class;
         let caller = Caller::Client { arrival, number };
-        let request = self.new_request(process, caller, arrival, class, self.now + way + wait);
-        self.after(way, Ev::Message { process, message: Message::Request(request) });
-        let patience = draw::unit(self.day.seed, For::Client, key);
-        if patience < self.day.clients.impatient {
-            // Leaves somewhere on the way; nothing is owed then.
-            let at = (wait as f64 * patience / self.day.clients.impatient) as Micros;
-            self.after(at + way, Ev::Message { process, message: Message::Gone(request) });
+        let deadline = self.now + latency + limit;
+        let request = self.new_request(process, caller, arrival, class, deadline);
+        let message = Message::Request(request);
+        self.schedule_after(latency, WorldEvent::Message { process, message });
+        let key = draw::pair(u64::from(arrival), u64::from(number));
+        let patience = draw::unit(self.scenario.seed, For::Client, key);
+        let impatient = self.scenario.clients.impatient;
+        if patience < impatient {
+            // It disconnects before its limit; no answer is owed from then on.
+            let disconnects_after = (limit as f64 * patience / impatient) as Micros;
+            let message = Message::ClientDisconnected(request);
+            self.schedule_after(disconnects_after + latency, WorldEvent::Message { process, message });
         }
     }
 
+    /// Registers a request that is on its way to a process.
     pub(super) fn new_request(
         &mut self,
-        process: ProcessAt,
+        process: ProcessIndex,
         caller: Caller,
         arrival: u32,
         class: usize,
         deadline: Micros,
-    ) -> RequestAt {
-        let request = self.requests.len() as RequestAt;
+    ) -> RequestIndex {
+        let request = self.requests.len() as RequestIndex;
         self.requests.push(Request {
             process,
             caller,
@@ -162,78 +127,92 @@
             class,
             deadline,
             closed: false,
-            sent: 0,
-            out: 0,
-            may_have_run: None,
-            idle: self.now,
-            attempt: None,
+            attempts_sent: 0,
+            attempts_in_flight: 0,
+            possible_run: None,
+            idle_since: self.now,
+            latest_attempt: None,
         });
-        self.processes[process as usize].open.insert(request);
-        self.at(deadline + self.day.rules.answer_grace.0, Ev::Due { request });
+        self.processes[process as usize].open_requests.insert(request);
+        let due = deadline + self.scenario.rules.answer_grace.0;
+        self.schedule_at(due, WorldEvent::AnswerDue { request });
         request
     }
 
-    /// A request whose client waits no longer, or that was never answered.
-    pub(super) fn due(&mut self, request: RequestAt) {
-        let r = &self.requests[request as usize];
-        if r.closed || !self.processes[r.process as usize].alive {
+    /// The time in which a request must have its final answer is over.
+    pub(super) fn answer_due(&mut self, request: RequestIndex) {
+        let record = &self.requests[request as usize];
+        let process = record.process;
+        if record.closed || !self.processes[process as usize].alive {
             return;
         }
-        let process = r.process;
-        self.breach(Rule::Lost, process, None, format!("request {request} has no final answer"));
-        self.close(request, Reply::Failed, 0.0);
-        self.message(process, Message::Gone(request));
+        self.record_breach(Rule::Lost, process, None, format!("request {request} has no final answer"));
+        self.close_request(request, Reply::Failed, 0.0);
+        self.receive_message(process, Message::ClientDisconnected(request));
     }
 
-    pub(super) fn try_over(&mut self, arrival: u32, number: u32) {
-        if self.tries[arrival as usize] == (number, true) {
-            self.try_ended(arrival, number, Reply::Failed);
+    /// A client's time limit for a try expires.
+    pub(super) fn client_try_timed_out(&mut self, arrival: u32, number: u32) {
+        if self.client_tries[arrival as usize].waits_for(number) {
+            self.client_try_failed(arrival, number, Reply::Failed);
         }
     }
 
-    pub(super) fn reply(&mut self, arrival: u32, number: u32, reply: Reply, useful: f64) {
-        if self.tries[arrival as usize] != (number, true) {
+    /// A reply reaches a client, which may have stopped waiting for it.
+    pub(super) fn reply_arrived(&mut self, arrival: u32, number: u32, reply: Reply, useful: f64) {
+        if !self.client_tries[arrival as usize].waits_for(number) {
             return;
         }
         if let Reply::Served = reply {
-            self.tries[arrival as usize].1 = false;
-            self.tally.useful += useful;
+            self.client_tries[arrival as usize].pending = false;
+            self.metrics.useful += useful;
             self.arrivals[arrival as usize].end = End::Served(self.now);
             return;
         }
-        self.try_ended(arrival, number, reply);
+        self.client_try_failed(arrival, number, reply);
+    }
+
+    /// A try has failed: the client retries if it has time and the class allows it.
+    fn client_try_failed(&mut self, arrival: u32, number: u32, reply: Reply) {
+        self.client_tries[arrival as usize].pending = false;
+        let class = &self.scenario.classes[self.arrivals[arrival as usize].class];
+        let never_ran = matches!(reply, Reply::Rejected { .. } | Reply::Unreachable);
+        // Only servers of one cell drop repeats of an idempotency key, and the next try may reach any cell.
+        let repeatable = class.effect == Effect::Safe || never_ran;
+        let backoff = self.client_backoff(arrival, number, reply);
+        let deadline = self.arrivals[arrival as usize].at + class.deadline.0;
+        if !repeatable || number >= self.scenario.clients.retries || self.now + backoff >= deadline {
+            return self.end_arrival(arrival, reply);
+        }
+        self.arrivals[arrival as usize].charge(Cause::Retry, None, backoff);
+        self.schedule_after(backoff, WorldEvent::ClientTry { arrival, number: number + 1 });
     }
 
-    /// A try that brought nothing: tries again where there is time and the class allows it.
-    fn try_ended(&mut self, arrival: u32, number: u32, reply: Reply) {
-        self.tries[arrival as usize].1 = false;
-        let clients = &self.day.clients;
-        let class = &self.day.classes[self.arrivals[arrival as usize].class];
-        // Servers of one cell only drop repeats of a key, and the next try may reach any.
-        let may = class.effect == Effect::Safe || matches!(reply, Reply::Refused { .. } | Reply::Unreachable);
-        let key = draw::pair(u64::from(arrival), 1_000 + u64::from(number));
-        let drawn = draw::unit(self.day.seed, For::Client, key);
-        let mut wait = clients.backoff.0 as f64 * f64::from(1u32 << number.min(16)) * (0.5 + drawn);
-        if let Reply::Refused { retry_after } = reply
-            && self.day.limits.retry_after
-            && draw::unit(self.day.seed, For::Client, key ^ 1) < clients.honour
+    /// How long a client waits before it retries: its own backoff, or longer if it heeds `Retry-After`.
+    fn client_backoff(&self, arrival: u32, number: u32, reply: Reply) -> Micros {
+        let clients = &self.scenario.clients;
+        let key = draw::pair(u64::from(arrival), BACKOFF_KEY + u64::from(number));
+        let drawn = draw::unit(self.scenario.seed, For::Client, key);
+        let doubled = f64::from(1u32 << number.min(MAX_BACKOFF_DOUBLINGS));
+        let mut backoff = clients.backoff.0 as f64 * doubled * (0.5 + drawn);
+        if let Reply::Rejected { retry_after } = reply
+            && self.scenario.limits.retry_after
+            && draw::unit(self.scenario.seed, For::Client, key ^ 1) < clients.honour
         {
-            wait = wait.max(retry_after.min(self.day.limits.max_retry_after.0) as f64);
+            backoff = backoff.max(retry_after.min(self.scenario.limits.max_retry_after.0) as f64);
         }
-        let wait = wait as Micros;
-        let a = &mut self.arrivals[arrival as usize];
-        let over = self.now + wait >= a.at + class.deadline.0;
-        if !may || number >= clients.retries || over {
-            a.end = match reply {
-                Reply::Refused { .. } => End::Refused(self.now),
-                _ => End::Failed(self.now),
-            };
-            if let Reply::Unreachable = reply {
-                a.charge(Cause::Unreachable, None, 1);
-            }
-            return;
+        backoff as Micros
+    }
+
+    /// A client gives up after its last try.
+    fn end_arrival(&mut self, arrival: u32, reply: Reply) {
+        let arrival = &mut self.arrivals[arrival as usize];
+        arrival.end = match reply {
+            Reply::Rejected { .. } => End::Refused(self.now),
+            _ => End::Failed(self.now),
+        };
+        if let Reply::Unreachable = reply {
+            arrival.charge(Cause::Unreachable, None, 1);
         }
-        a.charge(Cause::Retry, None, wait);
-        self.after(wait, Ev::Try { arrival, number: number + 1 });
     }
 }
--- /dev/null
+++ b/crates/fleet-model/src/world/faults/balancers.rs
@@ -0,0 +1,65 @@
+//! Faults of balancers of the first tier: killed, restarted, or replaced by a process that serves meanwhile.
+
+use zincstand_policy::LearnedState;
+
+use super::schedule::TargetStep;
+use super::{FRONT_NOTICE, READY_DELAY};
+use crate::day::{Fault, FaultKind};
+use crate::world::World;
+use crate::world::event::WorldEvent;
+use crate::world::processes::ProcessEnd;
+use crate::world::state::ProcessIndex;
+
+impl World<'_> {
+    /// A balancer is killed, restarted or replaced, step by step.
+    pub(super) fn balancer_step(&mut self, fault: &Fault, balancer: usize, step: TargetStep) {
+        let replaced = fault.kind == FaultKind::ProcessReplaced;
+        match step {
+            // The old process serves until the new one does, so the front never sends clients elsewhere.
+            TargetStep::Drain if replaced => {}
+            TargetStep::Drain => {
+                let notice = match fault.kind {
+                    FaultKind::BalancerKilled => self.scenario.balancers.notice.0,
+                    _ => FRONT_NOTICE,
+                };
+                let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open: false };
+                self.schedule_after(notice, event);
+            }
+            TargetStep::Stop => {
+                let process = if replaced {
+                    self.replaced_process(balancer)
+                } else {
+                    self.front_balancers[balancer].process
+                };
+                if let Some(process) = process {
+                    self.end_process(process, ProcessEnd::ConnectionsReset);
+                }
+            }
+            TargetStep::Start => {
+                let learned = if fault.learned { self.learned_state_of(balancer) } else { None };
+                self.start_front_balancer(balancer, learned);
+                if !replaced {
+                    let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open: true };
+                    self.schedule_after(READY_DELAY, event);
+                }
+            }
+        }
+    }
+
+    /// The process of a balancer that still runs beside its present one.
+    fn replaced_process(&self, balancer: usize) -> Option<ProcessIndex> {
+        let present = self.front_balancers[balancer].process;
+        (0..self.processes.len() as ProcessIndex).find(|&process| {
+            let record = &self.processes[process as usize];
+            let of_balancer = record.tier == 0 && record.balancer == balancer as u32;
+            record.alive && of_balancer && Some(process) != present
+        })
+    }
+
+    /// What the present process of a balancer has learned.
+    fn learned_state_of(&self, balancer: usize) -> Option<LearnedState> {
+        let process = self.front_balancers[balancer].process?;
+        let record = &self.processes[process as usize];
+        record.policy.learned_state(self.now + record.clock_offset)
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -0,0 +1,137 @@
+//! Faults of a day: when their stages happen, and which part of the fleet each stage affects.
+
+mod balancers;
+mod schedule;
+mod servers;
+mod zones;
+
+use zincstand_policy::Micros;
+
+use self::schedule::{Stage, TargetStep};
+use super::World;
+use super::event::WorldEvent;
+use super::state::HeavyTail;
+use crate::day::{Fault, FaultKind};
+
+/// From the end of a process to the start of the next one on the same machine.
+const RESTART_DELAY: Micros = 500_000;
+/// From a balancer's saying that it takes no connections to the front's sending new ones elsewhere.
+const FRONT_NOTICE: Micros = 300_000;
+/// A balancer that was asked to end is ended this long after the longest deadline.
+const SHUTDOWN_GRACE: Micros = 700_000;
+/// From the start of a balancer's process to its first connection.
+const READY_DELAY: Micros = 300_000;
+
+/// Whether a fault starts or is over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FaultEdge {
+    Begin,
+    End,
+}
+
+impl World<'_> {
+    /// Addresses of servers, or numbers of balancers, that a fault affects.
+    fn fault_targets(&self, fault: &Fault) -> Vec<usize> {
+        if affects_balancers(fault.kind) {
+            return if fault.which.is_empty() {
+                (0..self.front_balancers.len()).collect()
+            } else {
+                fault.which.clone()
+            };
+        }
+        let first = self.first_address_of_tier[fault.tier];
+        let count: u32 = self.scenario.tiers[fault.tier].servers.iter().sum();
+        if fault.which.is_empty() {
+            (first..first + count as usize).collect()
+        } else {
+            fault.which.iter().map(|number| first + number).collect()
+        }
+    }
+
+    /// A stage of a fault happens.
+    pub(super) fn fault_stage(&mut self, number: u32, stage: u32) {
+        let fault = &self.scenario.faults[number as usize];
+        let targets = self.fault_targets(fault);
+        match Stage::from_number(stage) {
+            Stage::Edge(edge) => self.fault_edge(number, fault, &targets, edge),
+            Stage::Target { target, step } => {
+                if let Some(&target) = targets.get(target as usize) {
+                    self.fault_target_step(fault, target, step);
+                }
+            }
+        }
+    }
+
+    fn fault_target_step(&mut self, fault: &Fault, target: usize, step: TargetStep) {
+        match fault.kind {
+            FaultKind::RollingDeploy | FaultKind::OutByHand => {
+                self.deploy_step(self.server_at_address[target], step);
+            }
+            FaultKind::Replaced => self.replace_step(target, step),
+            _ => self.balancer_step(fault, target, step),
+        }
+    }
+
+    fn fault_edge(&mut self, number: u32, fault: &Fault, targets: &[usize], edge: FaultEdge) {
+        match fault.kind {
+            FaultKind::HeavyTail => self.set_heavy_tail(number, fault, edge),
+            FaultKind::ZoneLost => self.lose_zone(fault, edge),
+            FaultKind::ZoneCut => self.partition_zone(fault, edge),
+            FaultKind::Vanished => {
+                for &address in targets {
+                    self.vanish(self.server_at_address[address], edge);
+                }
+            }
+            FaultKind::DiscoveryOutage => self.discovery_outage(edge),
+            FaultKind::Evacuated => {
+                let open = edge == FaultEdge::End;
+                for &balancer in targets {
+                    let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open };
+                    self.schedule_after(FRONT_NOTICE, event);
+                }
+            }
+            FaultKind::OutByHand => {
+                for &address in targets {
+                    self.set_operator_exclusion(fault, self.server_at_address[address], edge);
+                }
+            }
+            _ => {
+                for &address in targets {
+                    self.set_server_fault(fault, self.server_at_address[address], edge);
+                }
+            }
+        }
+    }
+
+    /// Requests of a class become heavy, or are no longer.
+    fn set_heavy_tail(&mut self, number: u32, fault: &Fault, edge: FaultEdge) {
+        self.heavy_tails.retain(|heavy| heavy.fault != number);
+        if edge == FaultEdge::Begin {
+            let class = self.fault_class(fault).unwrap_or(0);
+            let heavy = HeavyTail { fault: number, class, share: fault.share, factor: fault.factor };
+            self.heavy_tails.push(heavy);
+        }
+    }
+
+    /// The class that a fault names.
+    fn fault_class(&self, fault: &Fault) -> Option<usize> {
+        self.scenario.classes.iter().position(|class| Some(&class.name) == fault.class.as_ref())
+    }
+
+    /// The zone that a fault names.
+    fn fault_zone(&self, fault: &Fault) -> Option<u32> {
+        let zone = self.scenario.zones.iter().position(|zone| Some(zone) == fault.zone.as_ref())?;
+        Some(zone as u32)
+    }
+}
+
+/// Whether a fault's targets are balancers of the first tier; those of other kinds are servers.
+fn affects_balancers(kind: FaultKind) -> bool {
+    matches!(
+        kind,
+        FaultKind::BalancerKilled
+            | FaultKind::BalancerRestart
+            | FaultKind::ProcessReplaced
+            | FaultKind::Evacuated
+    )
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -0,0 +1,163 @@
+//! When the stages of a fault happen.
+
+use zincstand_policy::Micros;
+
+use super::{FaultEdge, RESTART_DELAY, SHUTDOWN_GRACE};
+use crate::day::{Fault, FaultKind};
+use crate::world::World;
+use crate::world::event::WorldEvent;
+
+/// Stage numbers of the begin and the end of a whole fault.
+const BEGIN: u32 = 0;
+const END: u32 = 1;
+/// Stage numbers from here on belong to single targets.
+const FIRST_TARGET_STAGE: u32 = 2;
+const STEPS_PER_TARGET: u32 = 3;
+
+/// What happens to one target of a fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum TargetStep {
+    Drain,
+    Stop,
+    Start,
+}
+
+/// A stage of a fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Stage {
+    /// The whole fault begins or ends.
+    Edge(FaultEdge),
+    /// One target takes a step.
+    Target { target: u32, step: TargetStep },
+}
+
+impl Stage {
+    /// The stage with a number, the inverse of [`Stage::number`].
+    pub fn from_number(number: u32) -> Stage {
+        match number {
+            BEGIN => Stage::Edge(FaultEdge::Begin),
+            END => Stage::Edge(FaultEdge::End),
+            _ => {
+                let number = number - FIRST_TARGET_STAGE;
+                let step = match number % STEPS_PER_TARGET {
+                    0 => TargetStep::Drain,
+                    1 => TargetStep::Stop,
+                    _ => TargetStep::Start,
+                };
+                Stage::Target { target: number / STEPS_PER_TARGET, step }
+            }
+        }
+    }
+
+    fn number(self) -> u32 {
+        match self {
+            Stage::Edge(FaultEdge::Begin) => BEGIN,
+            Stage::Edge(FaultEdge::End) => END,
+            Stage::Target { target, step } => {
+                let step = match step {
+                    TargetStep::Drain => 0,
+                    TargetStep::Stop => 1,
+                    TargetStep::Start => 2,
+                };
+                FIRST_TARGET_STAGE + target * STEPS_PER_TARGET + step
+            }
+        }
+    }
+}
+
+/// When a balancer's process drains, ends, and when its next one starts.
+struct BalancerTimes {
+    drain: Micros,
+    stop: Micros,
+    start: Micros,
+}
+
+impl World<'_> {
+    /// Schedules all stages of all faults of the day.
+    pub(in crate::world) fn schedule_faults(&mut self) {
+        let scenario = self.scenario;
+        for (number, fault) in scenario.faults.iter().enumerate() {
+            let number = number as u32;
+            let targets = self.fault_targets(fault).len() as u32;
+            match fault.kind {
+                FaultKind::RollingDeploy => self.schedule_deploy(number, fault, targets),
+                FaultKind::Replaced => self.schedule_replacements(number, fault, targets),
+                FaultKind::ProcessReplaced | FaultKind::BalancerRestart | FaultKind::BalancerKilled => {
+                    self.schedule_balancer_steps(number, fault, targets);
+                }
+                _ => {
+                    self.schedule_stage(number, fault.at.0, Stage::Edge(FaultEdge::Begin));
+                    let end = fault.at.0 + fault.length.0;
+                    self.schedule_stage(number, end, Stage::Edge(FaultEdge::End));
+                }
+            }
+            if fault.kind == FaultKind::OutByHand && fault.restarts {
+                self.schedule_restarts(number, fault, targets);
+            }
+        }
+    }
+
+    fn schedule_stage(&mut self, fault: u32, at: Micros, stage: Stage) {
+        self.schedule_at(at, WorldEvent::FaultStage { fault, stage: stage.number() });
+    }
+
+    fn schedule_target(&mut self, fault: u32, at: Micros, target: u32, step: TargetStep) {
+        self.schedule_stage(fault, at, Stage::Target { target, step });
+    }
+
+    /// Servers drain and restart in batches, spread over the fault's length.
+    fn schedule_deploy(&mut self, number: u32, fault: &Fault, targets: u32) {
+        let batch = (fault.share * f64::from(targets)).ceil().max(1.0) as u32;
+        let rounds = targets.div_ceil(batch).max(1);
+        for target in 0..targets {
+            let at = fault.at.0 + fault.length.0 * u64::from(target / batch) / u64::from(rounds);
+            let stop = at + fault.drain.0;
+            self.schedule_target(number, at, target, TargetStep::Drain);
+            self.schedule_target(number, stop, target, TargetStep::Stop);
+            self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
+        }
+    }
+
+    /// Servers are replaced one after the other, spread over the fault's length.
+    fn schedule_replacements(&mut self, number: u32, fault: &Fault, targets: u32) {
+        for target in 0..targets {
+            let stop = fault.at.0 + fault.length.0 * u64::from(target) / u64::from(targets.max(1));
+            self.schedule_target(number, stop, target, TargetStep::Stop);
+            self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
+        }
+    }
+
+    fn schedule_balancer_steps(&mut self, number: u32, fault: &Fault, targets: u32) {
+        for target in 0..targets {
+            let times = self.balancer_times(fault, target, targets);
+            self.schedule_target(number, times.drain, target, TargetStep::Drain);
+            self.schedule_target(number, times.stop, target, TargetStep::Stop);
+            self.schedule_target(number, times.start, target, TargetStep::Start);
+        }
+    }
+
+    /// Balancers are killed all at once, and restarted or replaced one after the other.
+    fn balancer_times(&self, fault: &Fault, target: u32, targets: u32) -> BalancerTimes {
+        if fault.kind == FaultKind::BalancerKilled {
+            let at = fault.at.0;
+            return BalancerTimes { drain: at, stop: at, start: at + fault.length.0 };
+        }
+        let longest = self.scenario.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
+        let interval = fault.length.0 / u64::from(targets.max(1));
+        let drain = fault.at.0 + u64::from(target) * interval;
+        let stop = drain + longest + SHUTDOWN_GRACE;
+        // A replacement starts first and serves while the old process drains.
+        let start = if fault.kind == FaultKind::ProcessReplaced { drain } else { stop + RESTART_DELAY };
+        BalancerTimes { drain, stop, start }
+    }
+
+    /// Servers that operators have excluded restart meanwhile and are cold when they are allowed again.
+    fn schedule_restarts(&mut self, number: u32, fault: &Fault, targets: u32) {
+        let latest = fault.length.0.saturating_sub(RESTART_DELAY);
+        let stop = fault.at.0 + fault.drain.0.min(latest);
+        for target in 0..targets {
+            self.schedule_target(number, stop, target, TargetStep::Stop);
+            self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/faults/servers.rs
@@ -0,0 +1,96 @@
+//! Faults of single servers: deploys, replacements, vanished machines, exclusion by operators, and slow or failing ones.
+
+use super::FaultEdge;
+use super::schedule::TargetStep;
+use crate::day::{Fault, FaultKind};
+use crate::server::{Server, Slowdown};
+use crate::world::World;
+use crate::world::discovery::{ChangeVisibility, ListedState};
+use crate::world::processes::ProcessEnd;
+use crate::world::state::{ProcessIndex, ServerIndex};
+
+impl World<'_> {
+    /// A server drains, stops or starts again.
+    pub(super) fn deploy_step(&mut self, server: ServerIndex, step: TargetStep) {
+        if self.servers[server as usize].has_collapsed() {
+            return;
+        }
+        match step {
+            TargetStep::Drain => {
+                self.servers[server as usize].drain();
+                self.announce_change(server, ListedState::Draining, ChangeVisibility::Announced);
+            }
+            TargetStep::Stop => self.stop_server(server),
+            TargetStep::Start => self.start_server(server),
+        }
+    }
+
+    /// A server is removed, and another one with its own id starts at the same address.
+    pub(super) fn replace_step(&mut self, address: usize, step: TargetStep) {
+        let old = self.server_at_address[address];
+        if step == TargetStep::Stop {
+            if self.servers[old as usize].is_up() {
+                self.stop_server(old);
+            }
+            return self.announce_change(old, ListedState::Removed, ChangeVisibility::Announced);
+        }
+        let number = self.servers.len();
+        let predecessor = &self.servers[old as usize];
+        let tier = &self.scenario.tiers[predecessor.tier];
+        let new = Server::replacement(self.scenario.seed, number as u64, tier, predecessor);
+        self.servers.push(new);
+        self.sidecars.push(None);
+        self.server_at_address[address] = number as ServerIndex;
+        self.start_server(number as ServerIndex);
+    }
+
+    /// A server's machine vanishes without a word, or is back with a cold process.
+    pub(super) fn vanish(&mut self, server: ServerIndex, edge: FaultEdge) {
+        let record = &mut self.servers[server as usize];
+        if record.has_collapsed() {
+            return;
+        }
+        match edge {
+            FaultEdge::Begin => {
+                record.vanished = true;
+                if let Some(process) = self.sidecars[server as usize] {
+                    self.end_process(process, ProcessEnd::Silent);
+                }
+                self.announce_change(server, ListedState::Removed, ChangeVisibility::Silent);
+            }
+            FaultEdge::End => {
+                self.stop_server(server);
+                self.start_server(server);
+            }
+        }
+    }
+
+    /// Operators exclude a server at all balancers of its tier, or allow it again.
+    pub(super) fn set_operator_exclusion(&mut self, fault: &Fault, server: ServerIndex, edge: FaultEdge) {
+        self.excluded_by_operator.retain(|excluded| *excluded != server);
+        if edge == FaultEdge::Begin {
+            self.excluded_by_operator.push(server);
+        }
+        for process in 0..self.processes.len() {
+            if self.processes[process].alive && self.processes[process].tier == fault.tier {
+                self.notify_of_exclusion(process as ProcessIndex, server);
+            }
+        }
+    }
+
+    /// A server starts or stops to fail requests, to be silent, to break connections or to be slow.
+    pub(super) fn set_server_fault(&mut self, fault: &Fault, server: ServerIndex, edge: FaultEdge) {
+        let active = edge == FaultEdge::Begin;
+        let usual_error_rate = self.scenario.tiers[fault.tier].error_rate;
+        let class = self.fault_class(fault);
+        let record = &mut self.servers[server as usize];
+        record.advance(self.now);
+        match fault.kind {
+            FaultKind::FastErrors => record.error_rate = if active { fault.share } else { usual_error_rate },
+            FaultKind::Silent => record.silent = active,
+            FaultKind::Resets => record.reset_rate = if active { fault.share } else { 0.0 },
+            _ => record.slowdown = active.then_some(Slowdown { factor: fault.factor, class }),
+        }
+        self.plan_next_change(server);
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/sampling.rs
@@ -0,0 +1,126 @@
+//! What the world counts and reports: counters by second, broken rules, and samples of servers.
+
+use std::collections::BTreeMap;
+
+use super::event::WorldEvent;
+use super::state::{ProcessIndex, RecentEvent, ServerIndex};
+use super::{MICROS_PER_SECOND, World};
+use crate::judge::{Breach, NewsCount, Rule, Sample, TierCount};
+use crate::server::AnsweredAttempts;
+
+/// Broken rules that are reported in full; further ones are only counted.
+const MAX_REPORTED_BREACHES: usize = 20;
+/// Recent events of a process that a report of a broken rule shows.
+const MAX_RECENT_EVENTS: usize = 24;
+
+impl World<'_> {
+    /// Counters of a tier for the second in which `arrival` was sent.
+    pub(super) fn tier_count(&mut self, arrival: u32, tier: usize) -> &mut TierCount {
+        let second = (self.arrivals[arrival as usize].at / MICROS_PER_SECOND) as usize;
+        let tiers = self.scenario.tiers.len();
+        let by_second = &mut self.metrics.tiers;
+        if by_second.len() <= second {
+            by_second.resize_with(second + 1, || vec![TierCount::default(); tiers]);
+        }
+        &mut by_second[second][tier]
+    }
+
+    /// Counters of discovery for the present second.
+    pub(super) fn discovery_count(&mut self) -> &mut NewsCount {
+        let second = (self.now / MICROS_PER_SECOND) as usize;
+        let by_second = &mut self.metrics.news;
+        if by_second.len() <= second {
+            by_second.resize_with(second + 1, NewsCount::default);
+        }
+        &mut by_second[second]
+    }
+
+    /// Remembers what a process saw or did, for reports of broken rules.
+    pub(super) fn remember_event(&mut self, process: ProcessIndex, event: RecentEvent) {
+        let recent = &mut self.processes[process as usize].recent_events;
+        if recent.len() >= MAX_RECENT_EVENTS {
+            recent.pop_front();
+        }
+        recent.push_back((self.now, event));
+    }
+
+    /// Records that a process broke a rule.
+    pub(super) fn record_breach(
+        &mut self,
+        rule: Rule,
+        process: ProcessIndex,
+        server: Option<ServerIndex>,
+        what: String,
+    ) {
+        self.metrics.broken += 1;
+        if self.metrics.breaches.len() >= MAX_REPORTED_BREACHES {
+            return;
+        }
+        let process = &self.processes[process as usize];
+        let describe = |(at, event): &(u64, RecentEvent)| format!("{:.3} s: {event}", *at as f64 / 1e6);
+        self.metrics.breaches.push(Breach {
+            rule,
+            at: self.now,
+            balancer: (process.tier, process.balancer),
+            server,
+            what,
+            before: process.recent_events.iter().map(describe).collect(),
+        });
+    }
+
+    /// Samples all servers, with what the balancers have learned about them.
+    pub(super) fn sample_servers(&mut self) {
+        let mut samples = self.server_samples();
+        for server in &mut self.servers {
+            server.answered = AnsweredAttempts::default();
+        }
+        self.add_learned_state(&mut samples);
+        if let Some(all) = &mut self.samples {
+            all.push(samples);
+        }
+        if self.now + MICROS_PER_SECOND < self.scenario.length.0 {
+            self.schedule_after(MICROS_PER_SECOND, WorldEvent::SampleServers);
+        }
+    }
+
+    fn server_samples(&self) -> Vec<Sample> {
+        self.servers
+            .iter()
+            .map(|server| Sample {
+                tier: server.tier,
+                held: server.held() as u32,
+                up: server.is_up() && !server.vanished && !server.silent,
+                choked: server.is_choked(),
+                share: server.warm_share(self.now),
+                open: 0,
+                window: 0.0,
+                latency: server.answered.mean_latency(),
+            })
+            .collect()
+    }
+
+    /// Adds open breakers and each zone's concurrency limit, spread evenly over the zone's servers.
+    fn add_learned_state(&self, samples: &mut [Sample]) {
+        let mut up_in_zone: BTreeMap<(usize, u32), f64> = BTreeMap::new();
+        for server in &self.servers {
+            *up_in_zone.entry((server.tier, server.zone)).or_default() += f64::from(u8::from(server.is_up()));
+        }
+        for process in self.processes.iter().filter(|process| process.alive) {
+            let local_now = self.now + process.clock_offset;
+            let Some(learned) = process.policy.learned_state(local_now) else { continue };
+            for server in &learned.servers {
+                let open = server.breakers.first().is_some_and(|breaker| breaker.1.is_some());
+                samples[server.server as usize].open += u32::from(open);
+            }
+            for zone in &learned.zones {
+                let servers_up = up_in_zone.get(&(process.tier, zone.zone)).copied().unwrap_or(1.0).max(1.0);
+                let per_server = zone.concurrency_limit / servers_up;
+                for (sample, server) in samples.iter_mut().zip(&self.servers) {
+                    if (server.tier, server.zone) == (process.tier, zone.zone) {
+                        sample.window += per_server;
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/servers.rs
@@ -0,0 +1,111 @@
+//! Servers' processes: how they stop and start, pause, answer health checks and plan their next change.
+
+use zincstand_policy::{Micros, Outcome};
+
+use super::event::{Message, WorldEvent};
+use super::processes::ProcessEnd;
+use super::state::{ProcessIndex, ServerIndex};
+use super::{ServerStart, World};
+use crate::draw::{self, For};
+use crate::world::discovery::{ChangeVisibility, ListedState};
+
+impl World<'_> {
+    /// Ends a server's process; the balancers of its jobs see their connections break. Its sidecar ends with it.
+    pub(super) fn stop_server(&mut self, server: ServerIndex) {
+        let lost_jobs = self.servers[server as usize].stop();
+        for job in lost_jobs {
+            let attempt = self.jobs[job as usize].attempt;
+            if !self.attempts[attempt as usize].ended {
+                self.send_outcome(attempt, Outcome::Reset);
+            }
+        }
+        let sidecar = self.sidecars[server as usize];
+        if let Some(process) = sidecar.filter(|process| self.processes[*process as usize].alive) {
+            self.end_process(process, ProcessEnd::Silent);
+        }
+    }
+
+    /// Starts a server's next process, cold, with a sidecar of its own.
+    pub(super) fn start_server(&mut self, server: ServerIndex) {
+        let record = &mut self.servers[server as usize];
+        if record.is_up() || record.has_collapsed() {
+            return;
+        }
+        record.start(self.now);
+        if let Some(recording) = &mut self.start_recording {
+            let full_capacity = record.full_capacity();
+            recording.starts.push(ServerStart { server, at: self.now, full_capacity });
+        }
+        let started = record.started;
+        let epoch = record.epoch;
+        self.start_sidecar(server);
+        self.schedule_pause(server, epoch, 0);
+        self.announce_change(server, ListedState::Ready(started), ChangeVisibility::Announced);
+    }
+
+    /// Schedules a server's next pause (even `number`) or the end of its pause (odd `number`).
+    pub(super) fn schedule_pause(&mut self, server: ServerIndex, epoch: u32, number: u32) {
+        let record = &self.servers[server as usize];
+        let tier = &self.scenario.tiers[record.tier];
+        if tier.pause_every.0 == 0 || tier.pause.0 == 0 {
+            return;
+        }
+        let delay = if number % 2 == 1 {
+            let held_per_core = tier.pause_grow * record.held() as f64 / f64::from(tier.cores);
+            (tier.pause.0 as f64 * (1.0 + held_per_core)) as Micros
+        } else {
+            let key = draw::pair(u64::from(server), u64::from(epoch) << 32 | u64::from(number));
+            let drawn = draw::unit(self.scenario.seed, For::Pause, key);
+            (tier.pause_every.0 as f64 * (0.5 + drawn)) as Micros
+        };
+        self.schedule_after(delay, WorldEvent::ServerPause { server, epoch, number });
+    }
+
+    /// A server pauses or continues.
+    pub(super) fn server_pause(&mut self, server: ServerIndex, epoch: u32, number: u32) {
+        let record = &mut self.servers[server as usize];
+        if record.epoch != epoch || !record.is_up() || self.now > self.scenario.length.0 {
+            return;
+        }
+        record.advance(self.now);
+        record.set_paused(number.is_multiple_of(2));
+        self.plan_next_change(server);
+        self.schedule_pause(server, epoch, number + 1);
+    }
+
+    /// Plans a server's next change by itself; what was planned before becomes obsolete.
+    pub(super) fn plan_next_change(&mut self, server: ServerIndex) {
+        let record = &mut self.servers[server as usize];
+        record.update_choke(self.now);
+        record.plan += 1;
+        let plan = record.plan;
+        if let Some(at) = record.next_change(self.now) {
+            self.schedule_at(at, WorldEvent::ServerStep { server, plan });
+        }
+    }
+
+    /// A process checks a server's health. A server answers beside its queue; this shows that its process runs, and
+    /// costs it work.
+    pub(super) fn health_check(&mut self, process: ProcessIndex, server: ServerIndex) {
+        self.metrics.probes += 1;
+        let key = draw::pair(u64::from(process) << 32 | u64::from(server), self.now);
+        let from = self.processes[process as usize].zone;
+        let to = self.servers[server as usize].zone;
+        let round_trip = 2 * self.network_latency(from, to, key);
+        let destination = self.server_at_address[self.servers[server as usize].address];
+        let record = &mut self.servers[destination as usize];
+        let tier = &self.scenario.tiers[record.tier];
+        let (outcome, latency) = if record.vanished || record.silent {
+            (Outcome::TimedOut, tier.connections.connect_timeout.0)
+        } else if record.is_up() {
+            record.advance(self.now);
+            record.spend(tier.probe_work.0 as f64);
+            self.plan_next_change(destination);
+            (Outcome::Ok, round_trip)
+        } else {
+            (Outcome::ConnectFailed, round_trip)
+        };
+        let message = Message::HealthChecked { server, outcome, latency };
+        self.schedule_after(latency, WorldEvent::Message { process, message });
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/world/setup.rs
@@ -0,0 +1,99 @@
+//! The world as a day begins: servers, balancers, traffic and the schedule of faults.
+
+use super::event::{EventQueue, WorldEvent};
+use super::state::{ClientTry, FrontBalancer, ServerIndex};
+use super::{MICROS_PER_SECOND, Start, World, arrivals};
+use crate::day::Day;
+use crate::judge::Metrics;
+use crate::server::{Server, ServerPlace};
+
+impl<'d> World<'d> {
+    /// Builds the world of a day. The order of the steps is part of the day: events of one instant keep it.
+    pub(super) fn new(scenario: &'d Day, start: Start<'d>, detail: bool) -> World<'d> {
+        let mut world = World::empty(scenario, start, detail);
+        world.add_servers();
+        world.arrivals = arrivals::draw_arrivals(scenario);
+        world.client_tries = vec![ClientTry::default(); world.arrivals.len()];
+        for server in 0..world.servers.len() {
+            world.schedule_pause(server as ServerIndex, 0, 0);
+            world.list_initial_server(server as ServerIndex);
+        }
+        world.start_balancers();
+        world.update_front_routes();
+        world.schedule_faults();
+        world.schedule_arrivals();
+        if detail {
+            world.schedule_at(MICROS_PER_SECOND / 2, WorldEvent::SampleServers);
+        }
+        world
+    }
+
+    fn empty(scenario: &'d Day, start: Start<'d>, detail: bool) -> World<'d> {
+        World {
+            scenario,
+            start,
+            now: 0,
+            queue: EventQueue::default(),
+            arrivals: Vec::new(),
+            client_tries: Vec::new(),
+            servers: Vec::new(),
+            server_at_address: Vec::new(),
+            first_address_of_tier: Vec::new(),
+            front_balancers: Vec::new(),
+            front_routes: vec![Vec::new(); scenario.zones.len()],
+            processes: Vec::new(),
+            sidecars: Vec::new(),
+            requests: Vec::new(),
+            attempts: Vec::new(),
+            jobs: Vec::new(),
+            discovery_log: scenario.tiers.iter().map(|_| Vec::new()).collect(),
+            discovery_down: false,
+            partitioned_zones: vec![false; scenario.zones.len()],
+            excluded_by_operator: Vec::new(),
+            heavy_tails: Vec::new(),
+            collapsed: 0,
+            metrics: Metrics::default(),
+            actions: Vec::new(),
+            samples: detail.then(Vec::new),
+            start_recording: None,
+        }
+    }
+
+    fn add_servers(&mut self) {
+        let scenario = self.scenario;
+        let mut cell = 0;
+        for (tier_index, tier) in scenario.tiers.iter().enumerate() {
+            self.first_address_of_tier.push(self.servers.len());
+            for (zone, &count) in tier.servers.iter().enumerate() {
+                for in_zone in 0..count {
+                    let number = self.servers.len();
+                    // A cell never spans two zones.
+                    cell += u32::from(in_zone % tier.cell_size == 0);
+                    let place = ServerPlace { tier: tier_index, zone: zone as u32, cell, address: number };
+                    self.servers.push(Server::new(scenario.seed, number as u64, tier, place));
+                    self.server_at_address.push(number as ServerIndex);
+                    self.sidecars.push(None);
+                }
+            }
+        }
+    }
+
+    fn start_balancers(&mut self) {
+        let scenario = self.scenario;
+        for (balancer, name) in scenario.balancers.zones.iter().enumerate() {
+            let zone = scenario.zones.iter().position(|zone| zone == name).unwrap_or(0) as u32;
+            self.front_balancers.push(FrontBalancer { zone, process: None, listed: true });
+            self.start_front_balancer(balancer, None);
+        }
+        for server in 0..self.servers.len() {
+            self.start_sidecar(server as ServerIndex);
+        }
+    }
+
+    fn schedule_arrivals(&mut self) {
+        for arrival in 0..self.arrivals.len() {
+            let at = self.arrivals[arrival].at;
+            self.schedule_at(at, WorldEvent::ClientTry { arrival: arrival as u32, number: 0 });
+        }
+    }
+}
