--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use zincstand_policy::{Micros, ServerState};
-use zincstand_settings::{micros, one};
+use zincstand_settings::{micros_from_millis, unit_weight};
 
 use crate::discovery::endpoint::Endpoint;
 
@@ -40,7 +40,7 @@
     #[serde(default)]
     cell: u32,
     lifecycle: Lifecycle,
-    #[serde(default = "one")]
+    #[serde(default = "unit_weight")]
     weight: f64,
     /// In milliseconds of Unix time; 0 if it is not known.
     #[serde(default)]
@@ -108,7 +108,7 @@
 
     fn started(&self) -> Option<Micros> {
         let is_known = self.started_at_ms > 0.0 && self.started_at_ms.is_finite();
-        is_known.then(|| micros(self.started_at_ms))
+        is_known.then(|| micros_from_millis(self.started_at_ms))
     }
 }
 
--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy as policy;
 use zincstand_policy::{ListKind, ServerId, ServerState};
-use zincstand_settings::{Names, ring};
+use zincstand_settings::{Names, ring_position};
 
 use crate::discovery::endpoint::{Endpoint, Target};
 use crate::discovery::name_ids::NameIds;
@@ -37,7 +37,7 @@
             cell: endpoint.cell,
             // Derived from the instance's name: its address and its id differ between balancers, its position on the
             // hash ring must not.
-            ring_position: ring(&endpoint.instance),
+            ring_position: ring_position(&endpoint.instance),
             state,
             weight: if weight_is_valid { endpoint.weight } else { 1.0 },
             started: endpoint.started.max(overrides.included_at.get(&endpoint.instance).copied()),
@@ -73,8 +73,8 @@
         Registry {
             servers: NameIds::default(),
             endpoints: HashMap::new(),
-            zones: NameIds::with_names(&zones.names),
-            zones_in_settings: zones.names.len() as u32,
+            zones: NameIds::with_names(zones.as_slice()),
+            zones_in_settings: zones.as_slice().len() as u32,
             kinds: NameIds::default(),
             overrides: OperatorOverrides::default(),
             former_instances: VecDeque::new(),
--- a/crates/proxy/src/discovery/registry/tests.rs
+++ b/crates/proxy/src/discovery/registry/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_removed_endpoint_is_forgotten_and_its_id_is_never_reused() {
     let mut zones = Names::default();
-    let home = zones.number("home");
+    let home = zones.intern("home");
     let mut registry = Registry::new(&zones);
     let mut seen = HashSet::new();
     for round in 0..1000 {
