--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -391,7 +391,9 @@
             let is_lost = |id: &RequestId| self.requests.get(id).is_none_or(|r| self.cannot_finish(r));
             let (lost, kept): (VecDeque<_>, VecDeque<_>) = queued.into_iter().partition(is_lost);
             self.queues.classes[class].queued = kept;
-            lost.into_iter().for_each(|id| self.reject(id));
+            for id in lost {
+                self.reject(id);
+            }
         }
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,4 +1,62 @@
-//! Load-balancer decisions for services that call services.
+//! Load-balancer decisions for services that call services, without I/O.
+//!
+//! A [`Balancer`] receives what happens as [`Event`]s with the time at which they happen, and returns the
+//! [`Action`]s to be carried out. It opens no sockets and reads no clock; with the same seed, settings and
+//! events it decides the same. The caller owns connections, timers and discovery.
+//!
+//! The caller must uphold what [`Event`] says of their order. Times never go back.
+//!
+//! One request from its arrival to its end:
+//!
+//! ```
+//! use zincstand_policy::{
+//!     Action, Balancer, Class, Event, Idempotency, ListKind, Outcome, ServerEntry, Settings,
+//! };
+//!
+//! let class = Class {
+//!     idempotency: Idempotency::Idempotent,
+//!     latency_objective: 500_000,
+//!     objective_per_work: 0.0,
+//!     deadline: 2_000_000,
+//!     priority_weight: 1.0,
+//!     late_weight: 0.0,
+//!     streaming: false,
+//! };
+//! let mut balancer = Balancer::new(Settings::new(vec![class]), 1)?;
+//!
+//! let mut actions = Vec::new();
+//! let entries = vec![ServerEntry::new(7)];
+//! balancer.handle(0, Event::EndpointList { kind: ListKind::Snapshot, entries }, &mut actions);
+//!
+//! actions.clear();
+//! let request = Event::Request {
+//!     id: 1,
+//!     class: 0,
+//!     time_left: 2_000_000,
+//!     tenant: None,
+//!     work: None,
+//!     marked_retry: false,
+//!     body_pending: false,
+//! };
+//! balancer.handle(1_000, request, &mut actions);
+//! assert_eq!(actions, [Action::Send { request: 1, server: 7, limit: 499_000 }]);
+//!
+//! // The caller sends it, and reports how the attempt ended.
+//! actions.clear();
+//! let outcome = Event::Outcome {
+//!     request: 1,
+//!     attempt: 0,
+//!     server: 7,
+//!     outcome: Outcome::Ok,
+//!     latency: 20_000,
+//!     finished: true,
+//!     body_consumed: false,
+//!     load: None,
+//! };
+//! balancer.handle(21_000, outcome, &mut actions);
+//! assert!(actions.is_empty());
+//! # Ok::<(), zincstand_policy::SettingsError>(())
+//! ```
 
 mod admission;
 mod balancer;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,16 +1,18 @@
-//! Settings of a balancer and their validation.
+//! Settings of a balancer: what the deployment is, what it allows, and what each thing costs.
 
-use std::fmt;
+mod validation;
 
 use crate::event::{Micros, ZoneId};
 
-/// What may be repeated of a class's requests.
+pub use validation::SettingsError;
+
+/// Whether and where a class's requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat anywhere.
+    /// May be repeated anywhere.
     Idempotent,
-    /// Carries a key: the servers of one group drop repeats, for a window counted from the earliest attempt
-    /// that may have run.
+    /// Carries an idempotency key: the servers of one scope drop repeats, for a window counted from the
+    /// earliest attempt that may have run.
     WithKey {
         /// Which servers drop each other's repeats.
         scope: DedupScope,
@@ -21,7 +23,7 @@
     NotIdempotent,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The servers that drop each other's repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers of the tier.
@@ -35,33 +37,35 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// An answer within this span earns the full worth.
+    /// An answer within this time earns the full [`priority_weight`](Class::priority_weight). Above 0.
     pub latency_objective: Micros,
-    /// The aim grows by this multiple of the request's own work, where a hint tells it.
+    /// The objective grows by this multiple of a request's expected work, where a hint gives it. Not
+    /// negative.
     pub objective_per_work: f64,
-    /// How long a client waits in all.
+    /// How long a client waits in all. Above 0.
     pub deadline: Micros,
-    /// Worth of one request (or of a unit of its work, see [`Settings::weight_by_work`]).
+    /// What serving one request is worth beside those of other classes, or a unit of its work, see
+    /// [`Settings::weight_by_work`]. Not negative.
     pub priority_weight: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the weight that an answer after the objective still earns. Not negative.
     pub late_weight: f64,
-    /// The answer is a stream: [`Event::FirstByte`] tells of its start.
+    /// The answer is a stream: [`Event::FirstByte`](crate::Event::FirstByte) marks its start.
     pub streaming: bool,
 }
 
-/// One of those who share the service.
+/// One of the tenants that share the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its share of the service.
+    /// Its share of the service. Not negative.
     pub share: f64,
-    /// Requests a second within that share, over all balancers; what exceeds it is worth
-    /// [`Settings::over_quota_weight`] of the usual.
+    /// Requests a second within that share, over all balancers. One beyond it has
+    /// [`Settings::over_quota_weight`] of its class's weight. Not negative.
     pub quota: f64,
 }
 
-/// What [`ServerEntry::weight`] says.
+/// What [`ServerEntry::weight`](crate::ServerEntry::weight) means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerWeights {
     /// Nothing: it is always 1.
@@ -71,98 +75,105 @@
     Nominal,
     /// About the size.
     Rough,
-    /// The size over 1 + requests held for each core, as it was a while ago.
+    /// The size divided by 1 + requests held for each core, as measured a while ago.
     Live,
 }
 
 /// How the list of servers arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Changes arrive without being asked for.
     Push,
-    /// Nothing arrives until [`Action::Watch`] or [`Action::Fetch`] asks.
+    /// Nothing arrives until [`Action::Watch`](crate::Action::Watch) or
+    /// [`Action::Fetch`](crate::Action::Fetch) asks for it.
     Poll,
 }
 
 /// How servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// In outcomes and probe answers.
+    /// With outcomes and with answers to health checks.
     Answers,
-    /// In probe answers only.
+    /// With answers to health checks only.
     Probe,
     /// Not at all.
     None,
 }
 
 /// What the deployment allows.
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "permissions that are independent of each other, not states"
+)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// [`Action::Cancel`] may be used.
+    /// [`Action::Cancel`](crate::Action::Cancel) may be used.
     pub cancel: bool,
-    /// [`Action::Probe`] may be used.
+    /// [`Action::HealthCheck`](crate::Action::HealthCheck) may be used.
     pub health_checks: bool,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Clients are handed the wait of [`Action::Reject`].
+    /// Clients receive the wait of [`Action::Reject`](crate::Action::Reject).
     pub retry_after: bool,
-    /// The longest wait that a client follows.
+    /// The longest such wait that a client follows.
     pub max_retry_after: Micros,
-    /// Attempts for a request, all told.
+    /// Attempts for one request, the first included. At least 1.
     pub max_attempts: u32,
     /// Requests that the balancer may have open; 0 for no limit.
     pub max_open_requests: u32,
-    /// Attempts that one connection carries at once; 0 where nothing is known.
+    /// Attempts that one connection carries at once; 0 where that is not known.
     pub max_streams: u32,
-    /// An idle connection is closed after this span; 0 where nothing is known.
+    /// An idle connection is closed after this time; 0 where that is not known.
     pub idle_timeout: Micros,
-    /// A connection that is not up after this span is [`Outcome::ConnectFailed`]; 0 where nothing is known.
+    /// A connection that is not established after this time is
+    /// [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed); 0 where that is not known.
     pub connect_timeout: Micros,
-    /// Processing time that the balancer has in a second; 0 for no limit.
+    /// Processor time that the balancer has in a second; 0 for no limit.
     pub cpu_per_second: Micros,
-    /// Processing time, in microseconds and parts of them, for a request with its outcomes; 0 for no limit.
+    /// Processor time in microseconds for a request with its outcomes; 0 for no limit. Not negative.
     pub cpu_per_request: f64,
 }
 
-/// Figures of the rules on drains, cold servers and discovery.
+/// The platform's rules on draining, slow start and discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A server that starts has at least this share of its capacity.
+    /// Share of its capacity that a server has at its start. Above 0, at most 1.
     pub cold_capacity: f64,
-    /// It is warm after this span at the latest.
+    /// A server has all of its capacity after this time at the latest.
     pub warm_up_time: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// A server that is warming up fails when it is sent more than this multiple of its present capacity ...
+    /// Not negative.
     pub overload_factor: f64,
-    /// ... for this span, a cold server falls over.
+    /// ... for this time.
     pub overload_window: Micros,
-    /// Where discovery must be asked, it must be asked at least this often unless watched.
+    /// Longest time between two polls of discovery, unless it is watched.
     pub max_poll_interval: Micros,
-    /// Nothing new may go to a server later than this after the news that it drains or is gone.
+    /// Nothing new may go to a server later than this after its removal or draining was announced.
     pub drain_grace: Micros,
-    /// A final answer still counts this long after the client's time.
+    /// A final answer still counts this long after the client's deadline.
     pub answer_grace: Micros,
 }
 
-/// What each thing costs, in points of the result.
+/// What each thing costs, in points of the result. None is negative.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
     /// For each attempt that crosses zones, per request.
     pub cross_zone: f64,
-    /// For each probe, per request.
+    /// For each health check, per request.
     pub probe: f64,
-    /// For worth that ends unserved after its aim.
+    /// For weight that ends unserved after its objective.
     pub late_fail: f64,
     /// For work of servers that served no answer, per work offered.
     pub waste: f64,
-    /// For connections open, per hundred servers' worth of them.
+    /// For open connections, per hundred servers' worth of them.
     pub connection: f64,
     /// For each new connection, per request.
     pub handshake: f64,
-    /// For lines of the list of servers, per hundred requests' worth of them.
+    /// For entries of the list of servers, per hundred requests' worth of them.
     pub discovery: f64,
 }
 
-/// ServerWeights of the parts of the result.
+/// Weights of the parts of the result. None is negative.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Goal {
     /// Share of the result that all requests together decide.
@@ -173,40 +184,40 @@
     pub worst_class: f64,
     /// Share that the worst-served tenant decides, within its share of the service.
     pub worst_tenant: f64,
-    /// Share for which worth counts in full only while few requests miss their aim.
+    /// Share that counts in full only while few requests miss their objective.
     pub tail: f64,
-    /// The share of requests that may miss it; an early refusal is no miss.
+    /// The share of requests that may miss it; an early rejection is no miss.
     pub tail_miss: f64,
 }
 
-/// Everything a balancer is told at its start.
+/// Everything that a balancer has to know at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This balancer's number among those of its tier, from 0.
     pub balancer_index: u32,
-    /// How many balancers send to this tier.
+    /// How many balancers send to this tier. At least 1.
     pub balancer_count: u32,
     /// The zone that this balancer is in.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// How many zones there are. At least 1.
     pub zone_count: u32,
-    /// The tier that this balancer sends to, 0 for the first.
+    /// The tier that this balancer sends to, 0 for the first. Less than [`tier_count`](Settings::tier_count).
     pub tier: u32,
     /// How many tiers there are.
     pub tier_count: u32,
     /// A call from a tier above carries its caller's time left, not its class's whole deadline.
     pub propagates_deadline: bool,
-    /// The request classes.
+    /// The request classes. At least one.
     pub classes: Vec<Class>,
-    /// Worth counts per unit of work, not per request.
+    /// [`Class::priority_weight`] counts per unit of work, not per request.
     pub weight_by_work: bool,
-    /// Those who share the service; none where it has one owner.
+    /// The tenants of the service; none where it is not shared.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
+    /// Factor on the weight of a request beyond its tenant's quota. Not negative.
     pub over_quota_weight: f64,
-    /// Clients mark their repeats, see [`Event::Request`].
+    /// Clients mark their retries, see [`Event::Request`](crate::Event::Request).
     pub clients_mark_retries: bool,
-    /// What the weights of servers say.
+    /// What the weights of servers mean.
     pub weights: ServerWeights,
     /// How the list of servers arrives.
     pub discovery: DiscoveryMode,
@@ -214,31 +225,20 @@
     pub load_reporting: LoadReporting,
     /// What is allowed.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Rules on draining, slow start and discovery.
     pub rules: Rules,
     /// Prices.
     pub prices: Prices,
-    /// ServerWeights of the result.
+    /// Weights of the result.
     pub goal: Goal,
-    /// Shortest span between two calls of `handle` with different times.
+    /// Shortest time between two calls of [`Balancer::handle`](crate::Balancer::handle) with different times.
+    /// Above 0.
     pub tick: Micros,
 }
 
-/// Why settings make no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(pub(crate) &'static str);
-
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad settings: {}", self.0)
-    }
-}
-
-impl std::error::Error for SettingsError {}
-
 impl Settings {
     /// Settings of a lone balancer for one tier in one zone, with nothing priced and nothing but sending
-    /// allowed; change what differs.
+    /// allowed. Change the fields that differ.
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
             balancer_index: 0,
@@ -284,36 +284,4 @@
             tick: 1_000,
         }
     }
-
-    /// Tells whether the settings make sense; [`Balancer::new`](crate::Balancer::new) calls it.
-    pub fn check(&self) -> Result<(), SettingsError> {
-        let finite = |x: f64| x.is_finite() && x >= 0.0;
-        let test = |ok: bool, why| if ok { Ok(()) } else { Err(SettingsError(why)) };
-        test(!self.classes.is_empty(), "no classes")?;
-        test(self.balancer_count > 0 && self.zone_count > 0, "no balancers or no zones")?;
-        test(self.tier < self.tier_count, "the tier lies beyond the last")?;
-        test(self.limits.max_attempts > 0, "no attempts allowed")?;
-        test(self.tick > 0, "the tick is zero")?;
-        for c in &self.classes {
-            test(c.latency_objective > 0 && c.deadline > 0, "a class without aim or deadline")?;
-            test(
-                finite(c.priority_weight) && finite(c.late_weight) && finite(c.objective_per_work),
-                "a class's worth or stretch",
-            )?;
-        }
-        for t in &self.tenants {
-            test(finite(t.share) && finite(t.quota), "a tenant's share or quota")?;
-        }
-        test(finite(self.over_quota_weight), "the worth beyond a tenant's share")?;
-        test(finite(self.limits.cpu_per_request), "the processing time for a request")?;
-        let r = &self.rules;
-        test(r.cold_capacity > 0.0 && r.cold_capacity <= 1.0, "the cold share is not within 0 to 1")?;
-        test(finite(r.overload_factor), "the overload factor")?;
-        let p = &self.prices;
-        let prices = [p.cross_zone, p.probe, p.late_fail, p.waste, p.connection, p.handshake, p.discovery];
-        test(prices.into_iter().all(finite), "a price")?;
-        let g = &self.goal;
-        let weights = [g.whole, g.worst_window, g.worst_class, g.worst_tenant, g.tail, g.tail_miss];
-        test(weights.into_iter().all(finite), "a weight of the goal")
-    }
 }
--- /dev/null
+++ b/crates/policy/tests/decisions/main.rs
@@ -0,0 +1,18 @@
+//! One decision, or one fault found, a test; the modules are those of the policy.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod helpers;
+
+mod admission;
+mod concurrency_limit;
+mod endpoints;
+mod idle_connections;
+mod learned;
+mod outlier;
+mod pending_body;
+mod retry;
+mod selection;
+mod settings;
+mod slow_start;
+mod time_limits;
