--- a/crates/cli/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -133,7 +133,7 @@
     let said: Vec<String> = cells
         .iter()
         .filter(|c| c.outcome.failed() > 0)
-        .map(|c| format!("at {}: {:?}, {} lost", c.upstreams, c.outcome.answers, c.outcome.lost))
+        .map(|c| format!("at {}: {:?}, {} lost", c.upstreams, c.outcome.responses, c.outcome.lost))
         .collect();
     slopes.push(slope("not-200", "of all calls", &|c| c.outcome.failed() as f64).remark(format!(
         "{} calls; {}",
@@ -182,7 +182,7 @@
         std::thread::Builder::new().name("callers".into()).spawn(move || {
             let _ = tell.send(open_loop("c", &targets, rate, Duration::from_secs_f64(seconds)));
         })?;
-        told.await.map_err(|_| anyhow!("the callers have ended early"))?
+        Ok(told.await.map_err(|_| anyhow!("the callers have ended early"))??)
     }
 
     async fn measure(&self, rate: f64, seconds: f64) -> Result<Vec<Cell>> {
@@ -195,7 +195,7 @@
             self.sides.iter().zip(outcomes).zip(before)
         {
             let calls = outcome.calls.max(1) as f64;
-            let processor = balancer.usage()?.processor.saturating_sub(usage.processor);
+            let processor = balancer.usage()?.processor_time.saturating_sub(usage.processor_time);
             cells.push(Cell {
                 upstreams: upstreams.addresses.len() as f64,
                 outcome,
--- a/crates/cli/src/scale/control.rs
+++ b/crates/cli/src/scale/control.rs
@@ -199,8 +199,8 @@
     let one = |((side, now), before): ((&Side, &Taken), &Taken)| Spent {
         known: side.entries.len() as f64,
         seconds: (now.2 - before.2).as_secs_f64(),
-        processor_us: now.0.processor.saturating_sub(before.0.processor).as_secs_f64() * 1e6,
-        switches: now.0.switches.saturating_sub(before.0.switches) as f64,
+        processor_us: now.0.processor_time.saturating_sub(before.0.processor_time).as_secs_f64() * 1e6,
+        switches: now.0.context_switches.saturating_sub(before.0.context_switches) as f64,
         traffic: now.1.since(&before.1),
     };
     Ok(sides.iter().zip(&now).zip(before).map(one).collect())
--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result, bail};
 use tokio::time::{Instant, sleep};
 use zincstand_testbed::balancer::{Balancer, Settings};
-use zincstand_testbed::callers::Held;
+use zincstand_testbed::callers::OpenConnections;
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle};
 use zincstand_testbed::machine::Needs;
 use zincstand_testbed::report::Slope;
@@ -54,7 +54,7 @@
     for connections in CONNECTIONS {
         let (one, _) = One::start(bench, KNOWN, |_| {}).await?;
         // Each has carried a call, as connections have that are kept.
-        let mut held = Held::connect(one.balancer.address, connections)?;
+        let mut held = OpenConnections::connect(one.balancer.address, connections)?;
         held.send()?;
         held.receive(LONG)?;
         points.push(one.resident(connections).await?);
@@ -66,11 +66,11 @@
     let (mut points, mut reached) = (Vec::new(), Vec::new());
     for calls in CONNECTIONS {
         let (one, upstreams) = One::start(bench, KNOWN, |s| s.deadline_ms = PATIENT_MS).await?;
-        upstreams.answer_after(SLOW);
-        let mut held = Held::connect(one.balancer.address, calls)?;
+        upstreams.respond_after(SLOW);
+        let mut held = OpenConnections::connect(one.balancer.address, calls)?;
         held.send()?;
         points.push(one.resident(calls).await?);
-        reached.push(upstreams.calls().iter().sum::<u64>().to_string());
+        reached.push(upstreams.requests().iter().sum::<u64>().to_string());
         held.receive(LONG)?;
         drop(held);
     }
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use tokio::signal::unix::{SignalKind, signal};
-use zincstand_testbed::machine::{Machine, Needs, most_descriptors};
+use zincstand_testbed::machine::{Machine, Needs, raise_descriptor_limit};
 use zincstand_testbed::report::{Report, Slope};
 
 use crate::model::table;
@@ -170,7 +170,7 @@
         eprintln!("{starts}");
         needs = needs.or(takes);
     }
-    needs.check(&machine, most_descriptors())?;
+    needs.check(&machine, raise_descriptor_limit())?;
     eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
     // First: from the runtime's on, Ctrl-C is its to heed, and the model knows nothing of it.
     if whole {
--- a/crates/proxy/tests/scale.rs
+++ b/crates/proxy/tests/scale.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use zincstand_testbed::balancer::{Balancer, Settings, Usage};
-use zincstand_testbed::callers::Held;
+use zincstand_testbed::callers::OpenConnections;
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle, Traffic};
 use zincstand_testbed::upstreams::Upstreams;
 
@@ -48,12 +48,12 @@
         let (upstreams, discovery) =
             (Upstreams::start(known).expect("upstreams"), Discovery::start().expect("discovery"));
         let balancer = start(&discovery, upstreams.entries()).await;
-        let mut callers = Held::connect(balancer.address, 1).expect("a connection");
+        let mut callers = OpenConnections::connect(balancer.address, 1).expect("a connection");
         for _ in 0..20 {
             callers.send().expect("a call");
             assert_eq!(callers.receive(LONG).expect("an answer"), [200]);
         }
-        let calls = upstreams.calls();
+        let calls = upstreams.requests();
         assert_eq!(calls.iter().sum::<u64>(), 20, "{known} known");
         // One connection to each that was called, however often.
         let called = calls.iter().filter(|calls| **calls > 0).count() as u64;
--- /dev/null
+++ b/crates/testbed/src/balancer/mod.rs
@@ -0,0 +1,217 @@
+//! Real balancers as child processes, each with a configuration of its own.
+
+mod settings;
+mod usage;
+
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+use std::time::Duration;
+
+use rustix::process::{Pid, Signal, kill_process};
+use tempfile::NamedTempFile;
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Lines};
+use tokio::net::TcpStream;
+use tokio::process::{Child, ChildStderr, Command};
+use tokio::time::{Instant, sleep, timeout, timeout_at};
+
+pub use settings::Settings;
+pub use usage::{Usage, UsageError};
+
+/// How long a balancer may take to listen, to be ready, or to answer a question.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a balancer may take to end after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Between two questions whether it is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Variables that a balancer must not inherit: they would change its configuration.
+const CLEARED_VARIABLES: [&str; 6] =
+    ["EDGE_FD", "EDGE_MANAGEMENT", "EDGE_LISTEN", "EDGE_NAME", "EDGE_DISCOVERY", "TMPDIR"];
+
+/// Why a balancer cannot be started or reached.
+#[derive(Debug, thiserror::Error)]
+pub enum BalancerError {
+    /// The program cannot be started.
+    #[error("cannot start {}", program.display())]
+    Start {
+        /// The program.
+        program: PathBuf,
+        /// The system's reason.
+        #[source]
+        source: io::Error,
+    },
+    /// Its configuration cannot be written.
+    #[error("the configuration of a balancer cannot be written")]
+    Config(#[source] io::Error),
+    /// Its log cannot be read.
+    #[error("the balancer's log cannot be read")]
+    Log(#[source] io::Error),
+    /// It ended before it listened.
+    #[error("the balancer has ended: {log}")]
+    Ended {
+        /// What it wrote to its log before.
+        log: String,
+    },
+    /// It says that it listens, but its log names no address.
+    #[error("no address in the balancer's log: {line}")]
+    NoAddress {
+        /// The line of the log.
+        line: String,
+    },
+    /// It does not listen in time.
+    #[error("the balancer does not listen within {START_TIMEOUT:?}")]
+    NotListening,
+    /// It is not ready in time.
+    #[error("the balancer is not ready within {START_TIMEOUT:?}")]
+    NotReady,
+    /// It cannot be sent a signal.
+    #[error("the balancer cannot be sent {signal:?}: it may have ended")]
+    Signal {
+        /// The signal.
+        signal: Signal,
+        /// The system's reason.
+        #[source]
+        source: io::Error,
+    },
+    /// Its end cannot be waited for.
+    #[error("the balancer cannot be killed")]
+    Kill(#[source] io::Error),
+}
+
+/// A running balancer; killed by its id when dropped.
+pub struct Balancer {
+    /// Where callers connect.
+    pub address: SocketAddr,
+    child: Child,
+    id: u32,
+    config: NamedTempFile,
+    _log: tokio::task::JoinHandle<()>,
+}
+
+impl Balancer {
+    /// Starts the program and waits until it is ready.
+    ///
+    /// # Errors
+    /// It does not start or is not ready in time; the error holds what it wrote to its log.
+    pub async fn start(program: &Path, settings: &Settings) -> Result<Balancer, BalancerError> {
+        let config = write_config(settings).map_err(BalancerError::Config)?;
+        let mut child = spawn(program, config.path())?;
+        let ended = || BalancerError::Ended { log: String::new() };
+        let id = child.id().ok_or_else(ended)?;
+        let mut log = BufReader::new(child.stderr.take().ok_or_else(ended)?).lines();
+        let address = timeout(START_TIMEOUT, read_address(&mut log)).await;
+        let address = address.map_err(|_| BalancerError::NotListening)??;
+        let log = tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
+        let balancer = Balancer { address, child, id, config, _log: log };
+        balancer.wait_until_ready().await?;
+        Ok(balancer)
+    }
+
+    async fn wait_until_ready(&self) -> Result<(), BalancerError> {
+        let late = Instant::now() + START_TIMEOUT;
+        while !self.is_ready().await {
+            if Instant::now() > late {
+                return Err(BalancerError::NotReady);
+            }
+            sleep(READY_POLL_INTERVAL).await;
+        }
+        Ok(())
+    }
+
+    /// Whether it answers that it is ready.
+    pub async fn is_ready(&self) -> bool {
+        let ask = async {
+            let mut stream = TcpStream::connect(self.address).await?;
+            stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n").await?;
+            let mut status = [0; 12];
+            stream.read_exact(&mut status).await?;
+            io::Result::Ok(status == *b"HTTP/1.1 200")
+        };
+        matches!(timeout(START_TIMEOUT, ask).await, Ok(Ok(true)))
+    }
+
+    /// What it has used so far.
+    ///
+    /// # Errors
+    /// It has ended.
+    pub fn usage(&self) -> Result<Usage, UsageError> {
+        Usage::of(self.id)
+    }
+
+    /// Its process id.
+    pub fn id(&self) -> u32 {
+        self.id
+    }
+
+    /// The path of its configuration.
+    pub fn config(&self) -> PathBuf {
+        self.config.path().to_owned()
+    }
+
+    /// Replaces its configuration and makes it read it again.
+    ///
+    /// # Errors
+    /// The file cannot be written or the process has ended.
+    pub fn reload(&self, settings: &Settings) -> Result<(), BalancerError> {
+        std::fs::write(self.config.path(), settings.config().to_string()).map_err(BalancerError::Config)?;
+        self.signal(Signal::HUP)
+    }
+
+    fn signal(&self, signal: Signal) -> Result<(), BalancerError> {
+        // The child has an id as long as its end was not waited for, so the id is still its own.
+        let id = self.child.id().and_then(|id| Pid::from_raw(id as i32));
+        let sent = id.ok_or(rustix::io::Errno::SRCH).and_then(|id| kill_process(id, signal));
+        sent.map_err(|error| BalancerError::Signal { signal, source: error.into() })
+    }
+}
+
+/// Ends balancers by SIGTERM, all at once, and those that take too long by SIGKILL; each by its own id.
+///
+/// # Errors
+/// One had ended before.
+pub async fn stop(balancers: impl IntoIterator<Item = Balancer>) -> Result<(), BalancerError> {
+    let mut balancers: Vec<Balancer> = balancers.into_iter().collect();
+    for balancer in &balancers {
+        balancer.signal(Signal::TERM)?;
+    }
+    let late = Instant::now() + STOP_TIMEOUT;
+    for balancer in &mut balancers {
+        if timeout_at(late, balancer.child.wait()).await.is_err() {
+            balancer.child.kill().await.map_err(BalancerError::Kill)?;
+        }
+    }
+    Ok(())
+}
+
+fn write_config(settings: &Settings) -> io::Result<NamedTempFile> {
+    let mut config = NamedTempFile::with_prefix("zincstand-testbed-")?;
+    config.write_all(settings.config().to_string().as_bytes())?;
+    Ok(config)
+}
+
+fn spawn(program: &Path, config: &Path) -> Result<Child, BalancerError> {
+    let mut command = Command::new(program);
+    for name in CLEARED_VARIABLES {
+        command.env_remove(name);
+    }
+    command
+        .env("EDGE_CONFIG", config)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .kill_on_drop(true);
+    command.spawn().map_err(|source| BalancerError::Start { program: program.to_owned(), source })
+}
+
+/// Reads the log until it names the address that the balancer listens on.
+async fn read_address(log: &mut Lines<BufReader<ChildStderr>>) -> Result<SocketAddr, BalancerError> {
+    let mut earlier_lines = String::new();
+    while let Some(line) = log.next_line().await.map_err(BalancerError::Log)? {
+        if let Some((_, address)) = line.split_once(" listens on ") {
+            return address.parse().map_err(|_| BalancerError::NoAddress { line: line.clone() });
+        }
+        earlier_lines += &line;
+    }
+    Err(BalancerError::Ended { log: earlier_lines })
+}
--- /dev/null
+++ b/crates/testbed/src/callers/http.rs
@@ -0,0 +1,95 @@
+//! The callers' part of HTTP/1.1: one kind of request, and responses with `Content-Length`.
+
+use std::io::Read;
+use std::net::{SocketAddr, TcpStream};
+
+use super::CallerError;
+
+/// Header lines that a response may have.
+const MAX_HEADERS: usize = 32;
+/// Bytes that are read at once.
+const READ_SIZE: usize = 4096;
+
+/// A connection, split so that one thread can read while others write.
+pub struct CallerConnection {
+    /// Reads responses.
+    pub reader: TcpStream,
+    /// Writes requests.
+    pub writer: TcpStream,
+}
+
+impl CallerConnection {
+    /// Connects to an address.
+    pub fn connect(address: SocketAddr) -> Result<CallerConnection, CallerError> {
+        let connect = || {
+            let stream = TcpStream::connect(address)?;
+            stream.set_nodelay(true)?;
+            Ok(CallerConnection { reader: stream.try_clone()?, writer: stream })
+        };
+        connect().map_err(|source| CallerError::Connect { address, source })
+    }
+}
+
+/// A response that was read to its end.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReceivedResponse {
+    /// Its status.
+    pub status: u16,
+    /// Whether the peer closes the connection after it.
+    pub closes_connection: bool,
+}
+
+/// An idempotent request. Its id, which upstreams and balancers may compare, is made of both arguments.
+pub fn request(name: &str, number: u64) -> String {
+    format!(
+        "GET /api?key=k HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {name}-{number}\r\nReq-Kind: look\r\n\r\n"
+    )
+}
+
+/// Reads the next response; none if it does not come complete. What follows it stays in the buffer.
+pub fn read_response(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedResponse> {
+    loop {
+        if let Some(parsed) = ParsedHead::parse(buffer).ok()? {
+            let length = parsed.head_length + parsed.body_length?;
+            if buffer.len() >= length {
+                buffer.drain(..length);
+                return Some(parsed.response);
+            }
+        }
+        let mut chunk = [0; READ_SIZE];
+        match stream.read(&mut chunk) {
+            Ok(length) if length > 0 => buffer.extend_from_slice(&chunk[..length]),
+            _ => return None,
+        }
+    }
+}
+
+/// What was received is no head of a response.
+struct MalformedHead;
+
+/// The head of a response.
+struct ParsedHead {
+    response: ReceivedResponse,
+    head_length: usize,
+    body_length: Option<usize>,
+}
+
+impl ParsedHead {
+    /// Parses a head; `None` if more of it has to come.
+    fn parse(buffer: &[u8]) -> Result<Option<ParsedHead>, MalformedHead> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let parsed = response.parse(buffer).map_err(|_| MalformedHead)?;
+        let httparse::Status::Complete(head_length) = parsed else { return Ok(None) };
+        let value = |name: &str| {
+            let header = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+            header.map(|header| header.value)
+        };
+        let body_length =
+            value("content-length").and_then(|length| std::str::from_utf8(length).ok()?.parse().ok());
+        let closes_connection = value("connection").is_some_and(|value| value.eq_ignore_ascii_case(b"close"));
+        let status = response.code.ok_or(MalformedHead)?;
+        let response = ReceivedResponse { status, closes_connection };
+        Ok(Some(ParsedHead { response, head_length, body_length }))
+    }
+}
--- a/crates/testbed/src/discovery/mod.rs
+++ b/crates/testbed/src/discovery/mod.rs
@@ -203,8 +203,7 @@
 
     /// Serves until the commands' sender is dropped.
     fn run(self, commands: UnboundedReceiver<Command>) {
-        LocalSet::new().block_on(&self.runtime, async {
-            Server::start(self.address, self.listener).run(commands).await
-        });
+        let serve = async { Server::start(self.address, self.listener).run(commands).await };
+        LocalSet::new().block_on(&self.runtime, serve);
     }
 }
--- a/crates/testbed/src/discovery/request.rs
+++ b/crates/testbed/src/discovery/request.rs
@@ -9,7 +9,7 @@
 /// Bytes of the longest head of a request that is read.
 pub const MAX_HEAD: usize = 16 << 10;
 /// The longest that a watch may wait, whatever it asks.
-const MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_mins(1);
 /// Header lines that a request may have.
 const MAX_HEADERS: usize = 32;
 
--- a/crates/testbed/src/discovery/versions.rs
+++ b/crates/testbed/src/discovery/versions.rs
@@ -107,14 +107,13 @@
 
     /// The complete list.
     pub fn snapshot(&mut self) -> ListResponse {
-        let body = match &self.snapshot {
-            Some(body) => body.clone(),
-            None => {
-                let listed = self.entries.values().filter(|entry| entry.lifecycle != Lifecycle::Deleted);
-                let body = self.serialize(true, listed.collect());
-                self.snapshot = Some(body.clone());
-                body
-            }
+        let body = if let Some(body) = &self.snapshot {
+            body.clone()
+        } else {
+            let listed = self.entries.values().filter(|entry| entry.lifecycle != Lifecycle::Deleted);
+            let body = self.serialize(true, listed.collect());
+            self.snapshot = Some(body.clone());
+            body
         };
         ListResponse { kind: ResponseKind::Snapshot, body }
     }
@@ -125,13 +124,12 @@
             return self.snapshot();
         }
         let kind = if version == self.version { ResponseKind::Empty } else { ResponseKind::Delta };
-        let body = match self.deltas.get(&version) {
-            Some(body) => body.clone(),
-            None => {
-                let body = self.serialize(false, self.changed_since(version));
-                self.deltas.insert(version, body.clone());
-                body
-            }
+        let body = if let Some(body) = self.deltas.get(&version) {
+            body.clone()
+        } else {
+            let body = self.serialize(false, self.changed_since(version));
+            self.deltas.insert(version, body.clone());
+            body
         };
         ListResponse { kind, body }
     }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,11 +1,12 @@
-//! What a measurement leaves: slopes with their points, and the circumstances.
+//! The report of a measurement: slopes with their points, and the circumstances. Its JSON is kept with the documents
+//! that quote it.
 
 use serde::Serialize;
 
 use crate::machine::Machine;
 use crate::slope::{Fit, Point, fit};
 
-/// One measured quantity by another.
+/// One quantity measured as another one was varied.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Slope {
     /// Its name; documents quote it.
@@ -14,7 +15,7 @@
     pub x: String,
     /// What was measured, with its unit.
     pub y: String,
-    /// What was measured where.
+    /// The measured points.
     pub points: Vec<Point>,
     /// The line through the points, where there is one.
     pub fit: Option<Fit>,
@@ -26,11 +27,17 @@
 impl Slope {
     /// A slope through these points, fitted.
     pub fn new(name: impl Into<String>, x: &str, y: &str, points: Vec<Point>) -> Slope {
-        let fit = fit(&points);
-        Slope { name: name.into(), x: x.to_owned(), y: y.to_owned(), points, fit, remark: String::new() }
+        Slope {
+            name: name.into(),
+            x: x.to_owned(),
+            y: y.to_owned(),
+            fit: fit(&points),
+            points,
+            remark: String::new(),
+        }
     }
 
-    /// The same with a remark.
+    /// The same slope with a remark.
     pub fn remark(mut self, remark: impl Into<String>) -> Slope {
         self.remark = remark.into();
         self
@@ -40,15 +47,15 @@
 /// All that one run of the command measured.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Where.
+    /// The machine that measured.
     pub machine: Machine,
-    /// Of the repository, with a `+` where it was changed since.
+    /// The repository's revision, with a `+` where files differ from it.
     pub revision: String,
-    /// Decides all that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Shorter and with fewer points: not for documents.
+    /// Whether the run was shorter, with fewer points: its figures are not for documents.
     pub quick: bool,
-    /// How long it took, in seconds.
+    /// How long the run took, in seconds.
     pub took_s: f64,
     /// What was measured.
     pub slopes: Vec<Slope>,
--- a/crates/testbed/src/slope.rs
+++ b/crates/testbed/src/slope.rs
@@ -1,7 +1,12 @@
-//! Straight lines through measured points, and whether a line is what they lie on.
+//! Straight lines fitted to measured points, and whether the points lie on a line at all.
 
 use serde::Serialize;
 
+/// From this many points on a fit is examined for a bend.
+const MIN_POINTS_FOR_BEND: usize = 4;
+/// Two halves bend if their slopes differ by more than this part of the larger one.
+const BEND_THRESHOLD: f64 = 0.5;
+
 /// One measured point.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
@@ -14,53 +19,55 @@
 /// The line of least squares through points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Change of y for one of x.
+    /// Change of y for a change of x by one.
     pub slope: f64,
     /// y at x = 0.
     pub intercept: f64,
-    /// Share of the spread of y that the line explains, 0 to 1; 1 where y does not vary.
+    /// The part of the variance of y that the line explains, 0 to 1; 1 where y does not vary.
     pub r2: f64,
 }
 
-/// A fitted slope as it is reported: a bend is told as a bend and not averaged away.
+/// A fitted slope as it is reported: a bend is reported and not averaged away.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// The line through all points.
     pub line: Line,
     /// The slopes of the lower and the upper half of the points (the middle one in both), where they differ by more
-    /// than a half of the larger one and there are at least four points.
+    /// than half of the larger one and there are at least four points.
     pub bend: Option<(f64, f64)>,
 }
 
-/// Least squares; nothing for fewer than two points or where x does not vary.
+/// The line of least squares; none for fewer than two points or where x does not vary.
 pub fn line(points: &[Point]) -> Option<Line> {
-    let n = points.len() as f64;
-    let (mx, my) = (points.iter().map(|p| p.x).sum::<f64>() / n, points.iter().map(|p| p.y).sum::<f64>() / n);
-    let xx: f64 = points.iter().map(|p| (p.x - mx).powi(2)).sum();
-    let yy: f64 = points.iter().map(|p| (p.y - my).powi(2)).sum();
-    let xy: f64 = points.iter().map(|p| (p.x - mx) * (p.y - my)).sum();
-    if points.len() < 2 || xx == 0.0 {
+    let count = points.len() as f64;
+    let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
+    let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
+    let sum_xx: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+    let sum_yy: f64 = points.iter().map(|point| (point.y - mean_y).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
+    if points.len() < 2 || sum_xx == 0.0 {
         return None;
     }
-    let slope = xy / xx;
-    let r2 = if yy == 0.0 { 1.0 } else { (xy * xy / (xx * yy)).min(1.0) };
-    Some(Line { slope, intercept: my - slope * mx, r2 })
+    let slope = sum_xy / sum_xx;
+    let r2 = if sum_yy == 0.0 { 1.0 } else { (sum_xy * sum_xy / (sum_xx * sum_yy)).min(1.0) };
+    Some(Line { slope, intercept: mean_y - slope * mean_x, r2 })
 }
 
-/// A line through all points and, from four on, whether its two halves agree. The points are taken in order of x.
+/// The line through all points and, from four on, whether its two halves agree. The points may be in any order.
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let mut sorted = points.to_vec();
-    sorted.sort_by(|a, b| a.x.total_cmp(&b.x));
-    let line_of_all = line(&sorted)?;
+    sorted.sort_by(|left, right| left.x.total_cmp(&right.x));
+    Some(Fit { line: line(&sorted)?, bend: bend(&sorted) })
+}
+
+/// The slopes of the two halves of sorted points, if they differ.
+fn bend(sorted: &[Point]) -> Option<(f64, f64)> {
+    if sorted.len() < MIN_POINTS_FOR_BEND {
+        return None;
+    }
     let half = sorted.len().div_ceil(2);
-    let (low, high) = (line(&sorted[..half]), line(&sorted[sorted.len() - half..]));
-    let bend = match (low, high) {
-        (Some(low), Some(high)) if sorted.len() >= 4 => {
-            let apart = (low.slope - high.slope).abs();
-            let larger = low.slope.abs().max(high.slope.abs());
-            (apart > 0.5 * larger).then_some((low.slope, high.slope))
-        }
-        _ => None,
-    };
-    Some(Fit { line: line_of_all, bend })
+    let lower = line(&sorted[..half])?.slope;
+    let upper = line(&sorted[sorted.len() - half..])?.slope;
+    let larger = lower.abs().max(upper.abs());
+    ((lower - upper).abs() > BEND_THRESHOLD * larger).then_some((lower, upper))
 }
--- a/crates/testbed/src/upstreams.rs
+++ b/crates/testbed/src/upstreams.rs
@@ -1,30 +1,54 @@
-//! Upstreams that answer at once, any number of them in one thread.
+//! Stand-in upstreams that respond at once, any number of them in one thread.
 
 use std::convert::Infallible;
+use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use anyhow::{Context, Result};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response, server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 use tokio::task::{LocalSet, spawn_local};
 
 use crate::discovery::Entry;
 
-/// What each answer holds.
+/// The body of each response.
 const BODY: [u8; 64] = [b'.'; 64];
+/// Upstreams in one subnet `127.0.x.0/24`.
+const UPSTREAMS_PER_SUBNET: usize = 250;
+/// Pause after a connection could not be accepted for want of descriptors.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
+/// Why stand-in upstreams cannot be started.
+#[derive(Debug, thiserror::Error)]
+pub enum UpstreamsError {
+    /// An address cannot be listened on.
+    #[error("an upstream cannot listen on {address}; if descriptors are missing, see `ulimit -n`")]
+    Listen {
+        /// The address.
+        address: Ipv4Addr,
+        /// The system's reason.
+        #[source]
+        source: io::Error,
+    },
+    /// Their thread cannot be started.
+    #[error("the stand-in upstreams have no thread or descriptors: ask for fewer")]
+    Start(#[source] io::Error),
+}
+
+/// What the upstreams and their owner share.
 #[derive(Default)]
-struct Counts {
+struct Shared {
     connections: AtomicU64,
-    calls: Vec<AtomicU64>,
-    /// In microseconds.
+    /// By upstream.
+    requests: Vec<AtomicU64>,
+    /// From each request to its response, in microseconds.
     delay: AtomicU64,
 }
 
@@ -32,95 +56,105 @@
 pub struct Upstreams {
     /// Where they listen: `127.0.x.y`, one address for each.
     pub addresses: Vec<SocketAddr>,
-    counts: Arc<Counts>,
-    end: Option<oneshot::Sender<()>>,
+    shared: Arc<Shared>,
+    stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Upstreams {
-    /// So many upstreams on loopback, at most 60,000, in one thread of their own.
+    /// Starts `number` upstreams on loopback, at most 60,000, in one thread of their own.
     ///
     /// # Errors
     /// An address cannot be listened on, such as for want of descriptors.
-    pub fn start(number: usize) -> Result<Upstreams> {
-        let listen = |i: usize| {
-            let address = Ipv4Addr::new(127, 0, (1 + i / 250) as u8, (1 + i % 250) as u8);
-            let listener = TcpListener::bind((address, 0)).and_then(|l| l.set_nonblocking(true).map(|()| l));
-            listener.with_context(|| format!("an upstream on {address}; descriptors: see `ulimit -n`"))
-        };
-        let listeners = (0..number).map(listen).collect::<Result<Vec<_>>>()?;
-        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        let calls = (0..number).map(|_| AtomicU64::default()).collect();
-        let counts = Arc::new(Counts { calls, ..Counts::default() });
-        let (end, ended) = oneshot::channel();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let thread = std::thread::Builder::new().name("upstreams".into()).spawn({
-            let counts = counts.clone();
-            move || {
-                let local = LocalSet::new();
-                for (i, listener) in listeners.into_iter().enumerate() {
-                    local.spawn_local(serve(listener, i, counts.clone()));
-                }
-                let _ = local.block_on(&runtime, ended);
+    pub fn start(number: usize) -> Result<Upstreams, UpstreamsError> {
+        let listeners = (0..number).map(listen).collect::<Result<Vec<_>, _>>()?;
+        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>();
+        let addresses = addresses.map_err(UpstreamsError::Start)?;
+        let requests = (0..number).map(|_| AtomicU64::default()).collect();
+        let shared = Arc::new(Shared { requests, ..Shared::default() });
+        let (stop, stopped) = oneshot::channel();
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = runtime.map_err(UpstreamsError::Start)?;
+        let thread_shared = shared.clone();
+        let run = move || {
+            let local = LocalSet::new();
+            for (number, listener) in listeners.into_iter().enumerate() {
+                local.spawn_local(accept(listener, number, thread_shared.clone()));
             }
-        })?;
-        Ok(Upstreams { addresses, counts, end: Some(end), thread: Some(thread) })
+            let _ = local.block_on(&runtime, stopped);
+        };
+        let thread = std::thread::Builder::new().name("upstreams".into()).spawn(run);
+        let thread = thread.map_err(UpstreamsError::Start)?;
+        Ok(Upstreams { addresses, shared, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// The list of them, all serving in one zone.
+    /// Their entries in the endpoint list, all serving in one zone.
     pub fn entries(&self) -> Vec<Entry> {
-        self.addresses.iter().enumerate().map(|(i, address)| Entry::serving(i, 1, *address)).collect()
+        let entry = |(number, address): (usize, &SocketAddr)| Entry::serving(number, 1, *address);
+        self.addresses.iter().enumerate().map(entry).collect()
     }
 
-    /// From now on each answer comes so long after its request.
-    pub fn answer_after(&self, delay: Duration) {
-        self.counts.delay.store(delay.as_micros() as u64, Relaxed);
+    /// From now on each response starts this long after its request.
+    pub fn respond_after(&self, delay: Duration) {
+        self.shared.delay.store(delay.as_micros() as u64, Relaxed);
     }
 
-    /// Connections taken so far.
+    /// Connections accepted so far.
     pub fn connections(&self) -> u64 {
-        self.counts.connections.load(Relaxed)
+        self.shared.connections.load(Relaxed)
     }
 
-    /// Calls so far, by upstream.
-    pub fn calls(&self) -> Vec<u64> {
-        self.counts.calls.iter().map(|calls| calls.load(Relaxed)).collect()
+    /// Requests so far, by upstream.
+    pub fn requests(&self) -> Vec<u64> {
+        self.shared.requests.iter().map(|requests| requests.load(Relaxed)).collect()
     }
 }
 
 impl Drop for Upstreams {
     fn drop(&mut self) {
-        drop(self.end.take());
+        drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn serve(listener: TcpListener, number: usize, counts: Arc<Counts>) {
+fn listen(number: usize) -> Result<TcpListener, UpstreamsError> {
+    let subnet = (1 + number / UPSTREAMS_PER_SUBNET) as u8;
+    let host = (1 + number % UPSTREAMS_PER_SUBNET) as u8;
+    let address = Ipv4Addr::new(127, 0, subnet, host);
+    let listen = || {
+        let listener = TcpListener::bind((address, 0))?;
+        listener.set_nonblocking(true)?;
+        Ok(listener)
+    };
+    listen().map_err(|source| UpstreamsError::Listen { address, source })
+}
+
+async fn accept(listener: TcpListener, number: usize, shared: Arc<Shared>) {
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Guards against a spin while no descriptor is free.
-            tokio::time::sleep(Duration::from_millis(10)).await;
+            tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        counts.connections.fetch_add(1, Relaxed);
-        let counts = counts.clone();
-        spawn_local(async move {
-            let answer = |_: Request<Incoming>| {
-                counts.calls[number].fetch_add(1, Relaxed);
-                let delay = counts.delay.load(Relaxed);
-                async move {
-                    if delay > 0 {
-                        tokio::time::sleep(Duration::from_micros(delay)).await;
-                    }
-                    Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(&BODY))))
-                }
-            };
-            // A caller that leaves is no fault of the stand-in.
-            let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(answer)).await;
-        });
+        shared.connections.fetch_add(1, Relaxed);
+        spawn_local(serve(stream, number, shared.clone()));
     }
 }
+
+async fn serve(stream: TcpStream, number: usize, shared: Arc<Shared>) {
+    let respond = |_: Request<Incoming>| {
+        shared.requests[number].fetch_add(1, Relaxed);
+        let delay = shared.delay.load(Relaxed);
+        async move {
+            if delay > 0 {
+                tokio::time::sleep(Duration::from_micros(delay)).await;
+            }
+            Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(&BODY))))
+        }
+    };
+    // A client that disconnects is no fault of the stand-in.
+    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(respond)).await;
+}
--- a/crates/testbed/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -2,27 +2,27 @@
 
 use std::time::Duration;
 
-use zincstand_testbed::callers::{Schedule, Target, open_loop};
+use zincstand_testbed::callers::{Schedule, ScheduledCall, Target, open_loop};
 use zincstand_testbed::upstreams::Upstreams;
 
 #[test]
 fn targets_are_called_in_turn_and_evenly() {
     let schedule = Schedule { rate: 250.0, targets: 2 };
-    let calls: Vec<_> = (0..4).map(|n| schedule.call(n)).collect();
-    let at = |ms| Duration::from_millis(ms);
-    assert_eq!(calls, [(0, at(0)), (1, at(2)), (0, at(4)), (1, at(6))]);
+    let calls: Vec<_> = (0..4).map(|number| schedule.call(number)).collect();
+    let call = |target, ms| ScheduledCall { target, after: Duration::from_millis(ms) };
+    assert_eq!(calls, [call(0, 0), call(1, 2), call(0, 4), call(1, 6)]);
 }
 
 #[test]
 fn a_slow_answer_shifts_no_call_and_counts_for_those_that_wait_behind_it() {
     let upstreams = Upstreams::start(1).expect("an upstream");
-    upstreams.answer_after(Duration::from_millis(20));
+    upstreams.respond_after(Duration::from_millis(20));
     let target = Target { addresses: upstreams.addresses.clone(), connections: 1 };
     // Twenty calls in 95 ms over a connection that takes 400 ms for them.
     let time = Duration::from_millis(99);
     let outcome = open_loop("t", &[target], 200.0, time).expect("it runs").remove(0);
-    assert_eq!((outcome.calls, upstreams.calls()[0]), (20, 20));
-    assert_eq!((outcome.answers.get(&200), outcome.failed()), (Some(&20), 0));
+    assert_eq!((outcome.calls, upstreams.requests()[0]), (20, 20));
+    assert_eq!((outcome.responses.get(&200), outcome.failed()), (Some(&20), 0));
     assert!(outcome.latency.max() > 300_000_000, "the last waited for {} ns only", outcome.latency.max());
     assert_eq!(upstreams.connections(), 1);
 }
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -7,7 +7,7 @@
 use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle};
 use zincstand_testbed::hollow::{Crowd, Options, UpdateMode};
 
-const LONG: Duration = Duration::from_secs(60);
+const LONG: Duration = Duration::from_mins(1);
 const BALANCERS: u32 = 50;
 
 fn entry(number: usize) -> Entry {
--- a/crates/testbed/tests/machine.rs
+++ b/crates/testbed/tests/machine.rs
@@ -1,15 +1,15 @@
 //! What a measurement may take of the machine.
 
-use zincstand_testbed::machine::{MOST_PROCESSES, Machine, Needs};
+use zincstand_testbed::machine::{MAX_PROCESSES, Machine, Needs};
 
 #[test]
 fn what_is_too_large_for_the_machine_is_refused_with_what_to_do() {
     let machine = Machine { cores: 1, processor: String::new(), memory_mb: 1000 };
-    let fits = Needs { processes: MOST_PROCESSES, memory_mb: 500, descriptors: 64 };
+    let fits = Needs { processes: MAX_PROCESSES, memory_mb: 500, descriptors: 64 };
     fits.check(&machine, 64).expect("it just fits");
     let refused = |needs: Needs| needs.check(&machine, 64).expect_err("it does not fit").to_string();
     for needs in [
-        Needs { processes: MOST_PROCESSES + 1, ..fits },
+        Needs { processes: MAX_PROCESSES + 1, ..fits },
         Needs { memory_mb: 501, ..fits },
         Needs { descriptors: 65, ..fits },
     ] {
