--- a/crates/cli/src/scale/crowd.rs
+++ b/crates/cli/src/scale/crowd.rs
@@ -8,7 +8,8 @@
 use tokio::time::sleep;
 use zincstand_policy::{ListKind, ServerState};
 use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle, VersionChange};
-use zincstand_testbed::hollow::{Crowd, Options, Reached, Slow, UpdateMode, descriptors};
+use zincstand_testbed::hollow::{FleetOptions, HollowFleet, ListApplied, SlowBalancers, UpdateMode};
+use zincstand_testbed::machine::ensure_descriptors;
 
 /// What the pages' example has, and discovery's code derives its waits from.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_500);
@@ -20,8 +21,8 @@
 /// Between two looks; every figure is timed where it arises and not by the look.
 pub const LOOK: Duration = Duration::from_millis(2);
 /// One in twenty stands still for four fifths of its time.
-pub const SLOW: Slow =
-    Slow { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
+pub const SLOW: SlowBalancers =
+    SlowBalancers { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
 /// Descriptors beside those of the connections.
 const RESERVED: u64 = 256;
 
@@ -53,7 +54,7 @@
 /// Discovery and its watchers.
 pub struct Scene {
     /// First, so that it ends before the discovery that it watches.
-    pub crowd: Crowd,
+    pub crowd: HollowFleet,
     pub discovery: Discovery,
     balancers: u32,
     upstreams: usize,
@@ -63,22 +64,22 @@
 impl Scene {
     /// Started, each balancer holding the list and watching.
     pub async fn start(balancers: u32, upstreams: usize, learning: UpdateMode, seed: u64) -> Result<Scene> {
-        descriptors(2 * u64::from(balancers) + RESERVED)?;
+        ensure_descriptors(2 * u64::from(balancers) + RESERVED)?;
         let discovery = Discovery::start().context("the stand-in discovery")?;
         discovery.replace((0..upstreams).map(entry).collect())?;
         let cores = std::thread::available_parallelism().map_or(4, |n| n.get());
-        let options = Options {
+        let options = FleetOptions {
             balancers,
             threads: (cores / 2).max(1) as u32,
             discovery: discovery.address(),
-            learning,
+            update_mode: learning,
             drain_grace: DRAIN_GRACE,
-            ask_within: ASK_WITHIN,
+            poll_within: ASK_WITHIN,
             zones: ZONES,
             slow: Some(SLOW),
             seed,
         };
-        let crowd = Crowd::start(&options).context("the hollow balancers")?;
+        let crowd = HollowFleet::start(&options).context("the hollow balancers")?;
         let scene = Scene { crowd, discovery, balancers, upstreams, changed: 0 };
         scene.first(|r| r.kind == ListKind::Snapshot && r.entries == upstreams).await?;
         scene.all_waiting().await?;
@@ -86,10 +87,10 @@
     }
 
     /// When the first such list reached each balancer.
-    pub async fn first(&self, such: impl Fn(&Reached) -> bool) -> Result<BTreeMap<u32, Instant>> {
+    pub async fn first(&self, such: impl Fn(&ListApplied) -> bool) -> Result<BTreeMap<u32, Instant>> {
         let (mut first, late) = (BTreeMap::new(), Instant::now() + LONG);
         loop {
-            for reached in self.crowd.reached().filter(&such) {
+            for reached in self.crowd.applied().filter(&such) {
                 first.entry(reached.balancer).or_insert(reached.at);
             }
             if first.len() == self.balancers as usize {
@@ -139,7 +140,7 @@
 
     /// How long after that the balancers acted on the marked entry: all of them, and those that are never slow.
     pub async fn lags(&self, told: VersionChange) -> Result<(Lags, Lags)> {
-        let first = self.first(|r| r.marked && r.at > told.at).await?;
+        let first = self.first(|r| r.is_marked && r.at > told.at).await?;
         let lag = |at: &Instant| at.saturating_duration_since(told.at).as_secs_f64() * 1e3;
         let others = first.iter().filter(|(n, _)| !self.crowd.is_slow(**n)).map(|(_, at)| lag(at));
         Ok((Lags::new(first.values().map(lag).collect()), Lags::new(others.collect())))
--- a/crates/cli/src/scale/updates.rs
+++ b/crates/cli/src/scale/updates.rs
@@ -7,8 +7,9 @@
 use tokio::time::sleep;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
 use zincstand_testbed::discovery::{Discovery, Lifecycle, VersionChange};
-use zincstand_testbed::hollow::{Hush, UpdateMode};
+use zincstand_testbed::hollow::UpdateMode;
 use zincstand_testbed::machine::Needs;
+use zincstand_testbed::quiet_stderr::QuietStderr;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 
@@ -126,7 +127,7 @@
 }
 
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let _hush = Hush::begin()?;
+    let _quiet_stderr = QuietStderr::begin()?;
     let (sizes, upstreams) = sizes(bench);
     let rounds: u32 = if bench.quick { 3 } else { 9 };
     let bursts = if bench.quick { 1 } else { 3 };
@@ -136,13 +137,13 @@
     for &balancers in sizes {
         let x = f64::from(balancers);
         let mut scene = Scene::start(balancers, upstreams, UpdateMode::Push, bench.seed).await?;
-        let (mut lags, before) = (Vec::new(), scene.crowd.processor());
+        let (mut lags, before) = (Vec::new(), scene.crowd.processor_time());
         for _ in 0..rounds {
             let told = scene.change(1)?;
             lags.push(scene.lags(told).await?.0);
             scene.all_waiting().await?;
         }
-        let spent = scene.crowd.processor().saturating_sub(before).as_secs_f64();
+        let spent = scene.crowd.processor_time().saturating_sub(before).as_secs_f64();
         processor.push(Point { x, y: spent * 1e6 / x / f64::from(rounds) });
         one.add(balancers, &lags);
 
@@ -156,7 +157,7 @@
         answers.push(Point { x, y: passed.deltas as f64 / x / bursts as f64 });
         burst.add(balancers, &lags);
 
-        scene.crowd.stall(true);
+        scene.crowd.set_stalling(true);
         let (mut all, mut quick) = (Vec::new(), Vec::new());
         for round in 0..rounds {
             // The last one ends with a standstill; each round begins at another point of the next.
--- a/crates/cli/src/scale/watchers.rs
+++ b/crates/cli/src/scale/watchers.rs
@@ -6,8 +6,9 @@
 use tokio::time::sleep;
 use zincstand_policy::ListKind;
 use zincstand_testbed::discovery::{Mode, TRAFFIC_BUCKET, Traffic};
-use zincstand_testbed::hollow::{Hush, UpdateMode};
+use zincstand_testbed::hollow::UpdateMode;
 use zincstand_testbed::machine::Needs;
+use zincstand_testbed::quiet_stderr::QuietStderr;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 
@@ -102,7 +103,7 @@
 }
 
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let _hush = Hush::begin()?;
+    let _quiet_stderr = QuietStderr::begin()?;
     let (sizes, upstreams) = sizes(bench);
     let rest = Duration::from_secs(if bench.quick { 1 } else { 3 });
     // Longer than the longest that a watch waits for a word: 1.5 s with the settings used here.
@@ -116,7 +117,8 @@
         slopes.add("all started together", "connections", x, started.connections as f64);
         slopes.add("all started together", "whole lists", x, started.snapshots as f64);
 
-        let (before, crowd, began) = (scene.discovery.counters()?, scene.crowd.processor(), Instant::now());
+        let (before, crowd, began) =
+            (scene.discovery.counters()?, scene.crowd.processor_time(), Instant::now());
         sleep(rest).await;
         let (after, span) = (scene.discovery.counters()?, began.elapsed().as_secs_f64());
         let passed = after.total.since(&before.total);
@@ -131,7 +133,7 @@
             x,
             busy(after.processor_time.saturating_sub(before.processor_time)),
         );
-        let spent = scene.crowd.processor().saturating_sub(crowd);
+        let spent = scene.crowd.processor_time().saturating_sub(crowd);
         slopes.add("at rest, all balancers", "% of a core", x, busy(spent));
 
         let before = scene.all_waiting().await?;
@@ -149,7 +151,7 @@
         let spent = after.processor_time.saturating_sub(before.processor_time);
         slopes.add("at a change", "ms of processor", x, spent.as_secs_f64() * 1e3 / each);
 
-        let (before, crowd) = (scene.all_waiting().await?, scene.crowd.processor());
+        let (before, crowd) = (scene.all_waiting().await?, scene.crowd.processor_time());
         let told = scene.discovery.replace((0..upstreams).map(entry).collect())?;
         let first = scene.first(|r| r.kind == ListKind::Snapshot && r.at > told.at).await?;
         let after = scene.all_waiting().await?;
@@ -166,7 +168,7 @@
         slopes.add("whole list to all", "ms of processor", x, spent.as_secs_f64() * 1e3);
         let last = first.values().max().map_or(0.0, |last| ms(told.at, *last));
         slopes.add("whole list to all", "ms until the last acts on it", x, last);
-        let spent = scene.crowd.processor().saturating_sub(crowd).as_secs_f64();
+        let spent = scene.crowd.processor_time().saturating_sub(crowd).as_secs_f64();
         slopes.add("whole list, a balancer", "ms of processor", x, spent * 1e3 / x);
 
         let before = scene.all_waiting().await?.total;
--- /dev/null
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -0,0 +1,156 @@
+//! The fleet of hollow balancers and the threads that run them.
+
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::sync::{Arc, RwLock, mpsc};
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
+use tokio::task::LocalSet;
+use zincstand_policy::ServerState;
+use zincstand_settings::{Names, Setup};
+
+use super::group::{BalancerGroup, GroupCommand};
+use super::settings::platform_settings;
+use super::{FleetError, FleetOptions, ListApplied, SlowBalancers};
+
+/// An entry of the list to look for.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MarkedEntry {
+    /// The instance's name.
+    pub instance: String,
+    /// The state in which the entry must be.
+    pub state: ServerState,
+}
+
+/// What the owner of a fleet and its threads share.
+#[derive(Default)]
+pub struct FleetControl {
+    /// Lists that hold this entry are marked.
+    pub mark: RwLock<Option<MarkedEntry>>,
+    /// Whether slow balancers are slow now.
+    pub is_stalling: AtomicBool,
+}
+
+/// Hollow balancers at work. They end when dropped.
+pub struct HollowFleet {
+    workers: Vec<Worker>,
+    applied: mpsc::Receiver<ListApplied>,
+    control: Arc<FleetControl>,
+    slow: Option<SlowBalancers>,
+}
+
+/// A thread with a part of the balancers; it ends when dropped.
+struct Worker {
+    commands: Option<UnboundedSender<GroupCommand>>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Worker {
+    fn start(group: BalancerGroup) -> Result<Worker, FleetError> {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let (commands, receiver) = unbounded_channel();
+        let run = move || LocalSet::new().block_on(&runtime, group.run(receiver));
+        let thread = std::thread::Builder::new().name("hollow".to_owned()).spawn(run)?;
+        Ok(Worker { commands: Some(commands), thread: Some(thread) })
+    }
+}
+
+impl Drop for Worker {
+    fn drop(&mut self) {
+        // The thread ends when nothing can send it commands any more.
+        self.commands = None;
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+/// The balancers of one thread.
+struct ThreadShare {
+    balancers: Vec<u32>,
+    slow: Option<SlowBalancers>,
+}
+
+/// Divides the balancers among threads; the slow ones have one of their own.
+fn divide(options: &FleetOptions) -> Vec<ThreadShare> {
+    let threads = options.threads.max(1);
+    let share = |thread: u32| {
+        let balancers = (0..options.balancers)
+            .filter(|balancer| !options.is_slow(*balancer) && balancer % threads == thread)
+            .collect();
+        ThreadShare { balancers, slow: None }
+    };
+    let mut shares: Vec<_> = (0..threads).map(share).collect();
+    if let Some(slow) = options.slow {
+        let balancers = (0..options.balancers).filter(|balancer| options.is_slow(*balancer)).collect();
+        shares.push(ThreadShare { balancers, slow: Some(slow) });
+    }
+    shares
+}
+
+impl HollowFleet {
+    /// Starts the balancers; each asks for its list at once, or as soon as its policy does.
+    ///
+    /// # Errors
+    /// The settings are invalid, or a thread cannot be started.
+    pub fn start(options: &FleetOptions) -> Result<HollowFleet, FleetError> {
+        let setup: Setup = serde_json::from_value(platform_settings(options))?;
+        let mut names = Names::default();
+        let settings = setup.to_policy_settings(&mut names)?;
+        let names = Arc::new(names);
+        let control = Arc::new(FleetControl::default());
+        let (sender, applied) = mpsc::channel();
+        let start = |share: ThreadShare| {
+            Worker::start(BalancerGroup {
+                balancers: share.balancers,
+                slow: share.slow,
+                settings: settings.clone(),
+                names: names.clone(),
+                options: options.clone(),
+                applied: sender.clone(),
+                control: control.clone(),
+            })
+        };
+        let workers = divide(options).into_iter().map(start).collect::<Result<Vec<_>, _>>()?;
+        Ok(HollowFleet { workers, applied, control, slow: options.slow })
+    }
+
+    /// Sets whether the slow balancers are slow from now on; at first they are not.
+    pub fn set_stalling(&self, is_stalling: bool) {
+        self.control.is_stalling.store(is_stalling, Relaxed);
+    }
+
+    /// From now on lists that hold this entry are marked.
+    pub fn mark(&self, instance: &str, state: ServerState) {
+        if let Ok(mut mark) = self.control.mark.write() {
+            *mark = Some(MarkedEntry { instance: instance.to_owned(), state });
+        }
+    }
+
+    /// The lists that balancers have applied since this was last called; does not wait.
+    pub fn applied(&self) -> impl Iterator<Item = ListApplied> + '_ {
+        self.applied.try_iter()
+    }
+
+    /// The next list that a balancer applies, if one does within `timeout`.
+    pub fn next_applied(&self, timeout: Duration) -> Option<ListApplied> {
+        self.applied.recv_timeout(timeout).ok()
+    }
+
+    /// Whether a balancer is one of the slow ones.
+    pub fn is_slow(&self, balancer: u32) -> bool {
+        self.slow.is_some_and(|slow| slow.includes(balancer))
+    }
+
+    /// Processor time that all balancers have used together.
+    pub fn processor_time(&self) -> Duration {
+        let ask = |worker: &Worker| {
+            let (sender, time) = mpsc::channel();
+            worker.commands.as_ref()?.send(GroupCommand::ProcessorTime(sender)).ok()?;
+            Some(time)
+        };
+        let asked: Vec<_> = self.workers.iter().filter_map(ask).collect();
+        asked.iter().filter_map(|time| time.recv().ok()).sum()
+    }
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod discovery;
 pub mod hollow;
 pub mod machine;
+pub mod quiet_stderr;
 pub mod report;
 pub mod slope;
 pub mod upstreams;
--- a/crates/testbed/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_slow_answer_shifts_no_call_and_counts_for_those_that_wait_behind_it() {
+fn a_slow_response_shifts_no_call_and_counts_for_those_that_wait_behind_it() {
     let upstreams = Upstreams::start(1).expect("an upstream");
     upstreams.respond_after(Duration::from_millis(20));
     let target = Target { addresses: upstreams.addresses.clone(), connections: 1 };
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -29,39 +29,39 @@
         head.push(byte[0]);
     }
     let head = String::from_utf8(head).expect("text");
-    let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: ")).expect("a length");
+    let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).expect("a length");
     let mut body = vec![0; length.parse().expect("a number")];
     stream.read_exact(&mut body).expect("a body");
     serde_json::from_slice(&body).expect("JSON")
 }
 
 #[test]
-fn a_watch_is_told_the_changes_since_its_version_and_the_whole_list_where_that_is_too_old() {
+fn a_watch_gets_the_changes_since_its_version_and_a_snapshot_where_that_is_too_old() {
     let discovery = Discovery::start().expect("it starts");
     let set = discovery.replace((0..3).map(entry).collect()).expect("set").version;
     let mut stream = connect(&discovery);
     ask(&mut stream, "");
-    let whole = answer(&mut stream);
-    assert_eq!((whole["generation"].as_u64(), whole["reset"].as_bool()), (Some(set), Some(true)));
-    assert_eq!(whole["instances"][1]["instanceId"], "s-00000001");
-    assert_eq!(whole["instances"].as_array().map(Vec::len), Some(3));
+    let snapshot = answer(&mut stream);
+    assert_eq!((snapshot["generation"].as_u64(), snapshot["reset"].as_bool()), (Some(set), Some(true)));
+    assert_eq!(snapshot["instances"][1]["instanceId"], "s-00000001");
+    assert_eq!(snapshot["instances"].as_array().map(Vec::len), Some(3));
     // Nothing new until its wait is over.
     ask(&mut stream, &format!("?index={set}&wait=1"));
     let empty = answer(&mut stream);
     assert_eq!(empty, serde_json::json!({"generation": set, "reset": false, "instances": []}));
-    // It waits, is told, and the next watch from the older version is told both changes, each entry once.
+    // It waits and is notified; the next watch from the older version gets both changes, each entry once.
     ask(&mut stream, &format!("?index={set}&wait=60000"));
     let first =
         discovery.change(vec![entry(1).with_lifecycle(Lifecycle::Draining)]).expect("changed").version;
-    let told = answer(&mut stream);
-    assert_eq!((told["generation"].as_u64(), told["reset"].as_bool()), (Some(first), Some(false)));
-    assert_eq!(told["instances"][0]["lifecycle"], "DRAINING");
+    let delta = answer(&mut stream);
+    assert_eq!((delta["generation"].as_u64(), delta["reset"].as_bool()), (Some(first), Some(false)));
+    assert_eq!(delta["instances"][0]["lifecycle"], "DRAINING");
     let gone = [entry(1).with_lifecycle(Lifecycle::Deleted), entry(2).with_lifecycle(Lifecycle::Draining)];
     discovery.change(gone.to_vec()).expect("changed");
     ask(&mut stream, &format!("?index={set}&wait=60000"));
     let both = answer(&mut stream);
     let lives: Vec<_> =
-        both["instances"].as_array().expect("a list").iter().map(|e| &e["lifecycle"]).collect();
+        both["instances"].as_array().expect("a list").iter().map(|entry| &entry["lifecycle"]).collect();
     assert_eq!(lives, ["DELETED", "DRAINING"]);
     ask(&mut stream, "");
     assert_eq!(answer(&mut stream)["instances"].as_array().map(Vec::len), Some(2));
@@ -73,12 +73,17 @@
     let counted = discovery.counters().expect("counted");
     assert_eq!((counted.total.connections, counted.total.requests, counted.open_connections), (1, 6, 1));
     assert_eq!((counted.total.snapshots, counted.total.deltas, counted.total.empty), (3, 2, 1));
-    let seen: Vec<_> = discovery.take_acknowledgements().expect("seen").iter().map(|s| s.version).collect();
-    assert_eq!(seen, [set]);
+    let acknowledged: Vec<_> = discovery
+        .take_acknowledgements()
+        .expect("acknowledgements")
+        .iter()
+        .map(|acknowledgement| acknowledgement.version)
+        .collect();
+    assert_eq!(acknowledged, [set]);
 }
 
 #[test]
-fn down_it_refuses_silent_it_answers_nothing_and_afterwards_it_goes_on_at_its_address() {
+fn it_refuses_while_down_and_responds_to_nothing_while_silent_and_recovers_at_its_address() {
     let discovery = Discovery::start().expect("it starts");
     let mut stream = connect(&discovery);
     ask(&mut stream, "");
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -1,11 +1,12 @@
 //! What the protocol costs with many real watchers, as counts and bytes, never as times.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use zincstand_policy::{ListKind, ServerState};
 use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle};
-use zincstand_testbed::hollow::{Crowd, Options, UpdateMode};
+use zincstand_testbed::hollow::{FleetOptions, HollowFleet, ListApplied, UpdateMode};
 
 const LONG: Duration = Duration::from_mins(1);
 const BALANCERS: u32 = 50;
@@ -14,38 +15,40 @@
     Entry::serving(number, 14, SocketAddr::from(([127, 0, 0, 1], 9)))
 }
 
-/// Discovery with a list of so many, and balancers that have all taken it over and watch again. Their watches
-/// wait longer than the test takes, so that every answer is news.
-fn settled(upstreams: usize) -> (Discovery, Crowd) {
+/// Discovery with a list of this length, and balancers that have all applied it and watch again. Their watches wait
+/// longer than the test takes, so that every response is a notification.
+fn start_settled(upstreams: usize) -> (Discovery, HollowFleet) {
     let discovery = Discovery::start().expect("discovery");
     discovery.replace((0..upstreams).map(entry).collect()).expect("a list");
-    let options = Options {
+    let options = FleetOptions {
         balancers: BALANCERS,
         threads: 2,
         discovery: discovery.address(),
-        learning: UpdateMode::Push,
+        update_mode: UpdateMode::Push,
         drain_grace: LONG,
-        ask_within: LONG,
+        poll_within: LONG,
         zones: 14,
         slow: None,
         seed: 1,
     };
-    let crowd = Crowd::start(&options).expect("balancers");
-    reached(&crowd, |r| assert_eq!((r.kind, r.entries), (ListKind::Snapshot, upstreams)));
-    waiting(&discovery);
-    (discovery, crowd)
+    let fleet = HollowFleet::start(&options).expect("balancers");
+    wait_until_each_applied(&fleet, |applied| {
+        assert_eq!((applied.kind, applied.entries), (ListKind::Snapshot, upstreams));
+    });
+    wait_until_all_watch(&discovery);
+    (discovery, fleet)
 }
 
-fn reached(crowd: &Crowd, check: impl Fn(zincstand_testbed::hollow::Reached)) {
-    let mut told = std::collections::BTreeSet::new();
-    while told.len() < BALANCERS as usize {
-        let reached = crowd.next(LONG).expect("a list reaches each");
-        check(reached);
-        assert!(told.insert(reached.balancer), "told twice");
+fn wait_until_each_applied(fleet: &HollowFleet, check: impl Fn(ListApplied)) {
+    let mut balancers = BTreeSet::new();
+    while balancers.len() < BALANCERS as usize {
+        let applied = fleet.next_applied(LONG).expect("a list reaches each");
+        check(applied);
+        assert!(balancers.insert(applied.balancer), "notified twice");
     }
 }
 
-fn waiting(discovery: &Discovery) -> Counters {
+fn wait_until_all_watch(discovery: &Discovery) -> Counters {
     loop {
         let counted = discovery.counters().expect("counted");
         if counted.waiting_watches == u64::from(BALANCERS) {
@@ -56,15 +59,17 @@
 }
 
 #[test]
-fn a_change_costs_each_balancer_one_small_answer_however_long_the_list_is() {
+fn a_change_costs_each_balancer_one_small_response_however_long_the_list_is() {
     let costs = [20, 500].map(|upstreams| {
-        let (discovery, crowd) = settled(upstreams);
-        let before = waiting(&discovery).total;
+        let (discovery, fleet) = start_settled(upstreams);
+        let before = wait_until_all_watch(&discovery).total;
         assert_eq!((before.snapshots, before.connections), (50, 50));
-        crowd.mark("s-00000003", ServerState::Draining);
+        fleet.mark("s-00000003", ServerState::Draining);
         discovery.change(vec![entry(3).with_lifecycle(Lifecycle::Draining)]).expect("changed");
-        reached(&crowd, |r| assert!(r.marked && r.kind == ListKind::Delta && r.entries == 1));
-        waiting(&discovery).total.since(&before)
+        wait_until_each_applied(&fleet, |applied| {
+            assert!(applied.is_marked && applied.kind == ListKind::Delta && applied.entries == 1);
+        });
+        wait_until_all_watch(&discovery).total.since(&before)
     });
     for cost in costs {
         assert_eq!((cost.connections, cost.snapshots, cost.deltas, cost.requests), (0, 0, 50, 50));
@@ -74,16 +79,18 @@
 }
 
 #[test]
-fn after_a_break_each_comes_back_once_and_asks_for_changes_since_what_it_holds() {
-    let (discovery, crowd) = settled(500);
-    let before = waiting(&discovery).total;
+fn after_a_disconnect_each_reconnects_once_and_watches_from_the_version_that_it_holds() {
+    let (discovery, fleet) = start_settled(500);
+    let before = wait_until_all_watch(&discovery).total;
     discovery.close_connections().expect("broken");
     while discovery.counters().expect("counted").total.connections < 100 {
         std::thread::yield_now();
     }
-    let after = waiting(&discovery).total.since(&before);
+    let after = wait_until_all_watch(&discovery).total.since(&before);
     assert_eq!((after.connections, after.requests, after.snapshots, after.bytes_out), (50, 50, 0, 0));
-    // They are told again.
+    // They are notified again.
     discovery.change(vec![entry(3).with_lifecycle(Lifecycle::Draining)]).expect("changed");
-    reached(&crowd, |r| assert_eq!((r.kind, r.entries), (ListKind::Delta, 1)));
+    wait_until_each_applied(&fleet, |applied| {
+        assert_eq!((applied.kind, applied.entries), (ListKind::Delta, 1));
+    });
 }
--- a/crates/testbed/tests/machine.rs
+++ b/crates/testbed/tests/machine.rs
@@ -3,7 +3,7 @@
 use zincstand_testbed::machine::{MAX_PROCESSES, Machine, Needs};
 
 #[test]
-fn what_is_too_large_for_the_machine_is_refused_with_what_to_do() {
+fn what_is_too_large_for_the_machine_is_rejected_with_what_to_do() {
     let machine = Machine { cores: 1, processor: String::new(), memory_mb: 1000 };
     let fits = Needs { processes: MAX_PROCESSES, memory_mb: 500, descriptors: 64 };
     fits.check(&machine, 64).expect("it just fits");
--- a/crates/testbed/tests/slope.rs
+++ b/crates/testbed/tests/slope.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_line_is_found_and_a_bend_is_told() {
+fn a_line_is_fitted_and_a_bend_is_reported() {
     let straight = fit(&points(|x| 3.0 + 0.5 * x)).expect("five points");
     assert!((straight.line.slope - 0.5).abs() < 1e-9 && (straight.line.intercept - 3.0).abs() < 1e-6);
     assert!(straight.line.r2 > 0.999_999 && straight.bend.is_none());
