--- a/crates/cli/src/model/mod.rs
+++ b/crates/cli/src/model/mod.rs
@@ -21,7 +21,7 @@
 use zincstand_fleet_model::experiment::{self, Cell, Row};
 use zincstand_fleet_model::kinds::{self, Size};
 use zincstand_fleet_model::play;
-use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::policy::{Kind, UnknownPolicy};
 
 /// What can be done with the model.
 #[derive(Subcommand)]
@@ -142,7 +142,7 @@
 #[derive(Clone)]
 struct Policies(Vec<Kind>);
 
-fn policies(names: &str) -> Result<Policies, String> {
+fn policies(names: &str) -> Result<Policies, UnknownPolicy> {
     if names == "all" {
         return Ok(Policies(Kind::ALL.to_vec()));
     }
--- a/crates/cli/src/model/ramp.rs
+++ b/crates/cli/src/model/ramp.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use clap::Args;
 use indicatif::ProgressBar;
-use zincstand_fleet_model::ramp::{self, Line, Rules, Shape};
+use zincstand_fleet_model::ramp::{self, Line, RuleOverrides, Shape};
 
 use super::{print, tables};
 
@@ -31,7 +31,7 @@
 
 /// Does it.
 pub fn run(args: &Ramp) -> Result<()> {
-    let rules = Rules { overload_factor: args.overload_factor, cold_from: args.cold_from };
+    let rules = RuleOverrides { overload_factor: args.overload_factor, cold_from: args.cold_from };
     let count = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
     let bar = ProgressBar::new(count);
     let mut lines = Vec::new();
@@ -75,10 +75,16 @@
     for l in lines {
         let part = |from: usize| (l.share[from] + l.share[from + 1]) / 2.0;
         let mut cells = vec![l.shape.name().to_owned(), l.balancers.to_string(), l.starts.to_string()];
-        cells.extend([l.excess, l.excess_told, l.excess_work].iter().flatten().map(|x| format!("{x:.2}")));
-        cells.extend([l.fallen, l.fallen_work].map(|(all, told)| format!("{all}, {told}")));
+        let spreads = [l.excess, l.informed_excess, l.informed_excess_work];
+        cells.extend(spreads.iter().flat_map(|x| [x.mean, x.p99, x.max]).map(|x| format!("{x:.2}")));
+        let overloads = [l.overloaded, l.overloaded_by_work];
+        cells.extend(overloads.map(|x| format!("{}, {}", x.total, x.informed)));
         cells.extend([0, 4, 8].map(|at| format!("{:.2}", part(at))));
-        cells.extend([format!("{:.1}", l.warm.0), format!("{:.1}", l.warm.1), format!("{:.3}", l.g)]);
+        cells.extend([
+            format!("{:.1}", l.warm.warm_up_times),
+            format!("{:.1}", l.warm.seconds),
+            format!("{:.3}", l.score),
+        ]);
         t.add_row(cells);
     }
     format!(
--- /dev/null
+++ b/crates/fleet-model/src/failures/scenario.rs
@@ -0,0 +1,107 @@
+//! Days of a fleet in which a part of it fails.
+
+use super::{Failure, FailureSpan, Sizes};
+use crate::day::{Day, Fault, FaultKind};
+use crate::depth::plain;
+use crate::kinds::fault;
+use crate::span::Span;
+
+/// How busy the servers are before the failure.
+const UTILIZATION: f64 = 0.45;
+/// Cores of a server.
+const CORES: f64 = 2.0;
+/// Largest work of a call, latency objective and deadline, as multiples of the mean work: as in the days of many
+/// tiers, an answer within twelve times the work is in time, one after twenty-five is useless.
+const MAX_WORK_FACTOR: f64 = 4.0;
+const OBJECTIVE_FACTOR: f64 = 12.5;
+const DEADLINE_FACTOR: f64 = 25.0;
+/// How long servers drain before they restart, in seconds.
+const DRAIN_SECONDS: f64 = 3.0;
+/// Share of the servers of a deploy that are out at once.
+const DEPLOY_BATCH_SHARE: f64 = 0.05;
+/// Servers of a rack.
+const RACK_SERVERS: u32 = 20;
+/// Of the planned fleet, machines that vanish and servers that restart in a day.
+const MACHINES_LOST_A_DAY: f64 = 8.0;
+const SERVERS_RESTARTED_A_DAY: f64 = 110.0;
+/// Servers of the planned fleet.
+const PLANNED_SERVERS: f64 = 2_000.0;
+/// Regions that share the zones.
+const REGIONS: u32 = 4;
+
+/// A day with a failure. The load is scaled to the rate of the sizes: calls are rarer and cost as many times the work.
+pub fn day(seed: u64, sizes: &Sizes, failure: Failure) -> Day {
+    let zones: Vec<String> = (0..sizes.zones).map(|zone| format!("zone {zone}")).collect();
+    let per_zone = sizes.servers_per_zone();
+    let servers = per_zone * sizes.zones;
+    let mut day = plain(seed, sizes.seconds, zones.clone(), per_zone, sizes.rate * f64::from(servers));
+    let work = 1_000.0 * UTILIZATION * CORES / sizes.rate;
+    let class = &mut day.classes[0];
+    class.work = Span::ms(work);
+    class.most_work = Span::ms(MAX_WORK_FACTOR * work);
+    class.aim = Span::ms(OBJECTIVE_FACTOR * work);
+    class.deadline = Span::ms(DEADLINE_FACTOR * work);
+    // Balancers with neighbouring numbers are in one zone, as they run beside their servers.
+    let balancers_of = |zone: &String| std::iter::repeat_n(zone.clone(), per_zone as usize);
+    day.balancers.zones = zones.iter().flat_map(balancers_of).collect();
+    day.name = format!("{servers} servers, {}", failure.name());
+    day.faults = faults(sizes, failure);
+    day
+}
+
+fn faults(sizes: &Sizes, failure: Failure) -> Vec<Fault> {
+    let span = sizes.failure_span();
+    let length = span.end - span.begin;
+    match failure {
+        Failure::None => Vec::new(),
+        Failure::Zone => vec![zone_fault(FaultKind::ZoneLost, &span, 0)],
+        Failure::Rack => {
+            let rack: Vec<usize> = (0..RACK_SERVERS.min(sizes.servers_per_zone()) as usize).collect();
+            vec![
+                targeted_fault(FaultKind::Vanished, span.begin, length, rack.clone()),
+                targeted_fault(FaultKind::BalancerKilled, span.begin, length, rack),
+            ]
+        }
+        Failure::Day => ordinary_day(sizes, &span),
+        Failure::Region => {
+            // The first region has the zones that division leaves over.
+            let zones = 0..sizes.zones.div_ceil(REGIONS);
+            zones.map(|zone| zone_fault(FaultKind::ZoneCut, &span, zone)).collect()
+        }
+    }
+}
+
+/// Machines vanish one after the other while others restart, spread over the zones; the same share of a smaller fleet.
+fn ordinary_day(sizes: &Sizes, span: &FailureSpan) -> Vec<Fault> {
+    let servers = sizes.servers_per_zone() * sizes.zones;
+    let part = (f64::from(servers) / PLANNED_SERVERS).min(1.0);
+    let scaled = |planned: f64| (planned * part).ceil().max(1.0) as usize;
+    let servers = servers as usize;
+    let spread = |count: usize, first: usize| -> Vec<usize> {
+        (0..count).map(|index| (first + index * servers / count) % servers).collect()
+    };
+    let left = sizes.seconds - span.begin;
+    let length = (span.end - span.begin).min(left * 0.4);
+    let lost = scaled(MACHINES_LOST_A_DAY);
+    let mut faults = Vec::new();
+    for (index, machine) in spread(lost, 1).into_iter().enumerate() {
+        let at = span.begin + left * 0.5 * index as f64 / lost as f64;
+        faults.push(targeted_fault(FaultKind::Vanished, at, length, vec![machine]));
+        faults.push(targeted_fault(FaultKind::BalancerKilled, at, length, vec![machine]));
+    }
+    let restarted = spread(scaled(SERVERS_RESTARTED_A_DAY), 0);
+    let restart_span = left * 0.7;
+    faults.push(targeted_fault(FaultKind::RollingDeploy, span.begin, restart_span, restarted.clone()));
+    faults.push(targeted_fault(FaultKind::BalancerRestart, span.begin, restart_span, restarted));
+    faults
+}
+
+fn targeted_fault(kind: FaultKind, at: f64, length: f64, which: Vec<usize>) -> Fault {
+    let share = if kind == FaultKind::RollingDeploy { DEPLOY_BATCH_SHARE } else { 1.0 };
+    Fault { which, share, drain: Span::s(DRAIN_SECONDS), ..fault(kind, at, length) }
+}
+
+fn zone_fault(kind: FaultKind, span: &FailureSpan, zone: u32) -> Fault {
+    let fault = targeted_fault(kind, span.begin, span.end - span.begin, Vec::new());
+    Fault { zone: Some(format!("zone {zone}")), ..fault }
+}
--- /dev/null
+++ b/crates/fleet-model/src/policy/baseline.rs
@@ -0,0 +1,227 @@
+//! The baselines' common part: they queue nothing, retry once, and keep the rules on draining servers and repeats.
+
+use std::borrow::Cow;
+use std::collections::{BTreeMap, BTreeSet};
+
+use zincstand_policy::{
+    Action, Event, Idempotency, ListKind, Micros, Outcome, RequestId, ServerEntry, ServerId, ServerState,
+    Settings,
+};
+
+use super::Policy;
+use super::full_knowledge::FullKnowledge;
+use super::selection::{Selector, Strategy};
+use crate::server::Truth;
+
+/// Attempts for a request, where its class allows a repeat.
+const MAX_ATTEMPTS: u32 = 2;
+/// How often the baseline with full knowledge tries to send a request that it holds, in microseconds. A request with
+/// less than twice this left is given up by all baselines.
+const HOLD_INTERVAL: Micros = 5_000;
+/// A held request's timer has the request's id and this as its token: token 0 is left free.
+const HOLD_TOKEN_OFFSET: u64 = 1;
+
+/// A server on the list.
+pub(super) struct KnownServer {
+    pub entry: ServerEntry,
+    /// The balancer's own attempts.
+    pub in_flight: u32,
+}
+
+/// A request without a final answer.
+pub(super) struct OpenRequest {
+    pub class: usize,
+    pub arrived: Micros,
+    pub deadline: Micros,
+    pub attempts_sent: u32,
+    /// The first attempt that may have run.
+    possible_run: Option<PossibleRun>,
+    last_server: Option<ServerId>,
+}
+
+/// An attempt that a server may have executed.
+#[derive(Clone, Copy)]
+struct PossibleRun {
+    sent_at: Micros,
+    cell: u32,
+}
+
+/// An attempt that ended without an answer to its request.
+struct FailedAttempt {
+    server: ServerId,
+    outcome: Outcome,
+    latency: Micros,
+}
+
+/// A policy that chooses servers by one simple strategy.
+pub(super) struct Baseline {
+    strategy: Strategy,
+    settings: Settings,
+    selector: Selector,
+    servers: BTreeMap<ServerId, KnownServer>,
+    /// Servers that take requests, in order of their ids.
+    ready: Vec<ServerId>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+}
+
+impl Policy for Baseline {
+    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointList { kind, entries } => self.update_list(kind, entries),
+            Event::Request { id, class, time_left, .. } => {
+                let request = OpenRequest {
+                    class,
+                    arrived: now,
+                    deadline: now + time_left,
+                    attempts_sent: 0,
+                    possible_run: None,
+                    last_server: None,
+                };
+                self.requests.insert(id, request);
+                self.try_send(now, id, truth, actions);
+            }
+            Event::Outcome { request, server, outcome, finished, latency, .. } => {
+                if let Some(known) = self.servers.get_mut(&server) {
+                    known.in_flight = known.in_flight.saturating_sub(1);
+                }
+                if finished {
+                    self.requests.remove(&request);
+                } else {
+                    let failed = FailedAttempt { server, outcome, latency };
+                    self.retry_or_end(now, request, &failed, truth, actions);
+                }
+            }
+            Event::ClientDisconnected { request } => {
+                self.requests.remove(&request);
+            }
+            Event::Timer { token } => self.try_send(now, token - HOLD_TOKEN_OFFSET, truth, actions),
+            Event::BodyComplete { .. } | Event::FirstByte { .. } | Event::HealthChecked { .. } => {}
+        }
+    }
+}
+
+impl Baseline {
+    pub fn new(strategy: Strategy, settings: Settings, seed: u64) -> Baseline {
+        Baseline {
+            strategy,
+            selector: Selector::new(strategy, settings.balancer_index as usize, seed),
+            settings,
+            servers: BTreeMap::new(),
+            ready: Vec::new(),
+            requests: BTreeMap::new(),
+        }
+    }
+
+    fn update_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
+        match kind {
+            ListKind::Failed => return,
+            ListKind::Delta => {}
+            ListKind::Snapshot | ListKind::CachedSnapshot => {
+                let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.id).collect();
+                self.servers.retain(|id, _| listed.contains(id));
+            }
+        }
+        for entry in entries {
+            if entry.state == ServerState::Removed {
+                self.servers.remove(&entry.id);
+            } else if let Some(known) = self.servers.get_mut(&entry.id) {
+                known.entry = entry;
+            } else {
+                self.servers.insert(entry.id, KnownServer { entry, in_flight: 0 });
+            }
+        }
+        let ready = self.servers.values().filter(|known| known.entry.state == ServerState::Ready);
+        self.ready = ready.map(|known| known.entry.id).collect();
+    }
+
+    fn retry_or_end(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        failed: &FailedAttempt,
+        truth: &Truth<'_>,
+        actions: &mut Vec<Action>,
+    ) {
+        let cell = self.servers.get(&failed.server).map_or(0, |known| known.entry.cell);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if !failed.outcome.never_ran() {
+            let run = PossibleRun { sent_at: now - failed.latency, cell };
+            request.possible_run.get_or_insert(run);
+        }
+        let repeatable = match (self.settings.classes[request.class].idempotency, request.possible_run) {
+            (Idempotency::NotIdempotent, Some(_)) => false,
+            (Idempotency::WithKey { window, .. }, Some(run)) => {
+                now + self.settings.tick < run.sent_at + window
+            }
+            _ => true,
+        };
+        let max_attempts = MAX_ATTEMPTS.min(self.settings.limits.max_attempts);
+        if repeatable && request.attempts_sent < max_attempts && now < request.deadline {
+            self.try_send(now, id, truth, actions);
+        } else {
+            self.end(id, actions);
+        }
+    }
+
+    /// Gives a request up: rejects it if it has no effect yet or may be repeated, fails it otherwise.
+    fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        let idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
+        actions.push(if idempotent || request.possible_run.is_none() {
+            Action::Reject { request: id, retry_after: 0 }
+        } else {
+            Action::Fail { request: id }
+        });
+    }
+
+    fn try_send(&mut self, now: Micros, id: RequestId, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let knowledge = FullKnowledge { settings: &self.settings, servers: &self.servers, truth, now };
+        let sees_all = self.strategy == Strategy::FullKnowledge;
+        if now + 2 * HOLD_INTERVAL >= request.deadline || (sees_all && knowledge.is_too_late(request)) {
+            return self.end(id, actions);
+        }
+        let candidates = candidates(request, &self.settings, &self.servers, &self.ready);
+        if candidates.is_empty() {
+            return self.end(id, actions);
+        }
+        let server = if sees_all {
+            let Some(server) = knowledge.choose(&candidates, request) else {
+                // It holds what no server can take now: a slot becomes free in time, or not.
+                actions.push(Action::Timer { delay: HOLD_INTERVAL, token: id + HOLD_TOKEN_OFFSET });
+                return;
+            };
+            server
+        } else {
+            self.selector.choose(&candidates, request.last_server, &self.servers)
+        };
+        self.send(now, id, server, actions);
+    }
+
+    fn send(&mut self, now: Micros, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
+        if let Some(known) = self.servers.get_mut(&server) {
+            known.in_flight += 1;
+        }
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.attempts_sent += 1;
+        request.last_server = Some(server);
+        actions.push(Action::Send { request: id, server, limit: request.deadline - now });
+    }
+}
+
+/// Ready servers that may get a request: all, or those of the cell that knows its idempotency key.
+fn candidates<'a>(
+    request: &OpenRequest,
+    settings: &Settings,
+    servers: &BTreeMap<ServerId, KnownServer>,
+    ready: &'a [ServerId],
+) -> Cow<'a, [ServerId]> {
+    let has_key = matches!(settings.classes[request.class].idempotency, Idempotency::WithKey { .. });
+    match request.possible_run {
+        Some(run) if has_key => {
+            let in_cell = |id: &&ServerId| servers.get(id).is_some_and(|known| known.entry.cell == run.cell);
+            Cow::Owned(ready.iter().filter(in_cell).copied().collect())
+        }
+        _ => Cow::Borrowed(ready),
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/ramp/analysis.rs
@@ -0,0 +1,195 @@
+//! What one day's cold servers received, against the budget that the rules give them.
+
+use serde::{Deserialize, Serialize};
+
+use super::scenario::mean_work;
+use super::{BINS, BINS_PER_WARM_UP, OverloadCount};
+use crate::day::{Day, DayError};
+use crate::policy::Kind;
+use crate::world::{ArrivalAtServer, ServerStart, play_recorded};
+
+/// An overload breaks the rule if more than this share of it came from balancers that had been notified of the start.
+const INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// Requests beyond a budget of N that are put down to chance: this many square roots of N, ...
+const CHANCE_ROOTS: f64 = 2.0;
+/// ... and this many more.
+const CHANCE_REQUESTS: f64 = 2.0;
+
+/// What one day's cold servers received.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Measurement {
+    /// Servers that started.
+    pub starts: usize,
+    /// Requests beyond the budget N at the most-hit server in its worst window, in square roots of N.
+    pub excess: f64,
+    /// The same over windows of which over two thirds came from balancers notified of the start.
+    #[serde(rename = "excess_told")]
+    pub informed_excess: f64,
+    /// The same over such windows in work, as multiples of the mean.
+    #[serde(rename = "excess_work")]
+    pub informed_excess_work: f64,
+    /// Servers overloaded by count of requests.
+    #[serde(rename = "fallen")]
+    pub overloaded: OverloadCount,
+    /// Servers overloaded by work.
+    #[serde(rename = "fallen_work")]
+    pub overloaded_by_work: OverloadCount,
+    /// Traffic of a server by tenths of the warm-up time, as a multiple of an even share.
+    pub share: Vec<f64>,
+    /// The warm-up time that the settings name, in seconds.
+    pub warm_after: f64,
+    /// Score of the day.
+    #[serde(rename = "g")]
+    pub score: f64,
+}
+
+/// What a server received within one window of the rule.
+struct Window<'a> {
+    arrivals: &'a [&'a ArrivalAtServer],
+    /// In requests of mean work.
+    work: f64,
+    /// What the settings allow, in requests of mean work.
+    budget: f64,
+}
+
+/// Who caused the first overload of a server.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum OverloadedBy {
+    Informed,
+    Others,
+}
+
+impl OverloadedBy {
+    fn new(informed: bool) -> OverloadedBy {
+        if informed { OverloadedBy::Informed } else { OverloadedBy::Others }
+    }
+}
+
+impl OverloadCount {
+    fn add(&mut self, overload: Option<OverloadedBy>) {
+        self.total += usize::from(overload.is_some());
+        self.informed += usize::from(overload == Some(OverloadedBy::Informed));
+    }
+}
+
+/// Plays a day and measures what its cold servers receive; none of them collapses, so that all of it is seen.
+///
+/// # Errors
+///
+/// The day contradicts itself.
+pub fn play(day: &Day, kind: Kind) -> Result<Measurement, DayError> {
+    let (played, recording) = play_recorded(day, kind)?;
+    let shares: f64 = day.classes.iter().map(|class| class.share).sum();
+    let analysis = Analysis {
+        day,
+        starts: recording.starts.len(),
+        mean_work: mean_work(&day.classes, day.seed) * 1e6 / shares,
+    };
+    let mut measurement = Measurement {
+        starts: recording.starts.len(),
+        excess: f64::NEG_INFINITY,
+        informed_excess: f64::NEG_INFINITY,
+        informed_excess_work: f64::NEG_INFINITY,
+        share: vec![0.0; BINS],
+        warm_after: day.tiers[0].warm_after.secs(),
+        score: played.result.g,
+        ..Measurement::default()
+    };
+    for start in &recording.starts {
+        let of_start =
+            |arrival: &&ArrivalAtServer| (arrival.server, arrival.started) == (start.server, start.at);
+        let arrivals: Vec<&ArrivalAtServer> = recording.arrivals.iter().filter(of_start).collect();
+        analysis.add_traffic_shares(start, &arrivals, &mut measurement.share);
+        analysis.add_windows(start, &arrivals, &mut measurement);
+    }
+    Ok(measurement)
+}
+
+/// A played day and figures that all its servers share.
+struct Analysis<'a> {
+    day: &'a Day,
+    /// Servers that started.
+    starts: usize,
+    /// Mean work of a request, in microseconds.
+    mean_work: f64,
+}
+
+impl Analysis<'_> {
+    /// Adds a server's requests to the mean traffic by parts of the warm-up time.
+    fn add_traffic_shares(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], shares: &mut [f64]) {
+        let tier = &self.day.tiers[0];
+        let bin = tier.warm_after.0 as f64 / BINS_PER_WARM_UP;
+        let servers = f64::from(tier.servers.iter().sum::<u32>());
+        let even = self.day.load.rate / servers / 1e6;
+        for arrival in arrivals {
+            let index = ((arrival.at - start.at) as f64 / bin) as usize;
+            if let Some(share) = shares.get_mut(index) {
+                *share += 1.0 / (bin * even * self.starts as f64);
+            }
+        }
+    }
+
+    /// Measures the windows that end with each request to a server while it warms up.
+    fn add_windows(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], out: &mut Measurement) {
+        let span = self.day.rules.tip_after.0;
+        let warm_at = start.at + self.day.tiers[0].warm_after.0;
+        let mut overload = None;
+        let mut overload_by_work = None;
+        let mut first = 0;
+        let mut work = 0.0;
+        for (last, arrival) in arrivals.iter().enumerate().take_while(|(_, one)| one.at < warm_at) {
+            work += arrival.work / self.mean_work;
+            while arrivals[first].at + span <= arrival.at {
+                work -= arrivals[first].work / self.mean_work;
+                first += 1;
+            }
+            let budget = self.budget(start, arrival);
+            let window = Window { arrivals: &arrivals[first..=last], work, budget };
+            self.add_window(&window, out, &mut overload, &mut overload_by_work);
+        }
+        out.overloaded.add(overload);
+        out.overloaded_by_work.add(overload_by_work);
+    }
+
+    /// What the settings allow in the window that ends with a request, in requests of mean work.
+    fn budget(&self, start: &ServerStart, arrival: &ArrivalAtServer) -> f64 {
+        let tier = &self.day.tiers[0];
+        let age = (arrival.at - start.at) as f64 / tier.warm_after.0 as f64;
+        let share = tier.cold_from + (1.0 - tier.cold_from) * age;
+        let rules = &self.day.rules;
+        let span = rules.tip_after.0 as f64;
+        rules.overload_factor * share * start.full_capacity * span / self.mean_work
+    }
+
+    fn add_window(
+        &self,
+        window: &Window<'_>,
+        out: &mut Measurement,
+        overload: &mut Option<OverloadedBy>,
+        overload_by_work: &mut Option<OverloadedBy>,
+    ) {
+        let count = window.arrivals.len() as f64;
+        let informed = window.arrivals.iter().filter(|arrival| arrival.informed);
+        let informed_count = informed.clone().count() as f64;
+        let informed_work: f64 = informed.map(|arrival| arrival.work / self.mean_work).sum();
+        let mostly_informed = informed_count > INFORMED_SHARE * count;
+        let mostly_informed_work = informed_work > INFORMED_SHARE * window.work;
+        let root = window.budget.sqrt();
+        let excess = (count - window.budget) / root;
+        out.excess = out.excess.max(excess);
+        if mostly_informed {
+            out.informed_excess = out.informed_excess.max(excess);
+        }
+        if mostly_informed_work {
+            let excess_work = (window.work - window.budget) / root;
+            out.informed_excess_work = out.informed_excess_work.max(excess_work);
+        }
+        let limit = window.budget + CHANCE_ROOTS * root + CHANCE_REQUESTS;
+        if count > limit {
+            overload.get_or_insert(OverloadedBy::new(mostly_informed));
+        }
+        if window.work > limit {
+            overload_by_work.get_or_insert(OverloadedBy::new(mostly_informed_work));
+        }
+    }
+}
