--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,9 @@
-//! `zincstand`: one command for all that the balancer's team does.
+//! `zincstand`: the command line of the balancer's team.
 
 mod model;
 mod scale;
 
+use std::io::ErrorKind;
 use std::process::ExitCode;
 
 use clap::Parser;
@@ -19,22 +20,22 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Command::parse() {
+    let result = match Command::parse() {
         Command::Model(command) => model::run(command),
         Command::Scale(command) => scale::run(command),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            // A reader that has seen enough, such as `head`, is no failure.
-            let closed = |c: &(dyn std::error::Error + 'static)| {
-                c.downcast_ref::<std::io::Error>().is_some_and(|e| e.kind() == std::io::ErrorKind::BrokenPipe)
-            };
-            if e.chain().any(closed) {
-                return ExitCode::SUCCESS;
-            }
-            eprintln!("error: {e:#}");
+        // A reader that has seen enough, such as `head`, is no failure.
+        Err(error) if is_broken_pipe(&error) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("error: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn is_broken_pipe(error: &anyhow::Error) -> bool {
+    let io_errors = error.chain().filter_map(|cause| cause.downcast_ref::<std::io::Error>());
+    io_errors.into_iter().any(|cause| cause.kind() == ErrorKind::BrokenPipe)
+}
--- a/crates/cli/src/model/compare.rs
+++ b/crates/cli/src/model/compare.rs
@@ -1,20 +1,27 @@
-//! `zincstand model compare`.
+//! `zincstand model compare`: the difference of two experiments, day by day.
 
 use std::path::PathBuf;
 
-use anyhow::{Result, anyhow, bail};
+use anyhow::{Result, anyhow};
 use clap::Args;
 use zincstand_fleet_model::experiment::{Comparison, Estimate, Row};
 
-use super::{rows, tables};
+use crate::model::experiment::read_rows_of_policy;
+use crate::model::output::print;
+use crate::model::tables::new_table;
+
+/// Days that moved most, as many as are listed.
+const LISTED_DAYS: usize = 10;
 
 /// Compares two experiments day by day.
 #[derive(Args)]
 pub struct Compare {
     /// The rows to compare with
-    a: PathBuf,
+    #[arg(value_name = "A")]
+    baseline: PathBuf,
     /// The rows to judge
-    b: PathBuf,
+    #[arg(value_name = "B")]
+    candidate: PathBuf,
     /// Policy of the first file
     #[arg(long, default_value = "module")]
     policy_a: String,
@@ -29,55 +36,61 @@
     json: bool,
 }
 
-/// Rows of one policy.
-pub fn of_policy(path: &std::path::Path, policy: &str) -> Result<Vec<Row>> {
-    let all = rows(path)?;
-    let some: Vec<Row> = all.into_iter().filter(|r| r.policy == policy).collect();
-    if some.is_empty() {
-        bail!("{} has no rows of the policy {policy:?}", path.display());
-    }
-    Ok(some)
-}
-
+/// Reads both files, compares them and prints the comparison.
 pub fn run(args: &Compare) -> Result<()> {
-    let (a, b) = (of_policy(&args.a, &args.policy_a)?, of_policy(&args.b, &args.policy_b)?);
-    let value = |r: &Row| if args.counted { r.counted } else { r.g };
-    let c = Comparison::of(&a, &b, value).map_err(|e| anyhow!(e))?;
+    let baseline = read_rows_of_policy(&args.baseline, &args.policy_a)?;
+    let candidate = read_rows_of_policy(&args.candidate, &args.policy_b)?;
+    let value = |row: &Row| if args.counted { row.counted } else { row.g };
+    let comparison = Comparison::of(&baseline, &candidate, value).map_err(|error| anyhow!(error))?;
     if args.json {
-        return super::print(&serde_json::to_string(&c)?);
+        return print(&serde_json::to_string(&comparison)?);
     }
-    super::print(&text(&c))
+    print(&text(&comparison))
 }
 
 /// The comparison as tables.
-pub fn text(c: &Comparison) -> String {
-    let mut t = tables::table(&["kind", "days", "difference", "95% interval"], 1);
-    let mut line = |name: &str, e: &Estimate| {
-        t.add_row([
-            name.to_owned(),
-            e.count.to_string(),
-            format!("{:+.4}", e.mean),
-            format!("{:+.4} to {:+.4}", e.low, e.high),
-        ]);
+pub fn text(comparison: &Comparison) -> String {
+    let unpaired = match comparison.unpaired {
+        0 => String::new(),
+        rows => format!("; {rows} rows have no partner"),
     };
-    for (kind, e) in &c.kinds {
-        line(kind, e);
+    format!(
+        "{}\nbetter on {:.0}% of the days, worse on {:.0}%{unpaired}\n\n{}",
+        differences_table(comparison),
+        comparison.better * 100.0,
+        comparison.worse * 100.0,
+        moved_most_table(comparison)
+    )
+}
+
+fn differences_table(comparison: &Comparison) -> String {
+    let mut table = new_table(&["kind", "days", "difference", "95% interval"], 1);
+    for (kind, estimate) in &comparison.kinds {
+        table.add_row(estimate_cells(kind, estimate));
     }
-    line("all", &c.all);
-    let mut most = tables::table(&["moved most", "seed", "before", "after", "difference"], 1);
-    for p in c.moved_most(10) {
-        most.add_row([
-            format!("{} {}", p.kind, p.size),
-            p.seed.to_string(),
-            format!("{:.3}", p.a),
-            format!("{:.3}", p.b),
-            format!("{:+.3}", p.b - p.a),
+    table.add_row(estimate_cells("all", &comparison.all));
+    table.to_string()
+}
+
+fn estimate_cells(name: &str, estimate: &Estimate) -> [String; 4] {
+    [
+        name.to_owned(),
+        estimate.count.to_string(),
+        format!("{:+.4}", estimate.mean),
+        format!("{:+.4} to {:+.4}", estimate.low, estimate.high),
+    ]
+}
+
+fn moved_most_table(comparison: &Comparison) -> String {
+    let mut table = new_table(&["moved most", "seed", "before", "after", "difference"], 1);
+    for pair in comparison.moved_most(LISTED_DAYS) {
+        table.add_row([
+            format!("{} {}", pair.kind, pair.size),
+            pair.seed.to_string(),
+            format!("{:.3}", pair.a),
+            format!("{:.3}", pair.b),
+            format!("{:+.3}", pair.b - pair.a),
         ]);
     }
-    let left = if c.unpaired > 0 { format!("; {} rows have no partner", c.unpaired) } else { String::new() };
-    format!(
-        "{t}\nbetter on {:.0}% of the days, worse on {:.0}%{left}\n\n{most}",
-        c.better * 100.0,
-        c.worse * 100.0
-    )
+    table.to_string()
 }
--- /dev/null
+++ b/crates/cli/src/model/experiment.rs
@@ -0,0 +1,123 @@
+//! `zincstand model experiment`: plays many days; and the file of rows that it writes.
+
+use std::fs::File;
+use std::io::{BufRead, BufReader, BufWriter, Write};
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
+use std::time::Instant;
+
+use anyhow::{Context, Result, anyhow, bail};
+use clap::Args;
+use zincstand_fleet_model::experiment::{self, Cell, Row};
+use zincstand_fleet_model::kinds::{self, Size};
+
+use crate::model::arguments::{Policies, parse_policies, parse_seeds};
+use crate::model::output::{print, progress_bar};
+use crate::model::tables;
+
+/// Plays many days.
+#[derive(Args)]
+pub struct Experiment {
+    /// Kinds, joined by commas
+    #[arg(long, value_delimiter = ',', default_values = kinds::STANDARD)]
+    kinds: Vec<String>,
+    /// Seeds of each kind: a last one, or a range such as 101-300
+    #[arg(long, default_value = "50", value_parser = parse_seeds)]
+    seeds: RangeInclusive<u64>,
+    /// small, site, vast or huge
+    #[arg(long, default_value = "site")]
+    size: Size,
+    /// Policies joined by commas, or all
+    #[arg(long, default_value = "all", value_parser = parse_policies)]
+    policies: Policies,
+    /// What the rows say was played: a revision, a variation
+    #[arg(long, default_value = "here")]
+    label: String,
+    /// Where the rows go; without it only the table is printed
+    #[arg(long)]
+    out: Option<PathBuf>,
+}
+
+/// Plays the days on all cores, writes their rows and prints a summary.
+pub fn run(args: &Experiment) -> Result<()> {
+    let cells = cells(args)?;
+    // Opened before the days are played: a file that cannot be written must not cost the whole experiment.
+    let output = args.out.as_deref().map(create).transpose()?;
+    let bar = progress_bar(cells.len() as u64);
+    let began = Instant::now();
+    let rows = experiment::run(&args.label, &cells, || bar.inc(1))?;
+    bar.finish_and_clear();
+    if let Some(file) = output {
+        write_rows(file, &rows).context("cannot write the rows")?;
+    }
+    print(&tables::experiment(&rows))?;
+    eprintln!("{} days in {:.1} s", rows.len(), began.elapsed().as_secs_f64());
+    Ok(())
+}
+
+/// Every combination of kind, seed and policy.
+fn cells(args: &Experiment) -> Result<Vec<Cell>> {
+    let mut cells = Vec::new();
+    for kind in &args.kinds {
+        // Drawn once to reject a kind that does not exist.
+        kinds::draw(kind, 0, Size::Small)?;
+        for seed in args.seeds.clone() {
+            for &policy in &args.policies.0 {
+                cells.push(Cell { kind: kind.clone(), seed, size: args.size, policy });
+            }
+        }
+    }
+    Ok(cells)
+}
+
+fn create(path: &Path) -> Result<File> {
+    File::create(path).with_context(|| format!("cannot write {}", path.display()))
+}
+
+fn write_rows(file: File, rows: &[Row]) -> Result<()> {
+    let mut file = BufWriter::new(file);
+    for row in rows {
+        serde_json::to_writer(&mut file, row)?;
+        file.write_all(b"\n")?;
+    }
+    file.flush()?;
+    Ok(())
+}
+
+/// Reads the rows of an experiment's file.
+///
+/// # Errors
+/// A file that cannot be read or has no rows, or a line that is no row, with its number.
+pub fn read_rows(path: &Path) -> Result<Vec<Row>> {
+    let cannot_read = || format!("cannot read {}", path.display());
+    let file = File::open(path).with_context(cannot_read)?;
+    let mut rows = Vec::new();
+    for (index, line) in BufReader::new(file).lines().enumerate() {
+        let line = line.with_context(cannot_read)?;
+        if line.trim().is_empty() {
+            continue;
+        }
+        let number = index + 1;
+        let row = serde_json::from_str(&line).map_err(|error| {
+            anyhow!("{}, line {number}: no row of an experiment: {error}", path.display())
+        })?;
+        rows.push(row);
+    }
+    if rows.is_empty() {
+        bail!("{} has no rows; `zincstand model experiment --out FILE` writes them", path.display());
+    }
+    Ok(rows)
+}
+
+/// Reads the rows of one policy.
+///
+/// # Errors
+/// As [`read_rows`], or a policy without rows.
+pub fn read_rows_of_policy(path: &Path, policy: &str) -> Result<Vec<Row>> {
+    let mut rows = read_rows(path)?;
+    rows.retain(|row| row.policy == policy);
+    if rows.is_empty() {
+        bail!("{} has no rows of the policy {policy:?}", path.display());
+    }
+    Ok(rows)
+}
--- a/crates/cli/src/model/explain.rs
+++ b/crates/cli/src/model/explain.rs
@@ -1,4 +1,4 @@
-//! `zincstand model explain`.
+//! `zincstand model explain`: where a day lost its worth.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,15 @@
 use zincstand_fleet_model::policy::Kind;
 use zincstand_fleet_model::{Played, play};
 
-use super::{Source, tables};
+use crate::model::output::print;
+use crate::model::source::DaySource;
+use crate::model::tables::{self, PolicyResult, new_table};
 
 /// Tells where a day's worth went.
 #[derive(Args)]
 pub struct Explain {
     #[command(flatten)]
-    source: Source,
+    source: DaySource,
     /// Who decides
     #[arg(long, default_value = "module")]
     policy: Kind,
@@ -23,61 +25,100 @@
     lines: usize,
 }
 
+/// Plays the day and prints its result with tables of its losses.
 pub fn run(args: &Explain) -> Result<()> {
     let day = args.source.day()?;
     let played = play(&day, args.policy, true)?;
-    let head = tables::results(&day, &[(args.policy.name(), played.result.clone())]);
-    super::print(&format!("{head}\n{}", text(&played, args.lines)))
+    let result = PolicyResult { policy: args.policy.name(), result: played.result.clone() };
+    let results = tables::results(&day, &[result]);
+    print(&format!("{results}\n{}", losses(&played, args.lines)))
 }
 
-/// Sums of losses by some key, largest first.
-pub fn sums<K: Ord>(losses: &[Loss], key: impl Fn(&Loss) -> K) -> Vec<(K, f64)> {
-    let mut sums: BTreeMap<K, f64> = BTreeMap::new();
+/// The worth that was lost under one key.
+pub struct LossSum<K> {
+    /// What the losses have in common.
+    pub key: K,
+    /// Their sum, as a fraction of all worth asked for.
+    pub worth: f64,
+}
+
+/// Sums losses by a key, the largest sum first.
+pub fn sum_by<'a, K: Ord>(
+    losses: impl IntoIterator<Item = &'a Loss>,
+    key: impl Fn(&Loss) -> K,
+) -> Vec<LossSum<K>> {
+    let mut worth_by_key: BTreeMap<K, f64> = BTreeMap::new();
     for loss in losses {
-        *sums.entry(key(loss)).or_default() += loss.worth;
+        *worth_by_key.entry(key(loss)).or_default() += loss.worth;
     }
-    let mut sums: Vec<(K, f64)> = sums.into_iter().collect();
-    sums.sort_by(|a, b| b.1.total_cmp(&a.1));
+    let mut sums: Vec<LossSum<K>> =
+        worth_by_key.into_iter().map(|(key, worth)| LossSum { key, worth }).collect();
+    sums.sort_by(|a, b| b.worth.total_cmp(&a.worth));
     sums
 }
 
-fn text(played: &Played, lines: usize) -> String {
-    let losses = &played.detail.losses;
-    let percent = |x: f64| format!("{:.2}%", x * 100.0);
-    let mut causes = tables::table(&["cause", "worth lost"], 1);
-    for (cause, worth) in sums(losses, |l| l.cause) {
-        causes.add_row([cause.name().to_owned(), percent(worth)]);
+fn losses(played: &Played, lines: usize) -> String {
+    format!(
+        "Where the worth went, of all that was asked for:\n{}\n\n{}\n\nThe worst seconds:\n{}",
+        causes_table(played),
+        servers_table(played, lines),
+        seconds_table(played, lines)
+    )
+}
+
+fn causes_table(played: &Played) -> String {
+    let mut table = new_table(&["cause", "worth lost"], 1);
+    for sum in sum_by(&played.detail.losses, |loss| loss.cause) {
+        table.add_row([sum.key.name().to_owned(), percent(sum.worth)]);
     }
-    let mut servers = tables::table(&["server", "mostly by", "worth lost"], 2);
-    let named: Vec<Loss> = losses.iter().filter(|l| l.server.is_some()).cloned().collect();
-    for (server, worth) in sums(&named, |l| l.server).into_iter().take(lines) {
-        let own: Vec<Loss> = named.iter().filter(|l| l.server == server).cloned().collect();
-        let most = sums(&own, |l| l.cause).first().map_or(Cause::Work, |c| c.0);
-        let tier = server
-            .and_then(|s| played.detail.servers.last()?.get(s as usize))
-            .map_or(String::new(), |s| format!(" (tier {})", s.tier));
-        let name = format!("{}{tier}", server.unwrap_or_default());
-        servers.add_row([name, most.name().to_owned(), percent(worth)]);
+    table.to_string()
+}
+
+fn servers_table(played: &Played, lines: usize) -> String {
+    let losses = &played.detail.losses;
+    let mut table = new_table(&["server", "mostly by", "worth lost"], 2);
+    let at_servers = losses.iter().filter(|loss| loss.server.is_some());
+    for sum in sum_by(at_servers, |loss| loss.server).into_iter().take(lines) {
+        let cause = main_cause(losses.iter().filter(|loss| loss.server == sum.key));
+        let tier = sum
+            .key
+            .and_then(|server| played.detail.servers.last()?.get(server as usize))
+            .map_or(String::new(), |sample| format!(" (tier {})", sample.tier));
+        let name = format!("{}{tier}", sum.key.unwrap_or_default());
+        table.add_row([name, cause.name().to_owned(), percent(sum.worth)]);
     }
-    let mut seconds =
-        tables::table(&["second", "mostly by", "worth lost", "served", "late", "refused", "failed"], 2);
-    let mut worst: Vec<(usize, f64)> = sums(losses, |l| l.second).into_iter().take(lines).collect();
-    worst.sort_unstable_by_key(|s| s.0);
-    for (second, worth) in worst {
-        let own: Vec<Loss> = losses.iter().filter(|l| l.second == second).cloned().collect();
-        let most = sums(&own, |l| l.cause).first().map_or(Cause::Work, |c| c.0);
-        let s = played.detail.seconds.get(second).copied().unwrap_or_default();
-        seconds.add_row([
-            second.to_string(),
-            most.name().to_owned(),
-            percent(worth),
-            s.served.to_string(),
-            s.late.to_string(),
-            s.refused.to_string(),
-            s.failed.to_string(),
+    table.to_string()
+}
+
+/// The seconds that lost most, in the order of time.
+fn seconds_table(played: &Played, lines: usize) -> String {
+    let losses = &played.detail.losses;
+    let header = ["second", "mostly by", "worth lost", "served", "late", "refused", "failed"];
+    let mut table = new_table(&header, 2);
+    let mut worst_seconds = sum_by(losses, |loss| loss.second);
+    worst_seconds.truncate(lines);
+    worst_seconds.sort_unstable_by_key(|sum| sum.key);
+    for sum in worst_seconds {
+        let cause = main_cause(losses.iter().filter(|loss| loss.second == sum.key));
+        let ends = played.detail.seconds.get(sum.key).copied().unwrap_or_default();
+        table.add_row([
+            sum.key.to_string(),
+            cause.name().to_owned(),
+            percent(sum.worth),
+            ends.served.to_string(),
+            ends.late.to_string(),
+            ends.refused.to_string(),
+            ends.failed.to_string(),
         ]);
     }
-    format!(
-        "Where the worth went, of all that was asked for:\n{causes}\n\n{servers}\n\nThe worst seconds:\n{seconds}"
-    )
+    table.to_string()
+}
+
+/// The cause of most of the losses.
+fn main_cause<'a>(losses: impl IntoIterator<Item = &'a Loss>) -> Cause {
+    sum_by(losses, |loss| loss.cause).first().map_or(Cause::Work, |sum| sum.key)
+}
+
+fn percent(fraction: f64) -> String {
+    format!("{:.2}%", fraction * 100.0)
 }
--- a/crates/cli/src/model/ramp.rs
+++ b/crates/cli/src/model/ramp.rs
@@ -1,4 +1,4 @@
-//! `zincstand model ramp`.
+//! `zincstand model ramp`: what servers that are warming up get from all balancers together.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,11 @@
 use indicatif::ProgressBar;
 use zincstand_fleet_model::ramp::{self, Line, Rules, Shape};
 
-use super::{print, tables};
+use crate::model::output::print;
+use crate::model::tables::new_table;
+
+/// Tenths of the warm-up at which the three columns of traffic begin.
+const SHOWN_TENTHS: [usize; 3] = [0, 4, 8];
 
 /// Plays days on which servers start cold, and tells what they get from all balancers together.
 #[derive(Args)]
@@ -29,11 +33,11 @@
     out: Option<PathBuf>,
 }
 
-/// Does it.
+/// Plays the days, writes their lines and prints them.
 pub fn run(args: &Ramp) -> Result<()> {
     let rules = Rules { overload_factor: args.overload_factor, cold_from: args.cold_from };
-    let count = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
-    let bar = ProgressBar::new(count);
+    let days = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
+    let bar = ProgressBar::new(days);
     let mut lines = Vec::new();
     for shape in Shape::ALL {
         for &balancers in &args.balancers {
@@ -45,11 +49,11 @@
         let text = serde_json::to_string_pretty(&lines)?;
         std::fs::write(path, text + "\n").with_context(|| format!("cannot write {}", path.display()))?;
     }
-    print(&table(&lines))
+    print(&report(&lines))
 }
 
-fn table(lines: &[Line]) -> String {
-    let head = [
+fn report(lines: &[Line]) -> String {
+    let header = [
         "shape",
         "balancers",
         "starts",
@@ -71,18 +75,30 @@
         "after s",
         "G",
     ];
-    let mut t = tables::table(&head, 1);
-    for l in lines {
-        let part = |from: usize| (l.share[from] + l.share[from + 1]) / 2.0;
-        let mut cells = vec![l.shape.name().to_owned(), l.balancers.to_string(), l.starts.to_string()];
-        cells.extend([l.excess, l.excess_told, l.excess_work].iter().flatten().map(|x| format!("{x:.2}")));
-        cells.extend([l.fallen, l.fallen_work].map(|(all, told)| format!("{all}, {told}")));
-        cells.extend([0, 4, 8].map(|at| format!("{:.2}", part(at))));
-        cells.extend([format!("{:.1}", l.warm.0), format!("{:.1}", l.warm.1), format!("{:.3}", l.g)]);
-        t.add_row(cells);
+    let mut table = new_table(&header, 1);
+    for line in lines {
+        table.add_row(cells(line));
     }
     format!(
-        "{t}\n(excess: requests, or work in means, beyond the budget of N in the worst window of a day's most-hit cold \
-         server, in roots of N; warm: in warm-ups, when it gets nine tenths of what it gets once warm)"
+        "{table}\n(excess: requests, or work in means, beyond the budget of N in the worst window of a day's most-hit \
+         cold server, in roots of N; warm: in warm-ups, when it gets nine tenths of what it gets once warm)"
     )
 }
+
+fn cells(line: &Line) -> Vec<String> {
+    let mut cells = vec![line.shape.name().to_owned(), line.balancers.to_string(), line.starts.to_string()];
+    for excess in [line.excess, line.excess_told, line.excess_work].as_flattened() {
+        cells.push(format!("{excess:.2}"));
+    }
+    for (all, notified) in [line.fallen, line.fallen_work] {
+        cells.push(format!("{all}, {notified}"));
+    }
+    for tenth in SHOWN_TENTHS {
+        let mean_share = f64::midpoint(line.share[tenth], line.share[tenth + 1]);
+        cells.push(format!("{mean_share:.2}"));
+    }
+    cells.push(format!("{:.1}", line.warm.0));
+    cells.push(format!("{:.1}", line.warm.1));
+    cells.push(format!("{:.3}", line.g));
+    cells
+}
--- a/crates/cli/src/model/report.rs
+++ b/crates/cli/src/model/report.rs
@@ -1,23 +1,32 @@
-//! `zincstand model report`.
+//! `zincstand model report`: one HTML page with plots of a day and of experiments.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use anyhow::{Context, Result, anyhow};
 use clap::Args;
 use zincstand_fleet_model::experiment::{Comparison, Row, scores};
-use zincstand_fleet_model::play;
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::{Played, play};
 
-use super::compare::of_policy;
-use super::{Source, compare, explain, plots, rows, tables};
+use crate::model::experiment::{read_rows, read_rows_of_policy};
+use crate::model::output::print;
+use crate::model::plots::{self, Group};
+use crate::model::source::DaySource;
+use crate::model::tables::{self, PolicyResult};
+use crate::model::{compare, explain};
+
+/// The policy whose rows are drawn and compared.
+const REPORTED_POLICY: &str = "module";
+/// Scores and results lie between these.
+const SCORE_RANGE: std::ops::Range<f64> = 0.0..1.0;
 
 /// Writes one HTML page.
 #[derive(Args)]
 pub struct Report {
     #[command(flatten)]
-    source: Source,
+    source: DaySource,
     /// Who decides on the day
     #[arg(long, default_value = "module")]
     policy: Kind,
@@ -32,77 +41,99 @@
     out: PathBuf,
 }
 
+/// Style sheet of the page: it has to be readable without any other file.
 const STYLE: &str = "body{font:15px/1.45 sans-serif;max-width:940px;margin:2em auto;padding:0 1em;color:#222}\
 pre{font:13px/1.35 monospace;overflow-x:auto;background:#f6f6f4;padding:.8em}svg{max-width:100%;height:auto}\
 h1{font-size:1.5em}h2{font-size:1.15em;margin-top:2em}";
 
+/// Plays the day, draws it and the experiments, and writes the page.
 pub fn run(args: &Report) -> Result<()> {
-    let mut page = String::new();
     let day = args.source.day()?;
     let played = play(&day, args.policy, true)?;
-    let head = tables::results(&day, &[(args.policy.name(), played.result.clone())]);
-    section(&mut page, "The day", &head, &[plots::seconds(&played.detail.seconds)?]);
-    let samples = &played.detail.servers;
-    let drawn = [
-        plots::servers(samples)?,
-        plots::latencies(samples)?,
-        plots::windows(samples)?,
-        plots::breakers(samples)?,
-    ];
-    section(&mut page, "Servers, windows, breakers", "", &drawn);
-    let lost = explain::sums(&played.detail.losses, |l| l.cause);
-    let lost: Vec<String> =
-        lost.iter().map(|(cause, worth)| format!("{:<22}{:.2}%", cause.name(), worth * 100.0)).collect();
-    section(&mut page, "Where the worth went", &lost.join("\n"), &[]);
+    let title = escape(&format!("{}, {}", day.name, args.policy.name()));
+    let result = PolicyResult { policy: args.policy.name(), result: played.result.clone() };
+    let mut sections = day_sections(&played, &tables::results(&day, &[result]))?;
     if let Some(path) = &args.experiment {
-        let all = rows(path)?;
-        section(&mut page, "The experiment", &tables::experiment(&all), &spreads(&all)?);
-        if let Some(before) = &args.against {
-            let (a, b) = (of_policy(before, "module")?, of_policy(path, "module")?);
-            let c = Comparison::of(&a, &b, |r| r.g).map_err(|e| anyhow!(e))?;
-            section(&mut page, "Day by day", &compare::text(&c), &[plots::differences(&c)?]);
+        sections.push_str(&experiment_section(path)?);
+        if let Some(baseline) = &args.against {
+            sections.push_str(&comparison_section(baseline, path)?);
         }
     }
-    let title = escape(&format!("{}, {}", day.name, args.policy.name()));
     let page = format!(
         "<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
-         <style>{STYLE}</style>\n<h1>{title}</h1>\n{page}</html>\n"
+         <style>{STYLE}</style>\n<h1>{title}</h1>\n{sections}</html>\n"
     );
     std::fs::write(&args.out, page).with_context(|| format!("cannot write {}", args.out.display()))?;
-    super::print(&format!("wrote {}", args.out.display()))
+    print(&format!("wrote {}", args.out.display()))
 }
 
-/// Scores by kind where floor and top are known, results otherwise.
-fn spreads(all: &[Row]) -> Result<Vec<String>> {
-    let group = |values: &mut dyn Iterator<Item = (&str, f64)>| {
-        let mut groups: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-        for (kind, value) in values {
-            groups.entry(kind.to_owned()).or_default().push(value);
-        }
-        groups.into_iter().collect::<Vec<_>>()
-    };
-    let scores = scores(all);
+fn day_sections(played: &Played, results: &str) -> Result<String> {
+    let samples = &played.detail.servers;
+    let server_plots = [
+        plots::servers(samples)?,
+        plots::latencies(samples)?,
+        plots::windows(samples)?,
+        plots::breakers(samples)?,
+    ];
+    let mut losses = Vec::new();
+    for sum in explain::sum_by(&played.detail.losses, |loss| loss.cause) {
+        losses.push(format!("{:<22}{:.2}%", sum.key.name(), sum.worth * 100.0));
+    }
+    let mut sections = section("The day", results, &[plots::seconds(&played.detail.seconds)?]);
+    sections.push_str(&section("Servers, windows, breakers", "", &server_plots));
+    sections.push_str(&section("Where the worth went", &losses.join("\n"), &[]));
+    Ok(sections)
+}
+
+fn experiment_section(path: &Path) -> Result<String> {
+    let rows = read_rows(path)?;
+    Ok(section("The experiment", &tables::experiment(&rows), &score_plots(&rows)?))
+}
+
+fn comparison_section(baseline: &Path, candidate: &Path) -> Result<String> {
+    let baseline = read_rows_of_policy(baseline, REPORTED_POLICY)?;
+    let candidate = read_rows_of_policy(candidate, REPORTED_POLICY)?;
+    let comparison = Comparison::of(&baseline, &candidate, |row| row.g).map_err(|error| anyhow!(error))?;
+    let plot = plots::differences(&comparison)?;
+    Ok(section("Day by day", &compare::text(&comparison), &[plot]))
+}
+
+/// Results by kind, after the scores by kind where floor and top are known.
+fn score_plots(rows: &[Row]) -> Result<Vec<String>> {
+    let scores = scores(rows);
+    let scores = groups_by_kind(scores.iter().map(|score| (score.0, score.2)));
+    let reported = rows.iter().filter(|row| row.policy == REPORTED_POLICY);
+    let results = groups_by_kind(reported.map(|row| (row.kind.as_str(), row.g)));
     let mut drawn = Vec::new();
     if !scores.is_empty() {
-        let groups = group(&mut scores.iter().map(|(k, _, s)| (*k, *s)));
-        drawn.push(plots::spread("The module's place between floor and top", &groups, (0.0, 1.0))?);
+        drawn.push(plots::spread("The module's place between floor and top", &scores, SCORE_RANGE)?);
     }
-    let mut module = all.iter().filter(|r| r.policy == "module").map(|r| (r.kind.as_str(), r.g));
-    let groups = group(&mut module);
-    if !groups.is_empty() {
-        drawn.push(plots::spread("The module's result G", &groups, (0.0, 1.0))?);
+    if !results.is_empty() {
+        drawn.push(plots::spread("The module's result G", &results, SCORE_RANGE)?);
     }
     Ok(drawn)
 }
 
-fn section(page: &mut String, title: &str, text: &str, plots: &[String]) {
-    let _ = writeln!(page, "<h2>{}</h2>", escape(title));
+fn groups_by_kind<'a>(values: impl Iterator<Item = (&'a str, f64)>) -> Vec<Group> {
+    let mut groups: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+    for (kind, value) in values {
+        groups.entry(kind).or_default().push(value);
+    }
+    let group = |(kind, values): (&str, Vec<f64>)| Group { name: kind.to_owned(), values };
+    groups.into_iter().map(group).collect()
+}
+
+fn section(title: &str, text: &str, plots: &[String]) -> String {
+    let mut section = String::new();
+    // Writing to a string cannot fail.
+    let _ = writeln!(section, "<h2>{}</h2>", escape(title));
     if !text.is_empty() {
-        let _ = writeln!(page, "<pre>{}</pre>", escape(text));
+        let _ = writeln!(section, "<pre>{}</pre>", escape(text));
     }
     for plot in plots {
-        let _ = writeln!(page, "<p>{plot}</p>");
+        let _ = writeln!(section, "<p>{plot}</p>");
     }
+    section
 }
 
 fn escape(text: &str) -> String {
--- /dev/null
+++ b/crates/cli/src/model/source.rs
@@ -0,0 +1,70 @@
+//! Where the day of a command comes from: a file, or a draw from a kind and a seed.
+
+use std::io::Read;
+use std::path::{Path, PathBuf};
+
+use anyhow::{Context, Result};
+use clap::Args;
+use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::kinds::{self, Size};
+
+/// A file argument that stands for standard input.
+const STANDARD_INPUT: &str = "-";
+
+/// A day drawn from a kind and a seed.
+#[derive(Args, Clone)]
+pub struct DrawnDay {
+    /// Parts joined by +, as `kinds` lists them
+    #[arg(long, default_value = "busy")]
+    kind: String,
+    /// Decides all that the kind leaves open
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// small, site, vast or huge
+    #[arg(long, default_value = "site")]
+    size: Size,
+}
+
+impl DrawnDay {
+    /// Draws the day.
+    ///
+    /// # Errors
+    /// A kind that does not exist; the message lists the parts of kinds.
+    pub fn draw(&self) -> Result<Day> {
+        Ok(kinds::draw(&self.kind, self.seed, self.size)?)
+    }
+}
+
+/// A day from a file, or a drawn one.
+#[derive(Args, Clone)]
+pub struct DaySource {
+    /// A day's file, - for standard input; without it the day is drawn
+    file: Option<PathBuf>,
+    #[command(flatten)]
+    drawn: DrawnDay,
+}
+
+impl DaySource {
+    /// Reads or draws the day.
+    ///
+    /// # Errors
+    /// A file that cannot be read or is not a valid day, with its name and line; or a kind that does not exist.
+    pub fn day(&self) -> Result<Day> {
+        match &self.file {
+            Some(path) => {
+                let text = read_text(path)?;
+                Day::parse(&text).with_context(|| path.display().to_string())
+            }
+            None => self.drawn.draw(),
+        }
+    }
+}
+
+fn read_text(path: &Path) -> Result<String> {
+    if path.as_os_str() != STANDARD_INPUT {
+        return std::fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()));
+    }
+    let mut text = String::new();
+    std::io::stdin().read_to_string(&mut text).context("cannot read standard input")?;
+    Ok(text)
+}
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -16,7 +16,7 @@
 use zincstand_testbed::machine::{Machine, Needs, most_descriptors};
 use zincstand_testbed::report::{Report, Slope};
 
-use crate::model::table;
+use crate::model::tables::new_table;
 
 /// Measures slopes.
 #[derive(Args)]
@@ -174,7 +174,7 @@
     eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
     // First: from the runtime's on, Ctrl-C is its to heed, and the model knows nothing of it.
     if whole {
-        crate::model::at_size::both(options.seed, options.quick, options.out.as_deref())?;
+        crate::model::fleet_size::run(options.seed, options.quick, options.out.as_deref())?;
     }
     let began = Instant::now();
     let runtime = tokio::runtime::Runtime::new().context("no threads for the stand-ins")?;
@@ -205,12 +205,12 @@
         let text = serde_json::to_string_pretty(&report)?;
         std::fs::write(out, text + "\n").with_context(|| format!("cannot write {}", out.display()))?;
     }
-    crate::model::print(&screen(&report))
+    crate::model::output::print(&screen(&report))
 }
 
 /// The report as a table.
 fn screen(report: &Report) -> String {
-    let mut t = table(&["slope", "y", "measured at x", "per x", "at 0", "r2", "bend: low, high"], 3);
+    let mut t = new_table(&["slope", "y", "measured at x", "per x", "at 0", "r2", "bend: low, high"], 3);
     for slope in &report.slopes {
         let points: Vec<String> = slope.points.iter().map(|p| format!("{}: {}", p.x, figure(p.y))).collect();
         let mut row = vec![slope.name.clone(), slope.y.clone(), points.join("  ")];
