--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -95,7 +95,7 @@
     query: ListQuery,
 ) -> Result<ListResponse, DiscoveryError> {
     let result = timeout(CALL_TIMEOUT, call_without_timeout(address, kept, query)).await;
-    result.unwrap_or(Err(DiscoveryError::TimedOut(CALL_TIMEOUT)))
+    result.unwrap_or(Err(DiscoveryError::Timeout(CALL_TIMEOUT)))
 }
 
 async fn call_without_timeout(
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -23,8 +23,6 @@
     Body(#[source] Box<dyn Error + Send + Sync>),
     #[error("the response body is no endpoint list: {0}")]
     Format(#[source] serde_json::Error),
-    #[error("no complete response within {0:?}; the call goes on beside the next one")]
-    Late(Duration),
-    #[error("no complete response within {0:?}; the call is given up")]
-    TimedOut(Duration),
+    #[error("no complete response within {0:?}")]
+    Timeout(Duration),
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -26,8 +26,7 @@
 
 pub use list::EndpointList;
 
-/// How often the first call to a new address is retried before the failure is reported: until the new agent is up,
-/// the list held from the old one is as good as before.
+/// How often the first call to a new address is retried before a failure is reported to the policy.
 const RETRIES_AT_NEW_ADDRESS: u32 = 4;
 
 /// The client of discovery.
--- a/crates/proxy/src/discovery/poll_timing.rs
+++ b/crates/proxy/src/discovery/poll_timing.rs
@@ -5,10 +5,11 @@
 
 /// A span as a part of the drain grace period, within bounds.
 ///
-/// The policy counts what the discovery agent on the same machine knows as received by the balancer, so all spans
-/// between two calls are parts of the grace period within which the balancer has to heed a drain. The bounds keep the
-/// cost of short spans low; they also keep a call, a backoff and the next call together under the 6 s after which a
-/// change counts as received once discovery has it and can be reached, whatever fails.
+/// What the discovery agent on the same machine has counts as received by the balancer, whether the balancer polls it
+/// or not. All spans between two calls are therefore parts of the grace period within which a drain has to be heeded.
+/// The lower bounds limit the number of calls, since each costs something. The upper bounds keep a call, a backoff and
+/// the next call together under 6 s: whatever fails, a change counts as received 6 s after discovery had it and could
+/// be reached.
 struct SpanRule {
     part_of_grace: f64,
     bounds: RangeInclusive<Duration>,
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -150,7 +150,7 @@
     let mut call: ListCall = Box::pin(client::call(discovery.address.get(), connection.take(), query));
     match timeout(time_limit, &mut call).await {
         Ok(result) => result.map_err(|error| CallFailure { error, unfinished: None }),
-        Err(_) => Err(CallFailure { error: DiscoveryError::Late(time_limit), unfinished: Some(call) }),
+        Err(_) => Err(CallFailure { error: DiscoveryError::Timeout(time_limit), unfinished: Some(call) }),
     }
 }
 
--- a/crates/proxy/src/dispatch/dispatcher.rs
+++ b/crates/proxy/src/dispatch/dispatcher.rs
@@ -145,7 +145,7 @@
         self.submit_event(Event::BodyComplete { request });
     }
 
-    /// The client has disconnected, or has its response already and nothing is to be done.
+    /// The client does not wait any longer. Without effect if the request has its final response.
     pub(super) fn client_disconnected(self: &Rc<Self>, request: RequestId) {
         let had_no_response = self.requests.borrow_mut().take_responder(request).is_some();
         if !had_no_response {
--- a/crates/proxy/src/dispatch/saved_state.rs
+++ b/crates/proxy/src/dispatch/saved_state.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::dispatch::transport::Transport;
 
-/// Saved state older than this is not restored: the fleet has changed too much since, and the policy learns anew.
+/// Saved state older than this is not restored; the policy learns anew.
 pub(super) const MAX_SAVED_AGE: Micros = 5_000_000;
 
 impl<T: Transport> Dispatcher<T> {
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -86,9 +86,7 @@
     }
 
     fn health_check(&self, target: Target, on_result: impl FnOnce(HealthCheckResult) + 'static) {
-        self.upstreams.health_check(target, move |latency, outcome, load| {
-            on_result(HealthCheckResult { outcome, latency, load });
-        });
+        self.upstreams.health_check(target, on_result);
     }
 
     fn close_idle(&self, server: ServerId) {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -17,10 +17,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 use zincstand_policy as policy;
-use zincstand_policy::{LoadReport, Micros, Outcome, ServerId};
+use zincstand_policy::{Micros, Outcome, ServerId};
 
 use crate::discovery::endpoint::Target;
-use crate::dispatch::AttemptCompletion;
+use crate::dispatch::{AttemptCompletion, HealthCheckResult};
 use crate::upstream::attempt::{AttemptProgress, exchange};
 use crate::upstream::pool::ConnectionPool;
 
@@ -77,19 +77,19 @@
         Attempt::new(task.abort_handle(), progress)
     }
 
-    /// Checks an upstream's health; `report` is called with how long it took, how it ended and the load report.
-    pub fn health_check(
-        &self,
-        target: Target,
-        report: impl FnOnce(Duration, Outcome, Option<LoadReport>) + 'static,
-    ) {
+    /// Checks an upstream's health and passes the result to `on_result`.
+    pub fn health_check(&self, target: Target, on_result: impl FnOnce(HealthCheckResult) + 'static) {
         let pool = self.pool.clone();
         spawn_local(async move {
             let progress = AttemptProgress::new(&Rc::new(UpstreamRequest::health_check()));
             let start = Instant::now();
             let result = timeout(HEALTH_CHECK_TIMEOUT, exchange(&pool, target, None, &progress)).await;
             let result = result.unwrap_or_else(|_| Outcome::TimedOut.into());
-            report(start.elapsed(), result.outcome, result.load_report);
+            on_result(HealthCheckResult {
+                outcome: result.outcome,
+                latency: start.elapsed(),
+                load: result.load_report,
+            });
             if let Some(connection) = result.connection {
                 pool.put_when_ready(target.server, connection).await;
             }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -9,6 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
+use zincstand_policy::LoadReport;
 
 use super::*;
 use crate::downstream::framer::{ClientStream, ConnectionProgress};
