--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -9,7 +9,8 @@
 
 use crate::discovery::endpoint::Target;
 use crate::upstream::connection::UpstreamConnection;
-use crate::upstream::pool::{ConnectionLease, ConnectionOrigin, ConnectionPool, PooledConnection};
+use crate::upstream::connection_lease::ConnectionLease;
+use crate::upstream::pool::{ConnectionOrigin, ConnectionPool, PooledConnection};
 use crate::upstream::request::UpstreamRequest;
 use crate::upstream::response::{ExchangeResult, read_response};
 
@@ -120,7 +121,7 @@
 /// Sends a request on one connection and reads its response. A pooled connection that turns out to be closed before
 /// anything was written on it is replaced by the next one; nothing is ever written twice.
 ///
-/// `time_limit` is what the upstream is told of the time left, less what waiting for a connection has taken.
+/// The time left in the forwarded request is `time_limit`, less the time that getting a connection has taken.
 pub async fn exchange(
     pool: &Rc<ConnectionPool>,
     target: Target,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -4,6 +4,7 @@
 pub mod body_prefix;
 pub mod client_connection;
 pub mod connection;
+mod connection_lease;
 pub mod pool;
 mod request;
 pub mod request_body_stream;
@@ -54,7 +55,8 @@
         self.pool.clone().close_expired()
     }
 
-    /// Starts an attempt, and reports its end to `completion`. The upstream is told that `time_limit` is left.
+    /// Starts an attempt, and reports its end to `completion`. The forwarded request says
+    /// how much of `time_limit` is left.
     pub fn send<T: Transport<Response = UpstreamResponse>>(
         &self,
         target: Target,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -9,7 +9,6 @@
 
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout};
 use zincstand_policy as policy;
 use zincstand_policy::{Micros, Outcome, ServerId};
@@ -252,34 +251,6 @@
     }
 }
 
-/// A connection whose response is still being read.
-pub struct ConnectionLease {
-    pool: Rc<ConnectionPool>,
-    server: ServerId,
-    connection: UpstreamConnection,
-}
-
-impl ConnectionLease {
-    /// A lease on a connection of this pool to this upstream.
-    pub fn new(
-        pool: Rc<ConnectionPool>,
-        server: ServerId,
-        connection: UpstreamConnection,
-    ) -> ConnectionLease {
-        ConnectionLease { pool, server, connection }
-    }
-
-    /// Ends the lease without putting the connection back.
-    pub fn into_connection(self) -> UpstreamConnection {
-        self.connection
-    }
-
-    /// Puts the connection back: the response was read to its end.
-    pub fn give_back(self) {
-        spawn_local(async move { self.pool.put_when_ready(self.server, self.connection).await });
-    }
-}
-
 /// A duration of the settings, where 0 means that they name none.
 fn duration_or(micros: Micros, default: Duration) -> Duration {
     if micros == 0 { default } else { Duration::from_micros(micros) }
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -12,7 +12,7 @@
 use crate::upstream::request_body_stream::{OutgoingBody, RequestBodyStream};
 use crate::upstream::stream::BodyEnd;
 
-/// Tells the upstream how many milliseconds are left of the request's time.
+/// The time left for the request, in milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
 
 /// A request as it is forwarded to an upstream.
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -8,7 +8,7 @@
 
 use crate::upstream::body_prefix::{BodyPrefix, MAX_BUFFERED_BODY, read_response_prefix};
 use crate::upstream::connection::UpstreamConnection;
-use crate::upstream::pool::ConnectionLease;
+use crate::upstream::connection_lease::ConnectionLease;
 use crate::upstream::streamed_body::StreamedBody;
 
 /// Set to `1` by an upstream that rejects a request without having run it.
--- a/crates/proxy/src/upstream/streamed_body.rs
+++ b/crates/proxy/src/upstream/streamed_body.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, Sleep, sleep};
 
 use crate::upstream::body_prefix::MAX_STREAMED_BODY;
-use crate::upstream::pool::ConnectionLease;
+use crate::upstream::connection_lease::ConnectionLease;
 
 /// A response of which nothing comes for this long, while the client waits for more, is broken off.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -95,7 +95,7 @@
     let mut client = balancer.connect();
     let framing = "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\nTrailer: X-End\r\n";
     client.write_all(head("pull", "r-1", framing).as_bytes()).expect("it reads");
-    assert!(read_head(&mut client).starts_with("http/1.1 100 "), "nothing tells it to go on");
+    assert!(read_head(&mut client).starts_with("http/1.1 100 "), "no interim response to Expect");
     let mut writer = client.try_clone().expect("a descriptor");
     let sent = body.clone();
     let writing = std::thread::spawn(move || {
--- a/crates/proxy/tests/scale.rs
+++ b/crates/proxy/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What a call and a change cost, as counts, measured by the rig around the real program.
+//! What a request and a change of the endpoint list cost, as counts, with the testbed around the real program.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle, Traffic};
 use zincstand_testbed::upstreams::Upstreams;
 
-/// Nothing takes this long.
+/// Longer than anything here takes, however busy the machine is.
 const LONG: Duration = Duration::from_secs(30);
 
 async fn start(discovery: &Discovery, entries: Vec<Entry>) -> Balancer {
@@ -23,65 +23,67 @@
     Balancer::start(Path::new(env!("CARGO_BIN_EXE_zincstand-proxy")), &settings).await.expect("it starts")
 }
 
-async fn until(what: &str, mut is: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let late = Instant::now() + LONG;
-    while !is() {
+    while !holds() {
         assert!(Instant::now() < late, "{what}: not within {LONG:?}");
         tokio::task::yield_now().await;
     }
 }
 
-/// What a change of so many entries makes pass, until the balancer watches again.
+/// What passes between discovery and a balancer when these entries change, until it has applied them.
 async fn traffic(discovery: &Discovery, changed: Vec<Entry>) -> Traffic {
-    until("it watches", || discovery.counters().expect("counts").waiting_watches > 0).await;
+    wait_until("it watches", || discovery.counters().expect("counts").waiting_watches > 0).await;
     let before = discovery.counters().expect("counts").total;
     let version = discovery.change(changed).expect("a version").version;
-    let taken_over =
+    let has_applied =
         || discovery.take_acknowledgements().expect("watches").iter().any(|seen| seen.version == version);
-    until("it takes the version over", taken_over).await;
+    wait_until("it applies the version", has_applied).await;
     discovery.counters().expect("counts").total.since(&before)
 }
 
 #[tokio::test]
-async fn a_call_reaches_one_upstream_over_a_kept_connection_however_many_are_known() {
+async fn a_request_reaches_one_upstream_over_a_reused_connection_however_many_are_known() {
     for known in [10, 200, 1_000] {
-        let (upstreams, discovery) =
-            (Upstreams::start(known).expect("upstreams"), Discovery::start().expect("discovery"));
+        let upstreams = Upstreams::start(known).expect("upstreams");
+        let discovery = Discovery::start().expect("discovery");
         let balancer = start(&discovery, upstreams.entries()).await;
         let mut callers = OpenConnections::connect(balancer.address, 1).expect("a connection");
         for _ in 0..20 {
             callers.send().expect("a call");
             assert_eq!(callers.receive(LONG).expect("an answer"), [200]);
         }
-        let calls = upstreams.requests();
-        assert_eq!(calls.iter().sum::<u64>(), 20, "{known} known");
+        let requests = upstreams.requests();
+        assert_eq!(requests.iter().sum::<u64>(), 20, "{known} known");
         // One connection to each that was called, however often.
-        let called = calls.iter().filter(|calls| **calls > 0).count() as u64;
+        let called = requests.iter().filter(|requests| **requests > 0).count() as u64;
         assert_eq!(upstreams.connections(), called, "{known} known");
     }
 }
 
 #[tokio::test]
-async fn a_change_costs_one_call_and_bytes_by_the_entries_that_changed_and_not_by_those_known() {
-    let address = |i: usize| ([127, 0, 0, 1], 1_000 + i as u16).into();
-    let entries = |number| (0..number).map(|i| Entry::serving(i, 1, address(i))).collect::<Vec<_>>();
+async fn a_change_costs_one_request_and_bytes_for_the_changed_entries_whatever_the_length_of_the_list() {
+    let address = |number: usize| ([127, 0, 0, 1], 1_000 + number as u16).into();
+    let entry = |number| Entry::serving(number, 1, address(number));
+    let entries = |count| (0..count).map(entry).collect::<Vec<_>>();
     let mut bytes = Vec::new();
     for known in [34, 200, 2_000] {
         let discovery = Discovery::start().expect("discovery");
         let _balancer = start(&discovery, entries(known)).await;
         for changed in [1, 11, 21] {
             let changed: Vec<_> =
-                entries(changed).iter().map(|e| e.with_lifecycle(Lifecycle::Draining)).collect();
-            let told = traffic(&discovery, changed).await;
-            assert_eq!((told.requests, told.deltas, told.snapshots, told.connections), (1, 1, 0, 0));
-            bytes.push(told.bytes_out);
+                entries(changed).iter().map(|entry| entry.with_lifecycle(Lifecycle::Draining)).collect();
+            let passed = traffic(&discovery, changed).await;
+            assert_eq!((passed.requests, passed.deltas, passed.snapshots, passed.connections), (1, 1, 0, 0));
+            bytes.push(passed.bytes_out);
         }
     }
-    let (one, eleven, twenty_one) = (bytes[0], bytes[1], bytes[2]);
-    let an_entry = (twenty_one - eleven) / 10;
-    // The length's own digits and no more.
-    assert!(eleven.abs_diff(one + 10 * an_entry) <= 2, "{bytes:?}");
-    assert!(bytes.chunks(3).all(|b| b == &bytes[..3]), "{bytes:?}");
+    let [one, eleven, twenty_one] = [bytes[0], bytes[1], bytes[2]];
+    let bytes_per_entry = (twenty_one - eleven) / 10;
+    // Apart from the digits of the body's length in the head.
+    assert!(eleven.abs_diff(one + 10 * bytes_per_entry) <= 2, "{bytes:?}");
+    assert!(bytes.chunks(3).all(|of_one_list| of_one_list == &bytes[..3]), "{bytes:?}");
 }
 
 #[tokio::test]
@@ -95,5 +97,5 @@
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
         status.is_empty() || status.contains("State:\tZ")
     };
-    until("it ends", ended).await;
+    wait_until("it ends", ended).await;
 }
--- a/crates/testbed/src/callers/open_loop.rs
+++ b/crates/testbed/src/callers/open_loop.rs
@@ -21,7 +21,7 @@
 const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Between two checks whether the last responses have come.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The longest latency that is told apart, a minute in nanoseconds; longer ones count as this.
+/// The longest latency that is recorded as it is, a minute in nanoseconds; longer ones count as this.
 const MAX_LATENCY_NS: u64 = 60_000_000_000;
 /// Significant decimal digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 3;
