--- a/crates/cli/src/model/ramp.rs
+++ b/crates/cli/src/model/ramp.rs
@@ -1,13 +1,17 @@
-//! `zincstand model ramp`.
+//! `zincstand model ramp`: what servers that are warming up get from all balancers together.
 
 use std::path::PathBuf;
 
 use anyhow::{Context, Result};
 use clap::Args;
 use indicatif::ProgressBar;
-use zincstand_fleet_model::ramp::{self, Line, Rules, Shape};
+use zincstand_fleet_model::ramp::{self, Line, RuleOverrides, Shape};
 
-use super::{print, tables};
+use crate::model::output::print;
+use crate::model::tables::new_table;
+
+/// Tenths of the warm-up at which the three columns of traffic begin.
+const SHOWN_TENTHS: [usize; 3] = [0, 4, 8];
 
 /// Plays days on which servers start cold, and tells what they get from all balancers together.
 #[derive(Args)]
@@ -29,11 +33,11 @@
     out: Option<PathBuf>,
 }
 
-/// Does it.
+/// Plays the days, writes their lines and prints them.
 pub fn run(args: &Ramp) -> Result<()> {
-    let rules = Rules { overload_factor: args.overload_factor, cold_from: args.cold_from };
-    let count = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
-    let bar = ProgressBar::new(count);
+    let rules = RuleOverrides { overload_factor: args.overload_factor, cold_from: args.cold_from };
+    let days = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
+    let bar = ProgressBar::new(days);
     let mut lines = Vec::new();
     for shape in Shape::ALL {
         for &balancers in &args.balancers {
@@ -45,11 +49,11 @@
         let text = serde_json::to_string_pretty(&lines)?;
         std::fs::write(path, text + "\n").with_context(|| format!("cannot write {}", path.display()))?;
     }
-    print(&table(&lines))
+    print(&report(&lines))
 }
 
-fn table(lines: &[Line]) -> String {
-    let head = [
+fn report(lines: &[Line]) -> String {
+    let header = [
         "shape",
         "balancers",
         "starts",
@@ -71,18 +75,32 @@
         "after s",
         "G",
     ];
-    let mut t = tables::table(&head, 1);
-    for l in lines {
-        let part = |from: usize| (l.share[from] + l.share[from + 1]) / 2.0;
-        let mut cells = vec![l.shape.name().to_owned(), l.balancers.to_string(), l.starts.to_string()];
-        cells.extend([l.excess, l.excess_told, l.excess_work].iter().flatten().map(|x| format!("{x:.2}")));
-        cells.extend([l.fallen, l.fallen_work].map(|(all, told)| format!("{all}, {told}")));
-        cells.extend([0, 4, 8].map(|at| format!("{:.2}", part(at))));
-        cells.extend([format!("{:.1}", l.warm.0), format!("{:.1}", l.warm.1), format!("{:.3}", l.g)]);
-        t.add_row(cells);
+    let mut table = new_table(&header, 1);
+    for line in lines {
+        table.add_row(cells(line));
     }
     format!(
-        "{t}\n(excess: requests, or work in means, beyond the budget of N in the worst window of a day's most-hit cold \
-         server, in roots of N; warm: in warm-ups, when it gets nine tenths of what it gets once warm)"
+        "{table}\n(excess: requests, or work in means, beyond the budget of N in the worst window of a day's most-hit \
+         cold server, in roots of N; warm: in warm-ups, when it gets nine tenths of what it gets once warm)"
     )
 }
+
+fn cells(line: &Line) -> Vec<String> {
+    let mut cells = vec![line.shape.name().to_owned(), line.balancers.to_string(), line.starts.to_string()];
+    for spread in [line.excess, line.informed_excess, line.informed_excess_work] {
+        for excess in [spread.mean, spread.p99, spread.max] {
+            cells.push(format!("{excess:.2}"));
+        }
+    }
+    for overloads in [line.overloaded, line.overloaded_by_work] {
+        cells.push(format!("{}, {}", overloads.total, overloads.informed));
+    }
+    for tenth in SHOWN_TENTHS {
+        let mean_share = f64::midpoint(line.share[tenth], line.share[tenth + 1]);
+        cells.push(format!("{mean_share:.2}"));
+    }
+    cells.push(format!("{:.1}", line.warm.warm_up_times));
+    cells.push(format!("{:.1}", line.warm.seconds));
+    cells.push(format!("{:.3}", line.score));
+    cells
+}
--- a/crates/proxy/src/upstream/request_body_stream.rs
+++ b/crates/proxy/src/upstream/request_body_stream.rs
@@ -11,9 +11,9 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::sync::Notify;
 
+use crate::dispatch::BodyEnd;
 use crate::upstream::body_prefix::MAX_STREAMED_BODY;
 use crate::upstream::client_connection::ClientConnection;
-use crate::upstream::stream::BodyEnd;
 
 /// A request's body of which the beginning is buffered and the rest is still coming. An attempt that has read none
 /// of the rest can be repeated.
--- a/crates/testbed/src/hollow/group.rs
+++ b/crates/testbed/src/hollow/group.rs
@@ -10,8 +10,7 @@
 use zincstand_policy::{ListKind, Micros, ServerId, Settings};
 use zincstand_proxy::discovery::Discovery;
 use zincstand_proxy::discovery::endpoint::{Endpoint, Target};
-use zincstand_proxy::dispatch::transport::Transport;
-use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher};
+use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher, HealthCheckResult, Transport};
 use zincstand_settings::Names;
 
 use super::fleet::FleetControl;
@@ -60,7 +59,7 @@
         }
     }
 
-    fn start(&self, balancer: u32) -> Result<(), String> {
+    fn start(&self, balancer: u32) -> Result<(), zincstand_policy::SettingsError> {
         let mut settings = self.settings.clone();
         settings.balancer_index = balancer;
         settings.zone = balancer % self.options.zones.max(1);
@@ -74,7 +73,8 @@
         let dispatcher = Dispatcher::new(settings, &self.names, seed, Rc::default(), transport)?;
         dispatcher.start_without_list();
         if is_pushed {
-            watching.watch(&dispatcher);
+            let updated = dispatcher.clone();
+            watching.watch(move |kind, endpoints| updated.update_endpoints(kind, endpoints));
         }
         spawn_local(dispatcher.run());
         Ok(())
@@ -100,7 +100,7 @@
 
 impl ListObserver {
     /// Passes a list on to the dispatcher, as the real balancer does, and reports when that was done.
-    fn apply(&self, dispatcher: &Rc<Dispatcher<HollowTransport>>, kind: ListKind, endpoints: Vec<Endpoint>) {
+    fn apply(&self, on_list: &impl Fn(ListKind, Vec<Endpoint>), kind: ListKind, endpoints: Vec<Endpoint>) {
         let mark = self.control.mark.read().map(|mark| mark.clone()).unwrap_or_default();
         let is_marked = mark.is_some_and(|mark| {
             endpoints
@@ -108,7 +108,7 @@
                 .any(|endpoint| endpoint.instance == mark.instance && endpoint.state == mark.state)
         });
         let entries = endpoints.len();
-        dispatcher.update_endpoints(kind, endpoints);
+        on_list(kind, endpoints);
         let at = Instant::now();
         let _ = self.applied.send(ListApplied { balancer: self.balancer, kind, entries, is_marked, at });
     }
@@ -126,7 +126,7 @@
     type Response = ();
     type Attempt = ();
 
-    fn send(&self, _: Target, _: Rc<()>, _: Micros, _: AttemptCompletion<Self>) {
+    fn send(&self, _: Target, _: Rc<()>, _: Micros, _: AttemptCompletion<()>) {
         // A dropped completion counts as a reset; without requests there is no attempt.
     }
 
@@ -146,19 +146,17 @@
         false
     }
 
-    fn health_check(&self, _: &Rc<Dispatcher<Self>>, _: Target) {}
+    fn health_check(&self, _: Target, _: impl FnOnce(HealthCheckResult) + 'static) {}
 
     fn close_idle(&self, _: ServerId) {}
 
-    fn watch(&self, dispatcher: &Rc<Dispatcher<Self>>) {
-        let dispatcher = dispatcher.clone();
+    fn watch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
         let observer = self.observer.clone();
-        self.discovery.watch(move |kind, endpoints| observer.apply(&dispatcher, kind, endpoints));
+        self.discovery.watch(move |kind, endpoints| observer.apply(&on_list, kind, endpoints));
     }
 
-    fn fetch(&self, dispatcher: &Rc<Dispatcher<Self>>) {
-        let dispatcher = dispatcher.clone();
+    fn fetch(&self, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
         let observer = self.observer.clone();
-        self.discovery.fetch(move |kind, endpoints| observer.apply(&dispatcher, kind, endpoints));
+        self.discovery.fetch(move |kind, endpoints| observer.apply(&on_list, kind, endpoints));
     }
 }
