--- a/crates/cli/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -1,8 +1,10 @@
 //! What the balancer adds to a call, by rate and by upstreams known.
 
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use anyhow::{Context, Result, anyhow};
+use tokio::sync::oneshot;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
 use zincstand_testbed::callers::{Outcome, Target, open_loop};
 use zincstand_testbed::discovery::Discovery;
@@ -11,29 +13,49 @@
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
 
-use super::Bench;
+use super::{Bench, Plan};
 
-/// Calls a second at a balancer, and for how many seconds: slower ones longer, for their high quantiles.
-const RATES: [(f64, f64); 4] = [(225.0, 8.0), (450.0, 7.0), (1125.0, 6.0), (2250.0, 5.0)];
-const QUICK_RATES: [(f64, f64); 2] = [(225.0, 1.2), (2250.0, 0.8)];
-/// A balancer is new for so many calls.
-const WARM_UP: (f64, f64) = (450.0, 1.0);
-const QUICK_WARM_UP: (f64, f64) = (450.0, 0.3);
-/// Kept connections to each target.
+/// Calls at one rate.
+#[derive(Clone, Copy)]
+struct Load {
+    /// Calls per second to each target.
+    rate: f64,
+    seconds: f64,
+}
+
+/// The lower the rate the longer: high quantiles need many calls.
+const LOADS: [Load; 4] = [
+    Load { rate: 225.0, seconds: 8.0 },
+    Load { rate: 450.0, seconds: 7.0 },
+    Load { rate: 1125.0, seconds: 6.0 },
+    Load { rate: 2250.0, seconds: 5.0 },
+];
+const QUICK_LOADS: [Load; 2] = [Load { rate: 225.0, seconds: 1.2 }, Load { rate: 2250.0, seconds: 0.8 }];
+/// What a balancer is called with before the first measurement.
+const WARM_UP: Load = Load { rate: 450.0, seconds: 1.0 };
+const QUICK_WARM_UP: Load = Load { rate: 450.0, seconds: 0.3 };
+/// Connections that stay open to each target.
 const CONNECTIONS: usize = 20;
-/// Descriptors and idle time with which a connection to every upstream stays.
-const KEPT: (usize, u32) = (8192, 600_000);
+/// Descriptors and idle time with which a connection to every upstream stays open.
+const KEPT_SOCKETS: usize = 8192;
+const KEPT_IDLE_CLOSE_MS: u32 = 600_000;
+/// Most upstreams that are called directly, beside the balancers.
+const DIRECT_UPSTREAMS: usize = 10;
+/// Start and warm-up of one size, in seconds, as the plan counts them.
+const START_SECONDS: f64 = 3.0;
 
-/// What is told apart: how many balancers share the upstreams, and whether connections to all of them stay.
+/// A way to run the balancer.
 #[derive(Clone, Copy)]
 struct Variant {
     name: &'static str,
+    /// As many balancers as upstreams share them; otherwise one has them alone.
     shared: bool,
+    /// Connections to all upstreams stay open.
     kept: bool,
 }
 
 const VARIANTS: [Variant; 3] = [
-    // As in service: as many balancers as upstreams, so that one has a share of about one upstream.
+    // As in service: each balancer has a share of about one upstream.
     Variant { name: "shared", shared: true, kept: false },
     Variant { name: "shared-kept", shared: true, kept: true },
     Variant { name: "alone", shared: false, kept: false },
@@ -46,164 +68,205 @@
             settings.balancers = upstreams.addresses.len() as u32;
         }
         if self.kept {
-            (settings.sockets, settings.idle_close_ms) = KEPT;
+            settings.sockets = KEPT_SOCKETS;
+            settings.idle_close_ms = KEPT_IDLE_CLOSE_MS;
         }
         settings
     }
 }
 
-/// What was measured of one variant, at one rate and size.
-struct Cell {
+/// Names and ranks of the quantiles that are reported.
+const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)];
+
+/// Latencies at [`QUANTILES`], in microseconds.
+type Quantiles = [f64; QUANTILES.len()];
+
+fn quantiles(outcome: &Outcome) -> Quantiles {
+    QUANTILES.map(|(_, rank)| outcome.quantile_us(rank))
+}
+
+/// What was measured of one variant with one load and size.
+struct Measurement {
     upstreams: f64,
     outcome: Outcome,
-    /// Quantiles of the direct calls beside it, in microseconds.
+    /// Quantiles of the direct calls at the same time.
     direct: Quantiles,
+    /// Processor time of the balancer per call, in microseconds.
     processor_us: f64,
+    /// Connections to upstreams that were opened, per call.
     new_connections: f64,
 }
 
-type Quantiles = [f64; 3];
-const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)];
-
-fn quantiles(outcome: &Outcome) -> Quantiles {
-    QUANTILES.map(|(_, q)| outcome.quantile_us(q))
-}
-
-fn rates(bench: &Bench) -> &'static [(f64, f64)] {
-    if bench.quick { &QUICK_RATES } else { &RATES }
+fn loads(bench: &Bench) -> &'static [Load] {
+    if bench.quick { &QUICK_LOADS } else { &LOADS }
 }
 
-pub fn plan(bench: &Bench) -> (String, Needs) {
+/// What the measurement starts and needs.
+pub fn plan(bench: &Bench) -> Plan {
     let processes = VARIANTS.len();
-    let most = bench.most_upstreams();
-    // An upstream is a listener and a connection or two here, a name and an average there.
-    let memory_mb = (processes * 40 + processes * most / 25 + 50) as u64;
-    let seconds: f64 = rates(bench).iter().map(|(_, s)| s).sum::<f64>() + 3.0;
-    let text = format!(
+    let upstreams = bench.most_upstreams();
+    let highest_rate = loads(bench).iter().map(|load| load.rate).fold(0.0, f64::max);
+    let seconds_per_size = loads(bench).iter().map(|load| load.seconds).sum::<f64>() + START_SECONDS;
+    let description = format!(
         "added-time: {processes} balancers at once, {} listeners in this process, up to {:.0} calls a second, {:.0} s",
-        VARIANTS.len() * most + 10,
-        rates(bench).iter().map(|(rate, _)| rate).fold(0.0, |a, b| f64::max(a, *b))
-            * (1 + VARIANTS.len()) as f64,
-        seconds * bench.upstreams.len() as f64,
+        processes * upstreams + DIRECT_UPSTREAMS,
+        highest_rate * (1 + processes) as f64,
+        seconds_per_size * bench.upstreams.len() as f64,
     );
-    (text, Needs { processes, memory_mb, descriptors: (processes * most * 2 + 1000) as u64 })
+    let needs = Needs {
+        processes,
+        // An upstream is a listener and a connection or two in this process, a name and an average in a balancer.
+        memory_mb: (processes * 40 + processes * upstreams / 25 + 50) as u64,
+        descriptors: (processes * upstreams * 2 + 1000) as u64,
+    };
+    Plan { description, needs }
 }
 
+/// Measures all variants at each size and load.
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    // By rate and variant.
-    let mut cells: Vec<Vec<Vec<Cell>>> =
-        rates(bench).iter().map(|_| VARIANTS.iter().map(|_| Vec::new()).collect()).collect();
+    // By the indices of variant and load.
+    let mut measurements: BTreeMap<(usize, usize), Vec<Measurement>> = BTreeMap::new();
     for &size in &bench.upstreams {
-        let rig = Rig::start(bench, size).await?;
-        let (rate, seconds) = if bench.quick { QUICK_WARM_UP } else { WARM_UP };
-        rig.call(rate, seconds).await?;
-        for (r, &(rate, seconds)) in rates(bench).iter().enumerate() {
-            for (v, cell) in rig.measure(rate, seconds).await?.into_iter().enumerate() {
-                cells[r][v].push(cell);
+        let testbed = Testbed::start(bench, size).await?;
+        testbed.call(if bench.quick { QUICK_WARM_UP } else { WARM_UP }).await?;
+        for (load_index, &load) in loads(bench).iter().enumerate() {
+            for (variant_index, measurement) in testbed.measure(load).await?.into_iter().enumerate() {
+                measurements.entry((variant_index, load_index)).or_default().push(measurement);
             }
         }
-        stop(rig.sides.into_iter().map(|side| side.balancer)).await?;
+        stop(testbed.sides.into_iter().map(|side| side.balancer)).await?;
     }
     let mut slopes = Vec::new();
-    for (v, variant) in VARIANTS.iter().enumerate() {
-        for (r, (rate, _)) in rates(bench).iter().enumerate() {
-            slopes.extend(fitted(&format!("added-time/{}/{rate}-per-s", variant.name), &cells[r][v]));
-        }
+    for ((variant, load), measurements) in &measurements {
+        let variant = VARIANTS[*variant].name;
+        let rate = loads(bench)[*load].rate;
+        slopes.extend(slopes_of(&format!("added-time/{variant}/{rate}-per-s"), measurements));
     }
     Ok(slopes)
 }
 
 /// The slopes of one variant at one rate.
-fn fitted(name: &str, cells: &[Cell]) -> Vec<Slope> {
-    let slope = |what: &str, unit: &str, y: &dyn Fn(&Cell) -> f64| {
-        let points = cells.iter().map(|c| Point { x: c.upstreams, y: y(c) }).collect();
+fn slopes_of(name: &str, measurements: &[Measurement]) -> Vec<Slope> {
+    let slope = |what: &str, unit: &str, y: &dyn Fn(&Measurement) -> f64| {
+        let point = |measured: &Measurement| Point { x: measured.upstreams, y: y(measured) };
+        let points = measurements.iter().map(point).collect();
         Slope::new(format!("{name}/{what}"), "upstreams known", unit, points)
     };
     let mut slopes = Vec::new();
-    for (q, (what, _)) in QUANTILES.iter().enumerate() {
-        let direct: Vec<String> = cells.iter().map(|c| format!("{:.0}", c.direct[q])).collect();
-        slopes.push(
-            slope(what, "us more than direct", &|c| quantiles(&c.outcome)[q] - c.direct[q])
-                .remark(format!("direct {} us", direct.join(", "))),
-        );
+    for (index, (quantile, _)) in QUANTILES.iter().enumerate() {
+        let added = |measured: &Measurement| quantiles(&measured.outcome)[index] - measured.direct[index];
+        let direct = joined(measurements, |measured| format!("{:.0}", measured.direct[index]));
+        let slope = slope(quantile, "us more than direct", &added);
+        slopes.push(slope.remark(format!("direct {direct} us")));
     }
-    slopes.push(slope("processor", "us a call", &|c| c.processor_us));
-    slopes.push(slope("new-connections", "a call", &|c| c.new_connections));
-    let calls: Vec<String> = cells.iter().map(|c| c.outcome.calls.to_string()).collect();
-    let said: Vec<String> = cells
-        .iter()
-        .filter(|c| c.outcome.failed() > 0)
-        .map(|c| format!("at {}: {:?}, {} lost", c.upstreams, c.outcome.answers, c.outcome.lost))
-        .collect();
-    slopes.push(slope("not-200", "of all calls", &|c| c.outcome.failed() as f64).remark(format!(
-        "{} calls; {}",
-        calls.join(", "),
-        said.join("; ")
-    )));
+    slopes.push(slope("processor", "us a call", &|measured| measured.processor_us));
+    slopes.push(slope("new-connections", "a call", &|measured| measured.new_connections));
+    let failed = slope("not-200", "of all calls", &|measured| measured.outcome.failed() as f64);
+    let calls = joined(measurements, |measured| measured.outcome.calls.to_string());
+    slopes.push(failed.remark(format!("{calls} calls; {}", failures(measurements))));
     slopes
 }
 
+fn joined(measurements: &[Measurement], text: impl Fn(&Measurement) -> String) -> String {
+    let texts: Vec<String> = measurements.iter().map(text).collect();
+    texts.join(", ")
+}
+
+/// What was answered where calls failed.
+fn failures(measurements: &[Measurement]) -> String {
+    let mut failures = Vec::new();
+    for Measurement { upstreams, outcome, .. } in measurements {
+        if outcome.failed() > 0 {
+            failures.push(format!("at {upstreams}: {:?}, {} lost", outcome.answers, outcome.lost));
+        }
+    }
+    failures.join("; ")
+}
+
 /// A balancer between its own discovery and its own upstreams.
 struct Side {
     balancer: Balancer,
     upstreams: Upstreams,
+    /// Held for as long as the balancer watches it.
     _discovery: Discovery,
 }
 
+/// What a side had used at one moment.
+struct Usage {
+    connections: u64,
+    processor: Duration,
+}
+
+impl Side {
+    async fn start(bench: &Bench, size: usize, variant: Variant) -> Result<Side> {
+        let upstreams = Upstreams::start(size)?;
+        let discovery = Discovery::start()?;
+        discovery.replace(upstreams.entries())?;
+        let settings = variant.settings(&upstreams, &discovery);
+        let balancer = Balancer::start(&bench.balancer, &settings).await?;
+        Ok(Side { balancer, upstreams, _discovery: discovery })
+    }
+
+    fn usage(&self) -> Result<Usage> {
+        let processor = self.balancer.usage()?.processor;
+        Ok(Usage { connections: self.upstreams.connections(), processor })
+    }
+
+    fn measurement(&self, outcome: Outcome, direct: Quantiles, before: &Usage) -> Result<Measurement> {
+        let after = self.usage()?;
+        let calls = outcome.calls.max(1) as f64;
+        let processor = after.processor.saturating_sub(before.processor);
+        Ok(Measurement {
+            upstreams: self.upstreams.addresses.len() as f64,
+            outcome,
+            direct,
+            processor_us: processor.as_secs_f64() * 1e6 / calls,
+            new_connections: (after.connections - before.connections) as f64 / calls,
+        })
+    }
+}
+
 /// The stand-ins and the balancers for one size of the list.
-struct Rig {
+struct Testbed {
+    /// Upstreams that are called without a balancer.
     direct: Upstreams,
+    /// One for each variant.
     sides: Vec<Side>,
 }
 
-impl Rig {
-    async fn start(bench: &Bench, size: usize) -> Result<Rig> {
+impl Testbed {
+    async fn start(bench: &Bench, size: usize) -> Result<Testbed> {
         let mut sides = Vec::new();
         for variant in VARIANTS {
-            let (upstreams, discovery) = (Upstreams::start(size)?, Discovery::start()?);
-            discovery.replace(upstreams.entries())?;
-            let balancer =
-                Balancer::start(&bench.balancer, &variant.settings(&upstreams, &discovery)).await?;
-            sides.push(Side { balancer, upstreams, _discovery: discovery });
+            sides.push(Side::start(bench, size, variant).await?);
         }
-        Ok(Rig { direct: Upstreams::start(size.min(10))?, sides })
+        Ok(Testbed { direct: Upstreams::start(size.min(DIRECT_UPSTREAMS))?, sides })
     }
 
-    /// Calls all in turn at this rate each: first the direct ones' outcome, then the variants'.
-    async fn call(&self, rate: f64, seconds: f64) -> Result<Vec<Outcome>> {
+    /// Calls all in turn, each with the load's rate: first the direct calls' outcome, then the variants'.
+    async fn call(&self, load: Load) -> Result<Vec<Outcome>> {
         let mut targets = vec![Target { addresses: self.direct.addresses.clone(), connections: CONNECTIONS }];
-        targets.extend(
-            self.sides
-                .iter()
-                .map(|s| Target { addresses: vec![s.balancer.address], connections: CONNECTIONS }),
-        );
-        let (tell, told) = tokio::sync::oneshot::channel();
-        // A thread of its own: dropped, the wait for it ends and not the thread, which the process's end takes along.
+        for side in &self.sides {
+            targets.push(Target { addresses: vec![side.balancer.address], connections: CONNECTIONS });
+        }
+        let duration = Duration::from_secs_f64(load.seconds);
+        let (sender, receiver) = oneshot::channel();
+        // A thread of its own: on an interrupt the wait for it is dropped, and the thread ends with the process.
         std::thread::Builder::new().name("callers".into()).spawn(move || {
-            let _ = tell.send(open_loop("c", &targets, rate, Duration::from_secs_f64(seconds)));
+            // Nobody waits any more after an interrupt.
+            let _ = sender.send(open_loop("c", &targets, load.rate, duration));
         })?;
-        told.await.map_err(|_| anyhow!("the callers have ended early"))?
+        receiver.await.map_err(|_| anyhow!("the callers have ended early"))?
     }
 
-    async fn measure(&self, rate: f64, seconds: f64) -> Result<Vec<Cell>> {
-        let before = self.sides.iter().map(|s| Ok((s.upstreams.connections(), s.balancer.usage()?)));
-        let before = before.collect::<Result<Vec<_>>>()?;
-        let mut outcomes = self.call(rate, seconds).await?.into_iter();
+    async fn measure(&self, load: Load) -> Result<Vec<Measurement>> {
+        let before = self.sides.iter().map(Side::usage).collect::<Result<Vec<_>>>()?;
+        let mut outcomes = self.call(load).await?.into_iter();
         let direct = quantiles(&outcomes.next().context("nobody was called directly")?);
-        let mut cells = Vec::new();
-        for ((Side { balancer, upstreams, .. }, outcome), (connections, usage)) in
-            self.sides.iter().zip(outcomes).zip(before)
-        {
-            let calls = outcome.calls.max(1) as f64;
-            let processor = balancer.usage()?.processor.saturating_sub(usage.processor);
-            cells.push(Cell {
-                upstreams: upstreams.addresses.len() as f64,
-                outcome,
-                direct,
-                processor_us: processor.as_secs_f64() * 1e6 / calls,
-                new_connections: (upstreams.connections() - connections) as f64 / calls,
-            });
+        let mut measurements = Vec::new();
+        for ((side, outcome), before) in self.sides.iter().zip(outcomes).zip(&before) {
+            measurements.push(side.measurement(outcome, direct, before)?);
         }
-        Ok(cells)
+        Ok(measurements)
     }
 }
--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -13,7 +13,7 @@
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
 
-use super::Bench;
+use super::{Bench, Plan};
 
 /// Upstreams in the list while something else is varied.
 const KNOWN: usize = 200;
@@ -23,162 +23,210 @@
 const CHANGES: [usize; 4] = [0, 1_000, 3_000, 10_000];
 /// Entries that change in one version.
 const BULK: usize = 100;
-/// After the last event, before the memory is read.
-const SETTLED: Duration = Duration::from_millis(300);
-/// How long upstreams take while calls are in flight, and the calls' deadline.
-const SLOW: Duration = Duration::from_millis(1500);
-const PATIENT_MS: u32 = 10_000;
+/// Time between the last event and the reading of the memory.
+const SETTLING: Duration = Duration::from_millis(300);
+/// How long upstreams take while calls are in flight.
+const SLOW_RESPONSE: Duration = Duration::from_millis(1500);
+/// Deadline of these calls, in milliseconds.
+const SLOW_DEADLINE_MS: u32 = 10_000;
 /// Nothing takes this long.
-const LONG: Duration = Duration::from_secs(20);
-
-pub fn plan(bench: &Bench) -> (String, Needs) {
-    let most = bench.most_upstreams();
-    let text = format!(
+const TIME_LIMIT: Duration = Duration::from_secs(20);
+/// Between two checks of the version that the balancer holds.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1);
+
+/// What the measurement starts and needs.
+pub fn plan(bench: &Bench) -> Plan {
+    let upstreams = bench.most_upstreams();
+    let description = format!(
         "memory: one balancer at a time, some 25 in turn, {} listeners in this process, up to {} connections, 30 s",
-        most.max(KNOWN),
+        upstreams.max(KNOWN),
         CONNECTIONS[CONNECTIONS.len() - 1]
     );
-    (text, Needs { processes: 1, memory_mb: (100 + most / 10) as u64, descriptors: (most + 2000) as u64 })
+    let needs = Needs {
+        processes: 1,
+        memory_mb: (100 + upstreams / 10) as u64,
+        descriptors: (upstreams + 2000) as u64,
+    };
+    Plan { description, needs }
 }
 
+/// Measures one quantity after the other, each point with a balancer of its own.
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let mut slopes = Vec::new();
+    let most = bench.most_upstreams();
+    Ok(vec![
+        by_upstreams(bench).await?,
+        by_connections(bench).await?,
+        by_calls_in_flight(bench).await?,
+        by_classes(bench).await?,
+        by_tenants(bench).await?,
+        by_changes(bench, most, "memory/changes-of-state", state_changes).await?,
+        by_changes(bench, most, "memory/replacements", replacements).await?,
+    ])
+}
+
+async fn by_upstreams(bench: &Bench) -> Result<Slope> {
     let mut points = Vec::new();
     for &known in &bench.upstreams {
-        let (one, _) = One::start(bench, known, |_| {}).await?;
-        points.push(one.resident(known).await?);
+        let testbed = Testbed::start_without_upstreams(bench, known, |_| {}).await?;
+        points.push(testbed.resident_memory(known).await?);
     }
-    slopes.push(slope("memory/upstreams", "upstreams known", points));
+    Ok(slope("memory/upstreams", "upstreams known", points))
+}
 
+async fn by_connections(bench: &Bench) -> Result<Slope> {
     let mut points = Vec::new();
     for connections in CONNECTIONS {
-        let (one, _) = One::start(bench, KNOWN, |_| {}).await?;
-        // Each has carried a call, as connections have that are kept.
-        let mut held = Held::connect(one.balancer.address, connections)?;
+        let testbed = Testbed::start_without_upstreams(bench, KNOWN, |_| {}).await?;
+        // Each carries a call first, as connections have that are kept.
+        let mut held = Held::connect(testbed.balancer.address, connections)?;
         held.send()?;
-        held.receive(LONG)?;
-        points.push(one.resident(connections).await?);
+        held.receive(TIME_LIMIT)?;
+        points.push(testbed.resident_memory(connections).await?);
         drop(held);
     }
-    let what = format!("each has carried one call; {KNOWN} upstreams known");
-    slopes.push(slope("memory/connections", "callers' connections", points).remark(what));
+    let remark = format!("each has carried one call; {KNOWN} upstreams known");
+    Ok(slope("memory/connections", "callers' connections", points).remark(remark))
+}
 
-    let (mut points, mut reached) = (Vec::new(), Vec::new());
+async fn by_calls_in_flight(bench: &Bench) -> Result<Slope> {
+    let mut points = Vec::new();
+    let mut forwarded = Vec::new();
     for calls in CONNECTIONS {
-        let (one, upstreams) = One::start(bench, KNOWN, |s| s.deadline_ms = PATIENT_MS).await?;
-        upstreams.answer_after(SLOW);
-        let mut held = Held::connect(one.balancer.address, calls)?;
+        let patient = |settings: &mut Settings| settings.deadline_ms = SLOW_DEADLINE_MS;
+        let (testbed, upstreams) = Testbed::start(bench, KNOWN, patient).await?;
+        upstreams.answer_after(SLOW_RESPONSE);
+        let mut held = Held::connect(testbed.balancer.address, calls)?;
         held.send()?;
-        points.push(one.resident(calls).await?);
-        reached.push(upstreams.calls().iter().sum::<u64>().to_string());
-        held.receive(LONG)?;
+        points.push(testbed.resident_memory(calls).await?);
+        forwarded.push(upstreams.calls().iter().sum::<u64>().to_string());
+        held.receive(TIME_LIMIT)?;
         drop(held);
     }
-    slopes.push(
-        slope("memory/in-flight", "calls not answered yet, each on its connection", points)
-            .remark(format!("had reached upstreams: {}", reached.join(", "))),
-    );
+    let remark = format!("had reached upstreams: {}", forwarded.join(", "));
+    Ok(slope("memory/in-flight", "calls not answered yet, each on its connection", points).remark(remark))
+}
 
+async fn by_classes(bench: &Bench) -> Result<Slope> {
     let mut points = Vec::new();
     for classes in CLASSES {
-        let (one, _) = One::start(bench, KNOWN, |s| s.classes = classes).await?;
-        points.push(one.resident(classes).await?);
+        let testbed =
+            Testbed::start_without_upstreams(bench, KNOWN, |settings| settings.classes = classes).await?;
+        points.push(testbed.resident_memory(classes).await?);
     }
-    slopes.push(slope("memory/classes", "classes", points));
+    Ok(slope("memory/classes", "classes", points))
+}
 
+async fn by_tenants(bench: &Bench) -> Result<Slope> {
     let mut points = Vec::new();
     for tenants in TENANTS {
-        let (one, _) = One::start(bench, KNOWN, |s| s.tenants = tenants).await?;
-        points.push(one.resident(tenants).await?);
+        let testbed =
+            Testbed::start_without_upstreams(bench, KNOWN, |settings| settings.tenants = tenants).await?;
+        points.push(testbed.resident_memory(tenants).await?);
     }
-    slopes.push(slope("memory/tenants", "tenants", points));
+    Ok(slope("memory/tenants", "tenants", points))
+}
 
-    let most = bench.most_upstreams();
-    slopes.push(changed(bench, most, "memory/changes-of-state", drained).await?);
-    slopes.push(changed(bench, most, "memory/replacements", replaced).await?);
-    Ok(slopes)
+/// Memory by entries changed so far; `bulk` makes the entries of one version from the number of those before.
+async fn by_changes(
+    bench: &Bench,
+    known: usize,
+    name: &str,
+    bulk: fn(usize, &[SocketAddr]) -> Vec<Entry>,
+) -> Result<Slope> {
+    let (testbed, upstreams) = Testbed::start(bench, known, |_| {}).await?;
+    let mut changed = 0;
+    let mut points = Vec::new();
+    for changes in CHANGES {
+        while changed < changes {
+            let entries = bulk(changed, &upstreams.addresses);
+            changed += entries.len();
+            let version = testbed.discovery.change(entries)?.version;
+            testbed.wait_for_version(version).await?;
+        }
+        points.push(testbed.resident_memory(changes).await?);
+    }
+    let remark = format!("{known} upstreams known, {BULK} changes a version; x counts changed entries");
+    Ok(slope(name, "changes so far", points).remark(remark))
 }
 
 fn slope(name: &str, x: &str, points: Vec<Point>) -> Slope {
     Slope::new(name, x, "KB resident", points)
 }
 
-/// The entries of one bulk of changes, by the number of the first change: those that were serve or drain.
-fn drained(first: usize, addresses: &[SocketAddr]) -> Vec<Entry> {
-    let turn = first / addresses.len();
+/// The entries of one version, after `changed` others: upstreams that drain, and in the next turn serve again.
+fn state_changes(changed: usize, addresses: &[SocketAddr]) -> Vec<Entry> {
+    let turn = changed / addresses.len();
     let state = if turn.is_multiple_of(2) { Lifecycle::Draining } else { Lifecycle::Serving };
-    let number = |i| (first + i) % addresses.len();
-    (0..BULK.min(addresses.len()))
-        .map(|i| Entry::serving(number(i), 1, addresses[number(i)]).with_lifecycle(state))
-        .collect()
+    let entry = |index: usize| {
+        let number = (changed + index) % addresses.len();
+        Entry::serving(number, 1, addresses[number]).with_lifecycle(state)
+    };
+    (0..BULK.min(addresses.len())).map(entry).collect()
 }
 
-/// The same where an upstream leaves and another, of another name, takes its place.
-fn replaced(first: usize, addresses: &[SocketAddr]) -> Vec<Entry> {
-    let pair = |i: usize| {
-        let (old, address) = (first / 2 + i, addresses[(first / 2 + i) % addresses.len()]);
-        let new = Entry::serving(old + addresses.len(), 1, address);
-        [Entry::serving(old, 1, address).with_lifecycle(Lifecycle::Deleted), new]
+/// The entries of one version, after `changed` others: upstreams that leave, and others of new names in their places.
+fn replacements(changed: usize, addresses: &[SocketAddr]) -> Vec<Entry> {
+    let pair = |index: usize| {
+        let number = changed / 2 + index;
+        let address = addresses[number % addresses.len()];
+        let leaving = Entry::serving(number, 1, address).with_lifecycle(Lifecycle::Deleted);
+        let joining = Entry::serving(number + addresses.len(), 1, address);
+        [leaving, joining]
     };
     (0..BULK.min(addresses.len()) / 2).flat_map(pair).collect()
 }
 
-async fn changed(
-    bench: &Bench,
-    known: usize,
-    name: &str,
-    bulk: fn(usize, &[SocketAddr]) -> Vec<Entry>,
-) -> Result<Slope> {
-    let (one, upstreams) = One::start(bench, known, |_| {}).await?;
-    let (mut done, mut points) = (0, Vec::new());
-    for changes in CHANGES {
-        while done < changes {
-            let entries = bulk(done, &upstreams.addresses);
-            done += entries.len();
-            let version = one.discovery.change(entries)?.version;
-            one.holds(version).await?;
-        }
-        points.push(one.resident(changes).await?);
-    }
-    let what = format!("{known} upstreams known, {BULK} changes a version; x counts changed entries");
-    Ok(slope(name, "changes so far", points).remark(what))
-}
-
-/// A balancer and its discovery.
-struct One {
+/// A balancer with its discovery.
+struct Testbed {
     balancer: Balancer,
     discovery: Discovery,
 }
 
-impl One {
+impl Testbed {
+    /// Starts a balancer that knows this many upstreams, with settings that `adjust` has changed.
     async fn start(
         bench: &Bench,
         known: usize,
-        change: impl FnOnce(&mut Settings),
-    ) -> Result<(One, Upstreams)> {
-        let (upstreams, discovery) = (Upstreams::start(known)?, Discovery::start()?);
+        adjust: impl FnOnce(&mut Settings),
+    ) -> Result<(Testbed, Upstreams)> {
+        let upstreams = Upstreams::start(known)?;
+        let discovery = Discovery::start()?;
         discovery.replace(upstreams.entries())?;
         let mut settings = Settings::alone(discovery.address());
-        change(&mut settings);
+        adjust(&mut settings);
         let balancer = Balancer::start(&bench.balancer, &settings).await?;
-        Ok((One { balancer, discovery }, upstreams))
+        Ok((Testbed { balancer, discovery }, upstreams))
     }
 
-    /// Waits until the balancer asks for what follows a version.
-    async fn holds(&self, version: u64) -> Result<()> {
-        let late = Instant::now() + LONG;
-        while !self.discovery.take_acknowledgements()?.iter().any(|seen| seen.version >= version) {
-            if Instant::now() > late {
+    /// The same, but the upstreams end as soon as the balancer has started: it knows them, and nobody listens there.
+    async fn start_without_upstreams(
+        bench: &Bench,
+        known: usize,
+        adjust: impl FnOnce(&mut Settings),
+    ) -> Result<Testbed> {
+        let (testbed, upstreams) = Testbed::start(bench, known, adjust).await?;
+        drop(upstreams);
+        Ok(testbed)
+    }
+
+    /// Waits until the balancer watches for what follows a version.
+    async fn wait_for_version(&self, version: u64) -> Result<()> {
+        let give_up_at = Instant::now() + TIME_LIMIT;
+        loop {
+            let acknowledgements = self.discovery.take_acknowledgements()?;
+            if acknowledgements.iter().any(|acknowledgement| acknowledgement.version >= version) {
+                return Ok(());
+            }
+            if Instant::now() > give_up_at {
                 bail!("the balancer does not take version {version} of the list over");
             }
-            sleep(Duration::from_millis(1)).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        Ok(())
     }
 
-    /// Its memory once it has settled, as the point at x.
-    async fn resident(&self, x: usize) -> Result<Point> {
-        sleep(SETTLED).await;
+    /// The balancer's memory once it has settled, as the point at x.
+    async fn resident_memory(&self, x: usize) -> Result<Point> {
+        sleep(SETTLING).await;
         let usage = self.balancer.usage().context("the balancer has ended under measurement")?;
         Ok(Point { x: x as f64, y: usage.resident_kb as f64 })
     }
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -2,9 +2,10 @@
 
 mod added_time;
 mod control;
-mod crowd;
 mod memory;
+mod report;
 mod updates;
+mod watched_discovery;
 mod watchers;
 
 use std::path::{Path, PathBuf};
@@ -16,7 +17,14 @@
 use zincstand_testbed::machine::{Machine, Needs, most_descriptors};
 use zincstand_testbed::report::{Report, Slope};
 
-use crate::model::tables::new_table;
+use crate::model::fleet_size;
+use crate::model::output::print;
+
+/// File name of the balancer's program, beside this one.
+const BALANCER_PROGRAM: &str = "zincstand-proxy";
+/// Upstreams in the list where the command line names none.
+const UPSTREAMS: [u32; 5] = [10, 34, 200, 600, 2_000];
+const QUICK_UPSTREAMS: [u32; 3] = [10, 200, 2_000];
 
 /// Measures slopes.
 #[derive(Args)]
@@ -72,8 +80,7 @@
 impl Part {
     const ALL: [Part; 5] = [Part::AddedTime, Part::Memory, Part::Control, Part::Updates, Part::Watchers];
 
-    /// What it will start, in a line, and what that takes up.
-    fn plan(self, bench: &Bench) -> (String, Needs) {
+    fn plan(self, bench: &Bench) -> Plan {
         match self {
             Part::AddedTime => added_time::plan(bench),
             Part::Memory => memory::plan(bench),
@@ -94,23 +101,34 @@
     }
 }
 
+/// What a measurement starts and needs.
+struct Plan {
+    /// What it starts and how long it takes, in a line.
+    description: String,
+    /// What it takes of the machine.
+    needs: Needs,
+}
+
 /// What every measurement is given.
 struct Bench {
+    /// The balancer's program.
     balancer: PathBuf,
     seed: u64,
+    /// Fewer points and shorter runs.
     quick: bool,
+    /// Numbers of upstreams in the list.
     upstreams: Vec<usize>,
 }
 
 impl Bench {
     fn new(options: &Options) -> Result<Bench> {
-        let standard: &[u32] = if options.quick { &[10, 200, 2_000] } else { &[10, 34, 200, 600, 2_000] };
+        let standard: &[u32] = if options.quick { &QUICK_UPSTREAMS } else { &UPSTREAMS };
         let upstreams = options.upstreams.as_deref().unwrap_or(standard);
         Ok(Bench {
             balancer: program(options.balancer.as_deref())?,
             seed: options.seed,
             quick: options.quick,
-            upstreams: upstreams.iter().map(|&n| n as usize).collect(),
+            upstreams: upstreams.iter().map(|&count| count as usize).collect(),
         })
     }
 
@@ -125,7 +143,7 @@
     let path = match named {
         Some(path) => path.to_owned(),
         None => {
-            std::env::current_exe().context("where this program stands")?.with_file_name("zincstand-proxy")
+            std::env::current_exe().context("where this program stands")?.with_file_name(BALANCER_PROGRAM)
         }
     };
     if !path.is_file() {
@@ -137,113 +155,76 @@
     Ok(path)
 }
 
-/// The revision of the repository that this runs in; `unknown` outside of one.
-fn revision() -> String {
-    let git = |arguments: &[&str]| {
-        let said = std::process::Command::new("git").args(arguments).output().ok()?;
-        said.status.success().then(|| String::from_utf8_lossy(&said.stdout).trim().to_owned())
-    };
-    let Some(revision) = git(&["rev-parse", "--short=12", "HEAD"]) else { return "unknown".to_owned() };
-    let changed = git(&["status", "--porcelain", "--untracked-files=no"]).is_some_and(|s| !s.is_empty());
-    if changed { revision + "+" } else { revision }
-}
-
-/// Waits for Ctrl-C or SIGTERM.
-async fn stopped() {
-    match signal(SignalKind::terminate()) {
-        Ok(mut terminate) => tokio::select! {
-            _ = tokio::signal::ctrl_c() => {}
-            _ = terminate.recv() => {}
-        },
-        Err(_) => drop(tokio::signal::ctrl_c().await),
-    }
-}
-
 /// Measures, prints and writes the report.
+///
+/// # Errors
+/// No balancer to measure, a machine that is too small, a measurement that fails or is interrupted, a file that cannot
+/// be written.
 pub fn run(Scale { options, part }: Scale) -> Result<()> {
-    let (bench, whole) = (Bench::new(&options)?, part.is_none());
+    let bench = Bench::new(&options)?;
     let parts = part.map_or(Part::ALL.to_vec(), |part| vec![part]);
     let machine = Machine::here();
-    let mut needs = Needs::default();
-    for part in &parts {
-        let (starts, takes) = part.plan(&bench);
-        eprintln!("{starts}");
-        needs = needs.or(takes);
-    }
-    needs.check(&machine, most_descriptors())?;
-    eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
-    // First: from the runtime's on, Ctrl-C is its to heed, and the model knows nothing of it.
-    if whole {
-        crate::model::fleet_size::run(options.seed, options.quick, options.out.as_deref())?;
+    check_needs(&parts, &bench, &machine)?;
+    if part.is_none() {
+        // Before the runtime starts: from then on it handles Ctrl-C, which the model does not know of.
+        fleet_size::run(options.seed, options.quick, options.out.as_deref())?;
     }
     let began = Instant::now();
-    let runtime = tokio::runtime::Runtime::new().context("no threads for the stand-ins")?;
-    let slopes = runtime.block_on(async {
-        let all = async {
-            let mut slopes = Vec::new();
-            for part in parts {
-                eprintln!("{part:?} ...");
-                slopes.extend(part.measure(&bench).await?);
-            }
-            anyhow::Ok(slopes)
-        };
-        tokio::select! {
-            slopes = all => slopes,
-            // What was under way is dropped, and each child ends with its owner.
-            () = stopped() => Err(anyhow!("interrupted; all that was started has been ended")),
-        }
-    })?;
+    let slopes = measure_until_interrupted(parts, &bench)?;
     let report = Report {
         machine,
-        revision: revision(),
+        revision: report::revision(),
         seed: bench.seed,
         quick: bench.quick,
         took_s: began.elapsed().as_secs_f64(),
         slopes,
     };
-    if let Some(out) = &options.out {
-        let text = serde_json::to_string_pretty(&report)?;
-        std::fs::write(out, text + "\n").with_context(|| format!("cannot write {}", out.display()))?;
+    if let Some(path) = &options.out {
+        report::write(path, &report)?;
     }
-    crate::model::output::print(&screen(&report))
+    print(&report::table(&report))
 }
 
-/// The report as a table.
-fn screen(report: &Report) -> String {
-    let mut t = new_table(&["slope", "y", "measured at x", "per x", "at 0", "r2", "bend: low, high"], 3);
-    for slope in &report.slopes {
-        let points: Vec<String> = slope.points.iter().map(|p| format!("{}: {}", p.x, figure(p.y))).collect();
-        let mut row = vec![slope.name.clone(), slope.y.clone(), points.join("  ")];
-        match &slope.fit {
-            Some(fit) => {
-                let bend = fit.bend.map(|(low, high)| format!("{}, {}", figure(low), figure(high)));
-                row.extend([
-                    figure(fit.line.slope),
-                    figure(fit.line.intercept),
-                    format!("{:.3}", fit.line.r2),
-                ]);
-                row.push(bend.unwrap_or_default());
-            }
-            None => row.extend(["", "", "", ""].map(str::to_owned)),
-        }
-        t.add_row(row);
+/// Prints what the measurements will start, and checks that the machine has room for it.
+fn check_needs(parts: &[Part], bench: &Bench, machine: &Machine) -> Result<()> {
+    let mut needs = Needs::default();
+    for part in parts {
+        let plan = part.plan(bench);
+        eprintln!("{}", plan.description);
+        needs = needs.or(plan.needs);
     }
-    let mut remarks = String::new();
-    for slope in report.slopes.iter().filter(|s| !s.remark.is_empty()) {
-        remarks += &format!("\n{}: {}", slope.name, slope.remark);
+    needs.check(machine, most_descriptors())?;
+    eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
+    Ok(())
+}
+
+fn measure_until_interrupted(parts: Vec<Part>, bench: &Bench) -> Result<Vec<Slope>> {
+    let runtime = tokio::runtime::Runtime::new().context("no threads for the stand-ins")?;
+    runtime.block_on(async {
+        tokio::select! {
+            slopes = measure_all(parts, bench) => slopes,
+            // What is under way is dropped, and each child process ends with its owner.
+            () = interrupted() => Err(anyhow!("interrupted; all that was started has been ended")),
+        }
+    })
+}
+
+async fn measure_all(parts: Vec<Part>, bench: &Bench) -> Result<Vec<Slope>> {
+    let mut slopes = Vec::new();
+    for part in parts {
+        eprintln!("{part:?} ...");
+        slopes.extend(part.measure(bench).await?);
     }
-    let Machine { cores, processor, memory_mb } = &report.machine;
-    format!(
-        "{t}{remarks}\n\n{cores} cores, {processor}, {memory_mb} MB; revision {}, seed {}{}; {:.0} s",
-        report.revision,
-        report.seed,
-        if report.quick { ", quick: no figures for documents" } else { "" },
-        report.took_s
-    )
+    Ok(slopes)
 }
 
-/// A number with four figures that count.
-fn figure(x: f64) -> String {
-    let digits = if x == 0.0 { 0 } else { (3 - x.abs().log10().floor() as i32).clamp(0, 9) };
-    format!("{x:.*}", digits as usize)
+/// Waits for Ctrl-C or SIGTERM.
+async fn interrupted() {
+    match signal(SignalKind::terminate()) {
+        Ok(mut terminate) => tokio::select! {
+            _ = tokio::signal::ctrl_c() => {}
+            _ = terminate.recv() => {}
+        },
+        Err(_) => drop(tokio::signal::ctrl_c().await),
+    }
 }
--- /dev/null
+++ b/crates/cli/src/scale/report.rs
@@ -0,0 +1,93 @@
+//! The report of the measurements: as a table, and as JSON.
+
+use std::path::Path;
+use std::process::Command;
+
+use anyhow::{Context, Result};
+use zincstand_testbed::machine::Machine;
+use zincstand_testbed::report::{Report, Slope};
+use zincstand_testbed::slope::Fit;
+
+use crate::model::tables::new_table;
+
+/// Significant figures of a printed number, less one.
+const FIGURES_AFTER_FIRST: i32 = 3;
+/// Most digits after the decimal point.
+const MOST_DECIMALS: i32 = 9;
+
+/// Writes the report as JSON.
+///
+/// # Errors
+/// A file that cannot be written.
+pub fn write(path: &Path, report: &Report) -> Result<()> {
+    let text = serde_json::to_string_pretty(report)?;
+    std::fs::write(path, text + "\n").with_context(|| format!("cannot write {}", path.display()))
+}
+
+/// The report as a table, with the remarks and the circumstances below.
+pub fn table(report: &Report) -> String {
+    let header = ["slope", "y", "measured at x", "per x", "at 0", "r2", "bend: low, high"];
+    let mut table = new_table(&header, 3);
+    let mut remarks = String::new();
+    for slope in &report.slopes {
+        table.add_row(cells(slope));
+        if !slope.remark.is_empty() {
+            remarks.push('\n');
+            remarks.push_str(&slope.name);
+            remarks.push_str(": ");
+            remarks.push_str(&slope.remark);
+        }
+    }
+    let Machine { cores, processor, memory_mb } = &report.machine;
+    format!(
+        "{table}{remarks}\n\n{cores} cores, {processor}, {memory_mb} MB; revision {}, seed {}{}; {:.0} s",
+        report.revision,
+        report.seed,
+        if report.quick { ", quick: no figures for documents" } else { "" },
+        report.took_s
+    )
+}
+
+fn cells(slope: &Slope) -> Vec<String> {
+    let points: Vec<String> =
+        slope.points.iter().map(|point| format!("{}: {}", point.x, figure(point.y))).collect();
+    let mut cells = vec![slope.name.clone(), slope.y.clone(), points.join("  ")];
+    cells.extend(slope.fit.as_ref().map_or_else(Default::default, fit_cells));
+    cells
+}
+
+fn fit_cells(fit: &Fit) -> [String; 4] {
+    let bend = fit.bend.map(|(low, high)| format!("{}, {}", figure(low), figure(high)));
+    [
+        figure(fit.line.slope),
+        figure(fit.line.intercept),
+        format!("{:.3}", fit.line.r2),
+        bend.unwrap_or_default(),
+    ]
+}
+
+/// A number with four significant figures.
+fn figure(value: f64) -> String {
+    let decimals = if value == 0.0 {
+        0
+    } else {
+        let magnitude = value.abs().log10().floor() as i32;
+        (FIGURES_AFTER_FIRST - magnitude).clamp(0, MOST_DECIMALS)
+    };
+    format!("{value:.*}", decimals as usize)
+}
+
+/// The revision of the repository that this runs in, with a `+` where it was changed since; `unknown` outside of one.
+pub fn revision() -> String {
+    let Some(revision) = git(&["rev-parse", "--short=12", "HEAD"]) else {
+        return "unknown".to_owned();
+    };
+    let changes = git(&["status", "--porcelain", "--untracked-files=no"]);
+    if changes.is_some_and(|changes| !changes.is_empty()) { revision + "+" } else { revision }
+}
+
+/// What git prints; none where it fails.
+fn git(arguments: &[&str]) -> Option<String> {
+    let output = Command::new("git").args(arguments).output().ok()?;
+    output.status.success().then(|| String::from_utf8_lossy(&output.stdout).trim().to_owned())
+}
--- /dev/null
+++ b/crates/cli/src/scale/updates/processes.rs
@@ -0,0 +1,87 @@
+//! Updates of balancers that are processes of their own.
+//!
+//! A process has acted on a version once its next watch asks for what follows it: it hands its policy what it was
+//! notified of before it watches again.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use anyhow::{Result, bail};
+use tokio::time::sleep;
+use zincstand_testbed::balancer::{Balancer, Settings, stop};
+use zincstand_testbed::discovery::{Discovery, Lifecycle, VersionChange};
+use zincstand_testbed::machine::Needs;
+
+use super::PROGRAM_MB;
+use super::lag_slopes::LagSlopes;
+use crate::scale::Bench;
+use crate::scale::watched_discovery::{
+    CHECK_INTERVAL, DRAIN_GRACE, Lags, TIME_LIMIT, entry, list, millis_between,
+};
+
+/// Memory that a process may use, in MB.
+const PROCESS_MB: u32 = 32;
+/// Between two changes: no multiple of a watch's wait, so that they fall on no fixed point of it.
+const PAUSE: Duration = Duration::from_millis(130);
+
+/// Numbers of processes.
+pub fn sizes(bench: &Bench) -> &'static [usize] {
+    if bench.quick { &[5, 10, 15, 20] } else { &[10, 25, 50, 100] }
+}
+
+/// What the largest number of processes needs.
+pub fn needs(bench: &Bench) -> Needs {
+    let processes = sizes(bench).iter().copied().max().unwrap_or(0);
+    let memory_mb = PROGRAM_MB + u64::from(PROCESS_MB) * processes as u64;
+    Needs { processes, memory_mb, descriptors: 0 }
+}
+
+/// Measures the lag of single changes, for each number of processes.
+pub async fn measure(bench: &Bench, upstreams: usize, rounds: u32) -> Result<LagSlopes> {
+    let discovery = Discovery::start()?;
+    discovery.replace(list(upstreams))?;
+    let mut running = Vec::new();
+    let mut slopes = LagSlopes::default();
+    let mut changes = 0;
+    for &processes in sizes(bench) {
+        let mut settings = Settings::alone(discovery.address());
+        settings.balancers = processes as u32;
+        settings.memory_mb = PROCESS_MB;
+        settings.drain_grace_ms = DRAIN_GRACE.as_millis() as u32;
+        while running.len() < processes {
+            running.push(Balancer::start(&bench.balancer, &settings).await?);
+        }
+        let mut lags = Vec::new();
+        for _ in 0..rounds {
+            sleep(PAUSE).await;
+            let change = discovery.change(vec![entry(changes).with_lifecycle(Lifecycle::Draining)])?;
+            changes += 1;
+            lags.push(lags_of(&discovery, change, processes).await?);
+        }
+        slopes.add(processes as u32, &lags);
+    }
+    stop(running).await?;
+    Ok(slopes)
+}
+
+/// Waits until this many watchers have acted on a change; how long after it each did.
+async fn lags_of(discovery: &Discovery, change: VersionChange, watchers: usize) -> Result<Lags> {
+    let give_up_at = Instant::now() + TIME_LIMIT;
+    let mut first_by_connection = BTreeMap::new();
+    while first_by_connection.len() < watchers {
+        for acknowledgement in discovery.take_acknowledgements()? {
+            if acknowledgement.version >= change.version {
+                first_by_connection.entry(acknowledgement.connection).or_insert(acknowledgement.at);
+            }
+        }
+        if Instant::now() > give_up_at {
+            bail!(
+                "only {} of {watchers} processes have taken a change over within {TIME_LIMIT:?}",
+                first_by_connection.len()
+            );
+        }
+        sleep(CHECK_INTERVAL).await;
+    }
+    let lags = first_by_connection.values().map(|at| millis_between(change.at, *at));
+    Ok(Lags::new(lags.collect()))
+}
--- /dev/null
+++ b/crates/cli/src/scale/watched_discovery.rs
@@ -0,0 +1,200 @@
+//! A stand-in discovery with a fleet of hollow balancers that watch it, for the slopes of updates and watchers.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::num::NonZero;
+use std::time::{Duration, Instant};
+
+use anyhow::{Context, Result, bail};
+use tokio::time::sleep;
+use zincstand_policy::{ListKind, ServerState};
+use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle, VersionChange};
+use zincstand_testbed::hollow::{Crowd, Options, Reached, Slow, UpdateMode, descriptors};
+
+/// Grace for drains as in the example of the platform's pages; the discovery client derives its waits from it.
+pub const DRAIN_GRACE: Duration = Duration::from_millis(2_500);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// Zones of the size to design for.
+const ZONES: u32 = 14;
+/// Nothing takes this long; a measurement that does is given up with an error.
+pub const TIME_LIMIT: Duration = Duration::from_secs(30);
+/// Between two checks of a condition. Every figure is timed where it arises, not by these checks.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// One balancer in twenty stalls for four fifths of its time.
+pub const SLOW: Slow =
+    Slow { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
+/// Descriptors beside those of the connections.
+const RESERVED_DESCRIPTORS: u64 = 256;
+/// Threads of the fleet where the number of cores is unknown, times two.
+const DEFAULT_CORES: usize = 4;
+
+/// An entry of the lists; nobody ever calls its address.
+pub fn entry(number: usize) -> Entry {
+    Entry::serving(number, ZONES as usize, SocketAddr::from(([127, 0, 0, 1], 9)))
+}
+
+/// The complete list of this many upstreams.
+pub fn list(upstreams: usize) -> Vec<Entry> {
+    (0..upstreams).map(entry).collect()
+}
+
+/// The time from one instant to another, in milliseconds; 0 if it is the earlier one.
+pub fn millis_between(from: Instant, to: Instant) -> f64 {
+    to.saturating_duration_since(from).as_secs_f64() * 1e3
+}
+
+/// How long after discovery had a change each balancer acted on it, in milliseconds, sorted.
+pub struct Lags(Vec<f64>);
+
+impl Lags {
+    /// Sorts the lags.
+    pub fn new(mut lags: Vec<f64>) -> Lags {
+        lags.sort_by(f64::total_cmp);
+        Lags(lags)
+    }
+
+    /// The median; 0 for none.
+    pub fn median(&self) -> f64 {
+        self.0.get(self.0.len() / 2).copied().unwrap_or(0.0)
+    }
+
+    /// The longest; 0 for none.
+    pub fn last(&self) -> f64 {
+        self.0.last().copied().unwrap_or(0.0)
+    }
+}
+
+/// The lags of one change.
+pub struct ChangeLags {
+    /// Of all balancers.
+    pub all: Lags,
+    /// Of those that are never slow.
+    pub never_slow: Lags,
+}
+
+/// Discovery and its watchers.
+pub struct WatchedDiscovery {
+    /// The watchers. The first field, so that they end before the discovery that they watch.
+    pub fleet: Crowd,
+    /// The discovery.
+    pub discovery: Discovery,
+    balancers: u32,
+    upstreams: usize,
+    /// Entries changed so far.
+    changes: usize,
+}
+
+impl WatchedDiscovery {
+    /// Starts both; returns when each balancer holds the list and watches.
+    ///
+    /// # Errors
+    /// Too few descriptors or threads, or a fleet that is not ready within [`TIME_LIMIT`].
+    pub async fn start(
+        balancers: u32,
+        upstreams: usize,
+        learning: UpdateMode,
+        seed: u64,
+    ) -> Result<WatchedDiscovery> {
+        descriptors(2 * u64::from(balancers) + RESERVED_DESCRIPTORS)?;
+        let discovery = Discovery::start().context("the stand-in discovery")?;
+        discovery.replace(list(upstreams))?;
+        let cores = std::thread::available_parallelism().map_or(DEFAULT_CORES, NonZero::get);
+        let options = Options {
+            balancers,
+            threads: (cores / 2).max(1) as u32,
+            discovery: discovery.address(),
+            learning,
+            drain_grace: DRAIN_GRACE,
+            ask_within: MAX_POLL_INTERVAL,
+            zones: ZONES,
+            slow: Some(SLOW),
+            seed,
+        };
+        let fleet = Crowd::start(&options).context("the hollow balancers")?;
+        let watched = WatchedDiscovery { fleet, discovery, balancers, upstreams, changes: 0 };
+        watched.first_lists(|list| list.kind == ListKind::Snapshot && list.entries == upstreams).await?;
+        watched.all_watching().await?;
+        Ok(watched)
+    }
+
+    /// Waits until a list for which `is_wanted` holds has reached every balancer; when the first one did, by balancer.
+    ///
+    /// # Errors
+    /// Balancers that it has not reached within [`TIME_LIMIT`].
+    pub async fn first_lists(&self, is_wanted: impl Fn(&Reached) -> bool) -> Result<BTreeMap<u32, Instant>> {
+        let give_up_at = Instant::now() + TIME_LIMIT;
+        let mut first = BTreeMap::new();
+        loop {
+            for reached in self.fleet.reached().filter(&is_wanted) {
+                first.entry(reached.balancer).or_insert(reached.at);
+            }
+            if first.len() == self.balancers as usize {
+                return Ok(first);
+            }
+            if Instant::now() > give_up_at {
+                bail!("only {} of {} balancers were told within {TIME_LIMIT:?}", first.len(), self.balancers);
+            }
+            sleep(CHECK_INTERVAL).await;
+        }
+    }
+
+    /// Waits until all balancers watch; the counters then.
+    ///
+    /// # Errors
+    /// Balancers that do not watch within [`TIME_LIMIT`].
+    pub async fn all_watching(&self) -> Result<Counters> {
+        let give_up_at = Instant::now() + TIME_LIMIT;
+        // At rest a few are always between two watches.
+        let enough = u64::from(self.balancers - self.balancers / 100);
+        loop {
+            let counters = self.discovery.counters()?;
+            if counters.waiting_watches >= enough {
+                return Ok(counters);
+            }
+            if Instant::now() > give_up_at {
+                bail!(
+                    "only {} of {} balancers watch after {TIME_LIMIT:?}",
+                    counters.waiting_watches,
+                    self.balancers
+                );
+            }
+            sleep(CHECK_INTERVAL).await;
+        }
+    }
+
+    /// Makes changes of one entry each, as fast as discovery takes them, and marks the last entry. Returns the first
+    /// change.
+    ///
+    /// # Errors
+    /// Discovery has ended, or no change was asked for.
+    pub fn change(&mut self, times: usize) -> Result<VersionChange> {
+        let last = entry((self.changes + times - 1) % self.upstreams);
+        self.fleet.mark(&last.instance_id, ServerState::Draining);
+        let mut first = None;
+        for _ in 0..times {
+            let entry = entry(self.changes % self.upstreams).with_lifecycle(Lifecycle::Draining);
+            self.changes += 1;
+            let change = self.discovery.change(vec![entry])?;
+            first.get_or_insert(change);
+        }
+        first.context("no change")
+    }
+
+    /// Waits until all balancers have acted on the marked entry; how long after `change` each did.
+    ///
+    /// # Errors
+    /// Balancers that have not within [`TIME_LIMIT`].
+    pub async fn lags(&self, change: VersionChange) -> Result<ChangeLags> {
+        let first = self.first_lists(|list| list.marked && list.at > change.at).await?;
+        let mut all = Vec::new();
+        let mut never_slow = Vec::new();
+        for (balancer, reached_at) in first {
+            let lag = millis_between(change.at, reached_at);
+            all.push(lag);
+            if !self.fleet.is_slow(balancer) {
+                never_slow.push(lag);
+            }
+        }
+        Ok(ChangeLags { all: Lags::new(all), never_slow: Lags::new(never_slow) })
+    }
+}
--- /dev/null
+++ b/crates/cli/src/scale/watchers/mod.rs
@@ -0,0 +1,297 @@
+//! The slope of watchers: what discovery's side costs at rest, at a change, and when all watches break at once.
+
+mod slopes;
+
+use std::time::{Duration, Instant};
+
+use anyhow::Result;
+use tokio::time::sleep;
+use zincstand_policy::ListKind;
+use zincstand_testbed::discovery::{Mode, TRAFFIC_BUCKET, Traffic};
+use zincstand_testbed::hollow::{Hush, UpdateMode};
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
+
+use self::slopes::Slopes;
+use super::watched_discovery::{WatchedDiscovery, list, millis_between};
+use super::{Bench, Plan, updates};
+
+/// What is said of every figure of processor time.
+const STAND_IN: &str = "of the stand-in's one thread, not of a product";
+/// Upstreams in the list where its length plays no part.
+const SHORT_LIST: usize = 200;
+/// Balancers of the size to design for, and the machines set aside for control.
+const FLEET: f64 = 2_000.0;
+const MACHINES: f64 = 15.0;
+/// How long discovery is watched at rest.
+const REST: Duration = Duration::from_secs(3);
+const QUICK_REST: Duration = Duration::from_secs(1);
+/// How long discovery is down or silent: longer than the longest that a watch waits for a response, which is 1.5 s with
+/// the settings used here.
+const OUTAGE: Duration = Duration::from_secs(2);
+const QUICK_OUTAGE: Duration = Duration::from_millis(600);
+/// Changes whose mean cost is measured.
+const CHANGES: u32 = 10;
+const QUICK_CHANGES: u32 = 3;
+
+/// How much is measured.
+struct Extent {
+    /// Numbers of balancers.
+    balancers: &'static [u32],
+    upstreams: usize,
+    rest: Duration,
+    outage: Duration,
+    changes: u32,
+}
+
+impl Extent {
+    fn new(bench: &Bench) -> Extent {
+        if bench.quick {
+            return Extent {
+                balancers: &[25, 50, 100, 200],
+                upstreams: 500,
+                rest: QUICK_REST,
+                outage: QUICK_OUTAGE,
+                changes: QUICK_CHANGES,
+            };
+        }
+        Extent {
+            balancers: &[100, 500, 1_000, 2_000],
+            upstreams: 2_000,
+            rest: REST,
+            outage: OUTAGE,
+            changes: CHANGES,
+        }
+    }
+}
+
+/// What the measurement starts and needs.
+pub fn plan(bench: &Bench) -> Plan {
+    let Extent { balancers, upstreams, .. } = Extent::new(bench);
+    let description =
+        format!("watchers: {balancers:?} hollow balancers in turn, each with {upstreams} upstreams");
+    Plan { description, needs: updates::fleet_needs(bench) }
+}
+
+/// Measures each number of balancers in turn.
+pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
+    let _quiet = Hush::begin()?;
+    let extent = Extent::new(bench);
+    let mut slopes = Slopes::default();
+    for &balancers in extent.balancers {
+        let watched =
+            WatchedDiscovery::start(balancers, extent.upstreams, UpdateMode::Push, bench.seed).await?;
+        let mut run = Run { watched, balancers: f64::from(balancers), slopes: &mut slopes };
+        run.after_start()?;
+        run.at_rest(extent.rest).await?;
+        run.at_a_change(extent.changes).await?;
+        run.complete_list(extent.upstreams).await?;
+        run.broken_watches("all watches broken").await?;
+        run.outage(extent.outage).await?;
+        run.silence(extent.outage).await?;
+    }
+    if !bench.quick {
+        let most = extent.balancers.iter().copied().max().unwrap_or(0);
+        let watched = WatchedDiscovery::start(most, SHORT_LIST, UpdateMode::Poll, bench.seed).await?;
+        let mut run = Run { watched, balancers: f64::from(most), slopes: &mut slopes };
+        run.broken_watches("all watches broken, asking").await?;
+    }
+    add_remarks(&mut slopes, &extent);
+    let mut slopes = slopes.fitted();
+    slopes.extend(one_machine(&slopes));
+    Ok(slopes)
+}
+
+fn add_remarks(slopes: &mut Slopes, extent: &Extent) {
+    let outage = extent.outage;
+    slopes.remark("at rest", format!("{} upstreams; processor time is that {STAND_IN}", extent.upstreams));
+    slopes.remark(
+        "all started together",
+        "more than one each: an answer took longer than a balancer waits for it",
+    );
+    slopes.remark("all watches broken", "a change is made at the same moment");
+    slopes.remark("back from an outage", format!("after {outage:?} in which connections are refused"));
+    slopes.remark("in silence", format!("{outage:?} in which nothing is answered"));
+    slopes.remark("back from silence", "calls that were held are answered at its end");
+    slopes
+        .remark("all watches broken, asking", "the module asks for its watch, within `AskWithinMs` of 10 s");
+}
+
+/// The measurements with one number of balancers.
+struct Run<'a> {
+    watched: WatchedDiscovery,
+    /// Number of balancers: the x of every point.
+    balancers: f64,
+    slopes: &'a mut Slopes,
+}
+
+impl Run<'_> {
+    fn add(&mut self, name: &str, unit: &str, value: f64) {
+        self.slopes.add(name, unit, self.balancers, value);
+    }
+
+    /// What the start of all balancers took.
+    fn after_start(&mut self) -> Result<()> {
+        let started = self.watched.discovery.counters()?.total;
+        self.add("all started together", "connections", started.connections as f64);
+        self.add("all started together", "whole lists", started.snapshots as f64);
+        Ok(())
+    }
+
+    /// What passes while nothing changes.
+    async fn at_rest(&mut self, rest: Duration) -> Result<()> {
+        let before = self.watched.discovery.counters()?;
+        let fleet_before = self.watched.fleet.processor();
+        let began = Instant::now();
+        sleep(rest).await;
+        let after = self.watched.discovery.counters()?;
+        let seconds = began.elapsed().as_secs_f64();
+        let passed = after.total.since(&before.total);
+        self.add("at rest", "connections open", after.open_connections as f64);
+        self.add("at rest", "calls a second", passed.requests as f64 / seconds);
+        self.add("at rest", "bytes in a second", passed.bytes_in as f64 / seconds);
+        self.add("at rest", "bytes out a second", passed.bytes_out as f64 / seconds);
+        let percent_of_core = |spent: Duration| spent.as_secs_f64() / seconds * 100.0;
+        let discovery_spent = after.processor_time.saturating_sub(before.processor_time);
+        self.add("at rest", "% of a core", percent_of_core(discovery_spent));
+        let fleet_spent = self.watched.fleet.processor().saturating_sub(fleet_before);
+        self.add("at rest, all balancers", "% of a core", percent_of_core(fleet_spent));
+        Ok(())
+    }
+
+    /// What a change of one entry takes, in the mean of some.
+    async fn at_a_change(&mut self, changes: u32) -> Result<()> {
+        let before = self.watched.all_watching().await?;
+        for _ in 0..changes {
+            let change = self.watched.change(1)?;
+            self.watched.lags(change).await?;
+            self.watched.all_watching().await?;
+        }
+        let after = self.watched.discovery.counters()?;
+        let passed = after.total.since(&before.total);
+        let changes = f64::from(changes);
+        self.add("at a change", "calls", passed.requests as f64 / changes);
+        self.add("at a change", "bytes in", passed.bytes_in as f64 / changes);
+        self.add("at a change", "bytes out", passed.bytes_out as f64 / changes);
+        self.add("at a change", "whole lists", passed.snapshots as f64 / changes);
+        let spent = after.processor_time.saturating_sub(before.processor_time);
+        self.add("at a change", "ms of processor", spent.as_secs_f64() * 1e3 / changes);
+        Ok(())
+    }
+
+    /// What it takes to send every balancer the complete list.
+    async fn complete_list(&mut self, upstreams: usize) -> Result<()> {
+        let before = self.watched.all_watching().await?;
+        let fleet_before = self.watched.fleet.processor();
+        let change = self.watched.discovery.replace(list(upstreams))?;
+        let reached =
+            self.watched.first_lists(|list| list.kind == ListKind::Snapshot && list.at > change.at).await?;
+        let after = self.watched.all_watching().await?;
+        let passed = after.total.since(&before.total);
+        let bytes_per_list = passed.bytes_out as f64 / passed.snapshots.max(1) as f64;
+        self.add("whole list to all", "whole lists", passed.snapshots as f64);
+        self.add("whole list to all", "bytes out", passed.bytes_out as f64);
+        self.add("whole list to all", "bytes a list", bytes_per_list);
+        let spent = after.processor_time.saturating_sub(before.processor_time);
+        self.add("whole list to all", "ms of processor", spent.as_secs_f64() * 1e3);
+        let last = reached.values().max().map_or(0.0, |last| millis_between(change.at, *last));
+        self.add("whole list to all", "ms until the last acts on it", last);
+        let fleet_spent = self.watched.fleet.processor().saturating_sub(fleet_before);
+        let millis_per_balancer = fleet_spent.as_secs_f64() * 1e3 / self.balancers;
+        self.add("whole list, a balancer", "ms of processor", millis_per_balancer);
+        Ok(())
+    }
+
+    /// All watches break at once.
+    async fn broken_watches(&mut self, name: &str) -> Result<()> {
+        let before = self.watched.all_watching().await?.total;
+        let closed = self.watched.discovery.close_connections()?;
+        self.recovery(name, closed.at, before).await
+    }
+
+    /// Discovery refuses connections for a while.
+    async fn outage(&mut self, outage: Duration) -> Result<()> {
+        self.watched.discovery.set_mode(Mode::Down)?;
+        sleep(outage).await;
+        let before = self.watched.discovery.counters()?.total;
+        let up = self.watched.discovery.set_mode(Mode::Up)?;
+        self.recovery("back from an outage", up.at, before).await
+    }
+
+    /// Discovery does not answer for a while.
+    async fn silence(&mut self, silence: Duration) -> Result<()> {
+        let before = self.watched.all_watching().await?.total;
+        self.watched.discovery.set_mode(Mode::Silent)?;
+        sleep(silence).await;
+        let silent = self.watched.discovery.counters()?.total;
+        self.add("in silence", "connections", silent.since(&before).connections as f64);
+        let up = self.watched.discovery.set_mode(Mode::Up)?;
+        self.recovery("back from silence", up.at, silent).await
+    }
+
+    /// How all balancers recover, from the moment in which they could.
+    async fn recovery(&mut self, name: &str, from: Instant, before: Traffic) -> Result<()> {
+        // What was sent before `from` is over; a change made now ends the recovery of whoever acts on it.
+        let change = self.watched.change(1)?;
+        let lags = self.watched.lags(change).await?;
+        let counters = self.watched.all_watching().await?;
+        let passed = counters.total.since(&before);
+        let busiest = busiest_bucket(counters.buckets_from(from));
+        let millis_to_busiest = busiest.index as f64 * TRAFFIC_BUCKET.as_secs_f64() * 1e3;
+        self.add(name, "connections", passed.connections as f64);
+        self.add(name, "connections in the busiest 100 ms", busiest.connections as f64);
+        self.add(name, "ms to the start of the busiest 100 ms", millis_to_busiest);
+        self.add(name, "calls", passed.requests as f64);
+        self.add(name, "whole lists", passed.snapshots as f64);
+        self.add(name, "bytes out", passed.bytes_out as f64);
+        self.add(name, "ms until the last acts on a change made at once", lags.all.last());
+        Ok(())
+    }
+}
+
+/// The bucket of time with the most connections.
+#[derive(Default)]
+struct BusiestBucket {
+    /// Its index, from 0.
+    index: usize,
+    connections: u64,
+}
+
+/// The first of the buckets with the most connections.
+fn busiest_bucket(buckets: &[Traffic]) -> BusiestBucket {
+    let mut busiest = BusiestBucket::default();
+    for (index, bucket) in buckets.iter().enumerate() {
+        if bucket.connections > busiest.connections {
+            busiest = BusiestBucket { index, connections: bucket.connections };
+        }
+    }
+    busiest
+}
+
+/// What one of the machines set aside for control carries, computed from the lines of the whole fleet.
+fn one_machine(measured: &[Slope]) -> Vec<Slope> {
+    let share = (FLEET / MACHINES).round();
+    let names = [
+        "at rest, calls a second",
+        "at rest, bytes in a second",
+        "at rest, bytes out a second",
+        "at rest, % of a core",
+        "at a change, bytes out",
+        "at a change, ms of processor",
+        "whole list to all, bytes out",
+        "whole list to all, ms of processor",
+    ];
+    let at_share = |name: &&str| {
+        let slope = measured.iter().find(|slope| slope.name == format!("watchers: {name}"))?;
+        let line = slope.fit.as_ref()?.line;
+        let points = vec![Point { x: share, y: line.intercept + line.slope * share }];
+        let name = format!("watchers: one of 15 machines, {name}");
+        Some(Slope::new(name, "watchers", &slope.y, points))
+    };
+    let mut slopes: Vec<Slope> = names.iter().filter_map(at_share).collect();
+    if let Some(first) = slopes.first_mut() {
+        first.remark =
+            String::from("the 15th part of the fleet; reckoned from the lines of the measured points");
+    }
+    slopes
+}
--- /dev/null
+++ b/crates/cli/src/scale/watchers/slopes.rs
@@ -0,0 +1,35 @@
+//! Slopes whose points are added size by size.
+
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
+
+/// Slopes under way, in the order in which they were first named.
+#[derive(Default)]
+pub struct Slopes(Vec<Slope>);
+
+impl Slopes {
+    /// Adds the point of one quantity, measured in `unit`, in the situation `name`.
+    pub fn add(&mut self, name: &str, unit: &str, x: f64, y: f64) {
+        let name = format!("watchers: {name}, {unit}");
+        let point = Point { x, y };
+        match self.0.iter_mut().find(|slope| slope.name == name) {
+            Some(slope) => slope.points.push(point),
+            None => self.0.push(Slope::new(name, "watchers", unit, vec![point])),
+        }
+    }
+
+    /// Sets the remark of a situation, at the first of its slopes.
+    pub fn remark(&mut self, name: &str, remark: impl Into<String>) {
+        let prefix = format!("watchers: {name}, ");
+        if let Some(slope) = self.0.iter_mut().find(|slope| slope.name.starts_with(&prefix)) {
+            slope.remark = remark.into();
+        }
+    }
+
+    /// All of them, fitted.
+    pub fn fitted(self) -> Vec<Slope> {
+        let fitted =
+            |slope: Slope| Slope::new(slope.name, &slope.x, &slope.y, slope.points).remark(slope.remark);
+        self.0.into_iter().map(fitted).collect()
+    }
+}
