--- a/crates/fleet-model/benches/days.rs
+++ b/crates/fleet-model/benches/days.rs
@@ -1,4 +1,4 @@
-//! What a day of the model costs: `cargo bench -p zincstand-fleet`.
+//! Time that playing a day of the model takes: `cargo bench -p zincstand-fleet-model --bench days`.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -9,63 +9,76 @@
 use zincstand_fleet_model::policy::Kind;
 use zincstand_fleet_model::{Span, play};
 
+/// The decision module, and a cheap baseline that shows the cost of the world alone.
+const POLICIES: [Kind; 2] = [Kind::Module, Kind::TwoChoices];
+
 fn drawn(kind: &str, size: Size) -> Day {
-    kinds::draw(kind, 1, size).expect("a kind that is known")
+    kinds::draw(kind, 1, size).expect("the catalog has this kind")
 }
 
 /// The day in service: 8 + 9 servers, 69 requests a second, 60 s.
-fn service() -> Day {
+fn service_day() -> Day {
     let mut day = drawn("errors+heavy+deploy", Size::Site);
-    (day.tiers[0].servers, day.tiers[1].servers) = (vec![4, 4], vec![5, 4]);
-    (day.load.rate, day.length) = (69.0, Span::s(60.0));
-    day.faults.retain(|f| f.which.iter().all(|w| *w < 8));
+    day.tiers[0].servers = vec![4, 4];
+    day.tiers[1].servers = vec![5, 4];
+    day.load.rate = 69.0;
+    day.length = Span::s(60.0);
+    day.faults.retain(|fault| fault.which.iter().all(|server| *server < 8));
     day
 }
 
-fn one_day(c: &mut Criterion) {
-    let day = service();
-    let mut group = c.benchmark_group("60 s, 8 + 9 servers, 69 a second");
+fn bench_service_day(criterion: &mut Criterion) {
+    let day = service_day();
+    let mut group = criterion.benchmark_group("60 s, 8 + 9 servers, 69 a second");
     group.measurement_time(Duration::from_secs(5)).sample_size(20);
-    for kind in [Kind::Module, Kind::TwoChoices] {
-        group.bench_function(kind.name(), |b| b.iter(|| play(black_box(&day), kind, false)));
+    for kind in POLICIES {
+        group.bench_function(kind.name(), |bencher| bencher.iter(|| play(black_box(&day), kind, false)));
     }
     group.finish();
 }
 
-/// The same load a server on ever more servers: time for an event shows what grows with the fleet.
-fn growth(c: &mut Criterion) {
-    let mut group = c.benchmark_group("an event, by servers");
+/// A day of half the vast fleet times `factor`, with the same load for each server.
+fn grown_day(factor: u32) -> Day {
+    let mut day = drawn("deploy", Size::Vast);
+    for count in day.tiers.iter_mut().flat_map(|tier| &mut tier.servers) {
+        *count = *count * factor / 2;
+    }
+    day.faults.clear();
+    day.load.rate *= f64::from(factor) / 2.0;
+    day.length = Span::s(10.0);
+    let balancers = day.balancers.zones.len() * factor as usize / 2;
+    day.balancers.zones = day.balancers.zones.iter().cycle().take(balancers).cloned().collect();
+    day
+}
+
+/// Time for an event on ever larger fleets shows what grows with the number of servers.
+fn bench_growth(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("an event, by servers");
     group.measurement_time(Duration::from_secs(5)).sample_size(10);
-    for times in [1u32, 2, 4, 8] {
-        let mut day = drawn("deploy", Size::Vast);
-        for tier in &mut day.tiers {
-            tier.servers.iter_mut().for_each(|n| *n = *n * times / 2);
-        }
-        day.faults.clear();
-        day.load.rate *= f64::from(times) / 2.0;
-        day.length = Span::s(10.0);
-        let most = day.balancers.zones.len() * times as usize / 2;
-        day.balancers.zones = day.balancers.zones.iter().cycle().take(most).cloned().collect();
-        let servers: u32 = day.tiers.iter().flat_map(|t| &t.servers).sum();
-        for kind in [Kind::Module, Kind::TwoChoices] {
-            let events = play(&day, kind, false).map_or(0, |p| p.result.events);
+    for factor in [1u32, 2, 4, 8] {
+        let day = grown_day(factor);
+        let servers: u32 = day.tiers.iter().flat_map(|tier| &tier.servers).sum();
+        for kind in POLICIES {
+            let events = play(&day, kind, false).map_or(0, |played| played.result.events);
             group.throughput(Throughput::Elements(events));
             let id = BenchmarkId::new(kind.name(), servers);
-            group.bench_function(id, |b| b.iter(|| play(black_box(&day), kind, false)));
+            group.bench_function(id, |bencher| bencher.iter(|| play(black_box(&day), kind, false)));
         }
     }
     group.finish();
 }
 
-fn vast(c: &mut Criterion) {
-    let mut group = c.benchmark_group("100 balancers, 60 servers");
+fn bench_vast_days(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("100 balancers, 60 servers");
     group.measurement_time(Duration::from_secs(10)).sample_size(10);
     for kind in ["deploy", "zone", "join"] {
         let day = drawn(kind, Size::Vast);
-        group.bench_function(kind, |b| b.iter(|| play(black_box(&day), Kind::Module, false)));
+        group.bench_function(kind, |bencher| {
+            bencher.iter(|| play(black_box(&day), Kind::Module, false));
+        });
     }
     group.finish();
 }
 
-criterion_group!(benches, one_day, growth, vast);
+criterion_group!(benches, bench_service_day, bench_growth, bench_vast_days);
 criterion_main!(benches);
--- a/crates/fleet-model/tests/ramp.rs
+++ b/crates/fleet-model/tests/ramp.rs
@@ -1,13 +1,13 @@
-//! Cold servers are not pushed over by the sum of what all balancers send.
+//! Cold servers are not overloaded by the sum of what all balancers send.
 
 use zincstand_fleet_model::policy::Kind;
 use zincstand_fleet_model::ramp::{self, RuleOverrides, Shape};
 
-/// A rule that few requests break: a server starts with a seventh of its capacity.
+/// Rules that few requests break: a server starts with about a seventh of its capacity.
 const STRICT: RuleOverrides = RuleOverrides { overload_factor: Some(2.0), cold_from: Some(0.15) };
 
 #[test]
-fn no_cold_server_falls_to_balancers_that_were_told_whatever_their_number() {
+fn informed_balancers_overload_no_cold_server_whatever_their_number() {
     for (balancers, seeds) in [(2, 1..=3), (30, 1..=3), (100, 1..=2)] {
         for shape in Shape::ALL {
             for seed in seeds.clone() {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_policy_that_spares_no_cold_server_is_seen_to_push_it_over() {
+fn a_policy_that_spares_no_cold_server_is_found_to_overload_it() {
     let day = ramp::day(Shape::Release, 30, 1, STRICT).unwrap();
     let played = ramp::play(&day, Kind::RoundRobin).unwrap();
     assert!(played.overloaded.informed > 0 && played.informed_excess > 2.0, "{played:?}");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn shares_that_fit_no_balancers_are_told() {
+fn traffic_shares_that_do_not_match_the_balancers_are_rejected() {
     let mut day = ramp::day(Shape::Restart, 8, 1, RuleOverrides::default()).unwrap();
     assert!(day.balancers.shares.iter().any(|s| *s > 1.5), "traffic is uneven: {:?}", day.balancers.shares);
     day.balancers.shares.pop();
--- a/crates/fleet-model/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -1,4 +1,4 @@
-//! The world does what its description says, and its judge sees what a policy does wrong.
+//! The simulated world keeps to its description, and the rules' check finds what a policy does wrong.
 
 use zincstand_fleet_model::day::{Choke, Day, Effect, Fault, FaultKind};
 use zincstand_fleet_model::judge::{Cause, Rule};
@@ -7,22 +7,35 @@
 use zincstand_fleet_model::{Played, Span, Truth, play, play_with};
 use zincstand_policy::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
 
-/// A day without chance: one class of equal requests, servers alike, nothing jitters.
+/// A day without randomness: one class of equal requests, equal servers, no jitter.
 fn plain(servers: u32, rate: f64) -> Day {
     let mut day = kinds::draw("calm", 1, Size::Small).unwrap();
     day.zones = vec!["a".to_owned()];
     day.balancers.zones = vec!["a".to_owned()];
     day.load.zone_shares = vec![1.0];
-    (day.load.rate, day.load.swing, day.length) = (rate, 0.0, Span::s(10.0));
-    (day.network.jitter, day.clients.impatient, day.clients.retries) = (0.0, 0.0, 0);
+    day.load.rate = rate;
+    day.load.swing = 0.0;
+    day.length = Span::s(10.0);
+    day.network.jitter = 0.0;
+    day.clients.impatient = 0.0;
+    day.clients.retries = 0;
     day.tiers.truncate(1);
-    let t = &mut day.tiers[0];
-    (t.servers, t.calls, t.work, t.speed, t.speed_cv) = (vec![servers], 0.0, 1.0, 1.0, 0.0);
-    (t.pause, t.error_rate, t.choke) = (Span(0), 0.0, None);
-    (t.connections.handshake_work, t.connections.full_tax) = (Span(0), 0.0);
+    let tier = &mut day.tiers[0];
+    tier.servers = vec![servers];
+    tier.calls = 0.0;
+    tier.work = 1.0;
+    tier.speed = 1.0;
+    tier.speed_cv = 0.0;
+    tier.pause = Span(0);
+    tier.error_rate = 0.0;
+    tier.choke = None;
+    tier.connections.handshake_work = Span(0);
+    tier.connections.full_tax = 0.0;
     day.classes.truncate(1);
-    let c = &mut day.classes[0];
-    (c.cv, c.attempt_noise, c.work) = (0.0, 0.0, Span::ms(20.0));
+    let class = &mut day.classes[0];
+    class.cv = 0.0;
+    class.attempt_noise = 0.0;
+    class.work = Span::ms(20.0);
     day.tenants.clear();
     day
 }
@@ -36,7 +49,7 @@
 
 type Decide = fn(&mut Scripted, Micros, Event, &mut Vec<Action>);
 
-/// A policy that does one wrong thing.
+/// A policy that decides by a function of its test, mostly one that breaks a rule.
 struct Scripted {
     decide: Decide,
     servers: Vec<ServerEntry>,
@@ -48,9 +61,9 @@
             if *kind != ListKind::Delta {
                 self.servers.clear();
             }
-            for e in entries {
-                self.servers.retain(|s| s.id != e.id);
-                self.servers.push(e.clone());
+            for entry in entries {
+                self.servers.retain(|server| server.id != entry.id);
+                self.servers.push(entry.clone());
             }
         }
         (self.decide)(self, now, event, actions);
@@ -70,22 +83,22 @@
 }
 
 fn rules(played: &Played) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = played.result.breaches.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<Rule> = played.result.breaches.iter().map(|breach| breach.rule).collect();
     rules.dedup();
     rules
 }
 
 #[test]
-fn a_lone_request_takes_its_work_and_its_way() {
+fn a_lone_request_takes_its_work_and_the_network_latency() {
     let mut day = plain(1, 2.0);
-    // Both ways of client and server, three trips of a handshake before the first.
-    let way = 2.0 * (day.network.client.secs() + day.network.same_zone.secs());
-    day.classes[0].aim = Span::s(0.020 + way + 0.001);
+    // To and from the client and the server; a first connection takes a handshake of three trips more.
+    let latency = 2.0 * (day.network.client.secs() + day.network.same_zone.secs());
+    day.classes[0].aim = Span::s(0.020 + latency + 0.001);
     let played = play(&day, Kind::Random, false).unwrap();
     let ends = played.result.ends;
     assert!(ends.served + ends.late >= 10, "{ends:?}");
-    assert!(ends.late <= ends.served / 3, "answers take longer than work and way: {ends:?}");
-    day.classes[0].aim = Span::s(0.020 + way - 0.0005);
+    assert!(ends.late <= ends.served / 3, "answers take longer than work and latency: {ends:?}");
+    day.classes[0].aim = Span::s(0.020 + latency - 0.0005);
     let played = play(&day, Kind::Random, false).unwrap();
     assert_eq!(played.result.ends.served, 0, "answers come before their work is done");
 }
@@ -96,10 +109,11 @@
     let served = |rate: f64| {
         let mut day = plain(2, rate);
         day.tiers[0].thrash = 0.0;
-        let r = play(&day, Kind::Module, false).unwrap().result;
-        f64::from(r.ends.served + r.ends.late) / day.length.secs()
+        let ends = play(&day, Kind::Module, false).unwrap().result.ends;
+        f64::from(ends.served + ends.late) / day.length.secs()
     };
-    let (under, over) = (served(150.0), served(600.0));
+    let under = served(150.0);
+    let over = served(600.0);
     assert!((135.0..165.0).contains(&under), "{under} of 150 a second");
     assert!((150.0..=215.0).contains(&over), "{over} of 600 a second, with room for 200");
 }
@@ -109,10 +123,11 @@
     let day = kinds::draw("errors+deploy+heavy", 5, Size::Small).unwrap();
     let once = || serde_json::to_string(&play(&day, Kind::Module, true).unwrap().result).unwrap();
     let first = once();
-    let others: Vec<String> = std::thread::scope(|s| {
-        (0..4).map(|_| s.spawn(once)).collect::<Vec<_>>().into_iter().map(|t| t.join().unwrap()).collect()
+    let others: Vec<String> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..4).map(|_| scope.spawn(once)).collect();
+        threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    assert!(others.iter().all(|o| *o == first));
+    assert!(others.iter().all(|other| *other == first));
 }
 
 #[test]
@@ -121,19 +136,20 @@
     assert_eq!(rules(&played), [Rule::Lost]);
     assert_eq!(played.result.broken, played.result.requests);
     let breach = &played.result.breaches[0];
-    assert!(breach.before.iter().any(|n| n.contains("came")), "{breach:?}");
+    assert!(breach.before.iter().any(|event| event.contains("came")), "{breach:?}");
 }
 
 #[test]
 fn a_keyed_request_sent_again_elsewhere_is_a_duplicate() {
     let mut day = plain(12, 20.0);
-    (day.classes[0].effect, day.classes[0].repeats_dropped) = (Effect::Keyed, Span::s(10.0));
+    day.classes[0].effect = Effect::Keyed;
+    day.classes[0].repeats_dropped = Span::s(10.0);
     day.tiers[0].cell_size = 1;
     day.faults.push(fault(FaultKind::FastErrors, 0.0, 10.0));
-    let played = scripted(&day, |me, _, event, actions| match event {
-        Event::Request { id, .. } => actions.push(send(id, me.servers[0].id)),
+    let played = scripted(&day, |policy, _, event, actions| match event {
+        Event::Request { id, .. } => actions.push(send(id, policy.servers[0].id)),
         Event::Outcome { request, finished: false, attempt: 0, .. } => {
-            actions.push(send(request, me.servers[1].id));
+            actions.push(send(request, policy.servers[1].id));
         }
         Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
@@ -142,15 +158,17 @@
 }
 
 #[test]
-fn sends_to_a_server_that_drains_break_the_rule_after_its_grace() {
+fn sends_to_a_draining_server_break_the_rule_after_its_grace() {
     let mut day = plain(2, 40.0);
     let mut drains = fault(FaultKind::RollingDeploy, 1.0, 8.0);
-    (drains.which, drains.drain) = (vec![0], Span::s(8.0));
+    drains.which = vec![0];
+    drains.drain = Span::s(8.0);
     day.faults.push(drains);
-    (day.discovery.notice, day.discovery.period) = (Span::s(1.0), Span::s(0.1));
-    let stubborn: Decide = |me, _, event, actions| match event {
+    day.discovery.notice = Span::s(1.0);
+    day.discovery.period = Span::s(0.1);
+    let stubborn: Decide = |policy, _, event, actions| match event {
         Event::Request { id, .. } => {
-            let first = me.servers.iter().map(|s| s.id).min().unwrap();
+            let first = policy.servers.iter().map(|server| server.id).min().unwrap();
             actions.push(send(id, first));
         }
         Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
@@ -158,7 +176,7 @@
     };
     let played = scripted(&day, stubborn);
     assert_eq!(rules(&played), [Rule::Drain]);
-    // Noticed a second after its start at 1 s, told soon after, and 2.5 s of grace.
+    // Noticed a second after its begin at 1 s, balancers notified soon after, and 2.5 s of grace.
     let first = played.result.breaches[0].at as f64 / 1e6;
     assert!((4.5..5.2).contains(&first), "first breach at {first} s");
     day.rules.drain_grace = Span::s(20.0);
@@ -166,16 +184,18 @@
 }
 
 #[test]
-fn a_cold_server_that_gets_all_calls_falls_over_and_the_rule_is_broken() {
+fn a_cold_server_that_gets_all_calls_collapses_and_the_rule_is_broken() {
     let mut day = plain(12, 700.0);
     let mut restarts = fault(FaultKind::RollingDeploy, 1.0, 1.0);
-    (restarts.which, restarts.drain) = (vec![3], Span::s(0.1));
+    restarts.which = vec![3];
+    restarts.drain = Span::s(0.1);
     day.faults.push(restarts);
     day.tiers[0].warm_after = Span::s(8.0);
-    let played = scripted(&day, |me, _, event, actions| match event {
+    let played = scripted(&day, |policy, _, event, actions| match event {
         Event::Request { id, .. } => {
-            let cold = me.servers.iter().find(|s| s.started.is_some() && s.state == ServerState::Ready);
-            let other = me.servers.iter().find(|s| s.state == ServerState::Ready);
+            let ready = |server: &&ServerEntry| server.state == ServerState::Ready;
+            let cold = policy.servers.iter().filter(ready).find(|server| server.started.is_some());
+            let other = policy.servers.iter().find(ready);
             match cold.or(other) {
                 Some(server) => actions.push(send(id, server.id)),
                 None => actions.push(Action::Fail { request: id }),
@@ -190,11 +210,12 @@
 }
 
 #[test]
-fn probes_take_their_way_cost_work_and_have_their_price() {
+fn health_checks_take_time_cost_work_and_have_their_price() {
     let mut day = plain(1, 60.0);
-    (day.tiers[0].probe_work, day.prices.probe) = (Span::ms(10.0), 0.01);
-    let decide = |probes: bool| -> Decide {
-        if probes {
+    day.tiers[0].probe_work = Span::ms(10.0);
+    day.prices.probe = 0.01;
+    let decide = |checks_health: bool| -> Decide {
+        if checks_health {
             |_, now, event, actions| match event {
                 Event::Request { id, .. } => actions.extend([Action::HealthCheck { server: 0 }, send(id, 0)]),
                 Event::HealthChecked { latency, .. } => assert!(latency > 0 && now > latency, "{latency}"),
@@ -209,15 +230,17 @@
             }
         }
     };
-    // Two cores have room for 100 requests of 20 ms a second, of which 60 come; as many probes of 10 ms more crowd them.
+    // Two cores have room for 100 requests of 20 ms a second, of which 60 come; as many health checks of 10 ms
+    // more crowd them.
     day.classes[0].aim = Span::ms(40.0);
-    let (without, with) = (scripted(&day, decide(false)).result, scripted(&day, decide(true)).result);
+    let without = scripted(&day, decide(false)).result;
+    let with = scripted(&day, decide(true)).result;
     assert!(with.prices > without.prices + 0.009, "{} after {}", with.prices, without.prices);
     assert!(with.ends.late > without.ends.late, "{:?} after {:?}", with.ends, without.ends);
 }
 
 #[test]
-fn losses_are_told_with_their_cause_and_server() {
+fn losses_are_reported_with_their_cause_and_server() {
     let mut day = plain(3, 60.0);
     let mut silent = fault(FaultKind::Silent, 2.0, 7.0);
     silent.which = vec![1];
@@ -225,7 +248,7 @@
     let played = play(&day, Kind::RoundRobin, false).unwrap();
     let worst = &played.detail.losses[0];
     assert_eq!((worst.cause, worst.server), (Cause::Silent, Some(1)), "{:?}", played.detail.losses);
-    let sum: f64 = played.detail.losses.iter().map(|l| l.worth).sum();
+    let sum: f64 = played.detail.losses.iter().map(|loss| loss.worth).sum();
     assert!((sum - (1.0 - played.result.whole)).abs() < 1e-6, "losses add up to what is missing: {sum}");
 }
 
@@ -235,8 +258,8 @@
     let choked = |day: &Day| play(day, Kind::Random, false).unwrap().result.choked;
     day.load.rate *= 1.6;
     for (at, expected) in [(5.0, true), (1e6, false)] {
-        for t in &mut day.tiers {
-            t.choke = Some(Choke {
+        for tier in &mut day.tiers {
+            tier.choke = Some(Choke {
                 at,
                 over: Span::s(2.0),
                 slower: 2.5,
@@ -256,7 +279,7 @@
         let result = play(&day, Kind::Module, false).unwrap().result;
         let ends = result.ends;
         let ended = u64::from(ends.served + ends.late + ends.refused + ends.failed);
-        assert_eq!(ended, result.requests, "{part}: every first try has one end");
+        assert_eq!(ended, result.requests, "{part}: every first try has one outcome");
         assert_eq!(result.broken, 0, "{part}: {:#?}", result.breaches.first());
     }
 }
