--- a/crates/fleet-model/src/ramp/mod.rs
+++ b/crates/fleet-model/src/ramp/mod.rs
@@ -10,9 +10,9 @@
 pub use self::scenario::day;
 pub use self::summary::{Line, Spread, WarmUp, run};
 
-/// Traffic is told apart by parts of the warm-up time ...
+/// Parts of the warm-up time by which traffic is counted.
 const BINS_PER_WARM_UP: f64 = 10.0;
-/// ... and looked at for some time after it.
+/// Parts counted in all: traffic is observed for some time after the warm-up.
 const BINS: usize = 16;
 
 /// How servers come to be cold.
--- a/crates/fleet-model/src/world/event.rs
+++ b/crates/fleet-model/src/world/event.rs
@@ -6,6 +6,7 @@
 use zincstand_policy::{Micros, Outcome};
 
 use super::discovery::ListedState;
+use super::faults::FaultStage;
 use super::state::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
 use crate::server::JobIndex;
 
@@ -45,7 +46,7 @@
     /// The client-side front learns whether a balancer takes connections.
     FrontUpdate { balancer: u32, open: bool },
     /// A stage of a fault.
-    FaultStage { fault: u32, stage: u32 },
+    FaultStage { fault: u32, stage: FaultStage },
     /// All servers are sampled; every second, where details are asked for.
     SampleServers,
 }
--- a/crates/fleet-model/src/world/faults/mod.rs
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -7,7 +7,9 @@
 
 use zincstand_policy::Micros;
 
-use self::schedule::{Stage, TargetStep};
+use self::schedule::TargetStep;
+
+pub(super) use self::schedule::FaultStage;
 use super::World;
 use super::event::WorldEvent;
 use super::state::HeavyTail;
@@ -22,11 +24,11 @@
 /// From the start of a balancer's process to its first connection.
 const READY_DELAY: Micros = 300_000;
 
-/// Whether a fault starts or is over.
+/// Whether a fault is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FaultEdge {
-    Begin,
-    End,
+enum FaultStatus {
+    Active,
+    Over,
 }
 
 impl World<'_> {
@@ -49,12 +51,13 @@
     }
 
     /// A stage of a fault happens.
-    pub(super) fn fault_stage(&mut self, number: u32, stage: u32) {
+    pub(super) fn fault_stage(&mut self, number: u32, stage: FaultStage) {
         let fault = &self.scenario.faults[number as usize];
         let targets = self.fault_targets(fault);
-        match Stage::from_number(stage) {
-            Stage::Edge(edge) => self.fault_edge(number, fault, &targets, edge),
-            Stage::Target { target, step } => {
+        match stage {
+            FaultStage::Begin => self.set_fault(number, fault, &targets, FaultStatus::Active),
+            FaultStage::End => self.set_fault(number, fault, &targets, FaultStatus::Over),
+            FaultStage::Target { target, step } => {
                 if let Some(&target) = targets.get(target as usize) {
                     self.fault_target_step(fault, target, step);
                 }
@@ -62,6 +65,7 @@
         }
     }
 
+    /// One target of a fault takes a step.
     fn fault_target_step(&mut self, fault: &Fault, target: usize, step: TargetStep) {
         match fault.kind {
             FaultKind::RollingDeploy | FaultKind::OutByHand => {
@@ -72,19 +76,20 @@
         }
     }
 
-    fn fault_edge(&mut self, number: u32, fault: &Fault, targets: &[usize], edge: FaultEdge) {
+    /// A whole fault begins or ends.
+    fn set_fault(&mut self, number: u32, fault: &Fault, targets: &[usize], status: FaultStatus) {
         match fault.kind {
-            FaultKind::HeavyTail => self.set_heavy_tail(number, fault, edge),
-            FaultKind::ZoneLost => self.lose_zone(fault, edge),
-            FaultKind::ZoneCut => self.partition_zone(fault, edge),
+            FaultKind::HeavyTail => self.set_heavy_tail(number, fault, status),
+            FaultKind::ZoneLost => self.lose_zone(fault, status),
+            FaultKind::ZoneCut => self.partition_zone(fault, status),
             FaultKind::Vanished => {
                 for &address in targets {
-                    self.vanish(self.server_at_address[address], edge);
+                    self.vanish(self.server_at_address[address], status);
                 }
             }
-            FaultKind::DiscoveryOutage => self.discovery_outage(edge),
+            FaultKind::DiscoveryOutage => self.discovery_outage(status),
             FaultKind::Evacuated => {
-                let open = edge == FaultEdge::End;
+                let open = status == FaultStatus::Over;
                 for &balancer in targets {
                     let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open };
                     self.schedule_after(FRONT_NOTICE, event);
@@ -92,21 +97,21 @@
             }
             FaultKind::OutByHand => {
                 for &address in targets {
-                    self.set_operator_exclusion(fault, self.server_at_address[address], edge);
+                    self.set_operator_exclusion(fault, self.server_at_address[address], status);
                 }
             }
             _ => {
                 for &address in targets {
-                    self.set_server_fault(fault, self.server_at_address[address], edge);
+                    self.set_server_fault(fault, self.server_at_address[address], status);
                 }
             }
         }
     }
 
     /// Requests of a class become heavy, or are no longer.
-    fn set_heavy_tail(&mut self, number: u32, fault: &Fault, edge: FaultEdge) {
+    fn set_heavy_tail(&mut self, number: u32, fault: &Fault, status: FaultStatus) {
         self.heavy_tails.retain(|heavy| heavy.fault != number);
-        if edge == FaultEdge::Begin {
+        if status == FaultStatus::Active {
             let class = self.fault_class(fault).unwrap_or(0);
             let heavy = HeavyTail { fault: number, class, share: fault.share, factor: fault.factor };
             self.heavy_tails.push(heavy);
--- a/crates/fleet-model/src/world/faults/schedule.rs
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -2,21 +2,14 @@
 
 use zincstand_policy::Micros;
 
-use super::{FaultEdge, RESTART_DELAY, SHUTDOWN_GRACE};
+use super::{RESTART_DELAY, SHUTDOWN_GRACE};
 use crate::day::{Fault, FaultKind};
 use crate::world::World;
 use crate::world::event::WorldEvent;
 
-/// Stage numbers of the begin and the end of a whole fault.
-const BEGIN: u32 = 0;
-const END: u32 = 1;
-/// Stage numbers from here on belong to single targets.
-const FIRST_TARGET_STAGE: u32 = 2;
-const STEPS_PER_TARGET: u32 = 3;
-
 /// What happens to one target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TargetStep {
+pub(in crate::world) enum TargetStep {
     Drain,
     Stop,
     Start,
@@ -24,47 +17,15 @@
 
 /// A stage of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stage {
-    /// The whole fault begins or ends.
-    Edge(FaultEdge),
+pub(in crate::world) enum FaultStage {
+    /// The whole fault begins.
+    Begin,
+    /// The whole fault ends.
+    End,
     /// One target takes a step.
     Target { target: u32, step: TargetStep },
 }
 
-impl Stage {
-    /// The stage with a number, the inverse of [`Stage::number`].
-    pub fn from_number(number: u32) -> Stage {
-        match number {
-            BEGIN => Stage::Edge(FaultEdge::Begin),
-            END => Stage::Edge(FaultEdge::End),
-            _ => {
-                let number = number - FIRST_TARGET_STAGE;
-                let step = match number % STEPS_PER_TARGET {
-                    0 => TargetStep::Drain,
-                    1 => TargetStep::Stop,
-                    _ => TargetStep::Start,
-                };
-                Stage::Target { target: number / STEPS_PER_TARGET, step }
-            }
-        }
-    }
-
-    fn number(self) -> u32 {
-        match self {
-            Stage::Edge(FaultEdge::Begin) => BEGIN,
-            Stage::Edge(FaultEdge::End) => END,
-            Stage::Target { target, step } => {
-                let step = match step {
-                    TargetStep::Drain => 0,
-                    TargetStep::Stop => 1,
-                    TargetStep::Start => 2,
-                };
-                FIRST_TARGET_STAGE + target * STEPS_PER_TARGET + step
-            }
-        }
-    }
-}
-
 /// When a balancer's process drains, ends, and when its next one starts.
 struct BalancerTimes {
     drain: Micros,
@@ -86,9 +47,9 @@
                     self.schedule_balancer_steps(number, fault, targets);
                 }
                 _ => {
-                    self.schedule_stage(number, fault.at.0, Stage::Edge(FaultEdge::Begin));
+                    self.schedule_stage(number, fault.at.0, FaultStage::Begin);
                     let end = fault.at.0 + fault.length.0;
-                    self.schedule_stage(number, end, Stage::Edge(FaultEdge::End));
+                    self.schedule_stage(number, end, FaultStage::End);
                 }
             }
             if fault.kind == FaultKind::OutByHand && fault.restarts {
@@ -97,12 +58,12 @@
         }
     }
 
-    fn schedule_stage(&mut self, fault: u32, at: Micros, stage: Stage) {
-        self.schedule_at(at, WorldEvent::FaultStage { fault, stage: stage.number() });
+    fn schedule_stage(&mut self, fault: u32, at: Micros, stage: FaultStage) {
+        self.schedule_at(at, WorldEvent::FaultStage { fault, stage });
     }
 
     fn schedule_target(&mut self, fault: u32, at: Micros, target: u32, step: TargetStep) {
-        self.schedule_stage(fault, at, Stage::Target { target, step });
+        self.schedule_stage(fault, at, FaultStage::Target { target, step });
     }
 
     /// Servers drain and restart in batches, spread over the fault's length.
--- a/crates/fleet-model/src/world/faults/servers.rs
+++ b/crates/fleet-model/src/world/faults/servers.rs
@@ -1,6 +1,6 @@
 //! Faults of single servers: deploys, replacements, vanished machines, exclusion by operators, and slow or failing ones.
 
-use super::FaultEdge;
+use super::FaultStatus;
 use super::schedule::TargetStep;
 use crate::day::{Fault, FaultKind};
 use crate::server::{Server, Slowdown};
@@ -45,20 +45,20 @@
     }
 
     /// A server's machine vanishes without a word, or is back with a cold process.
-    pub(super) fn vanish(&mut self, server: ServerIndex, edge: FaultEdge) {
+    pub(super) fn vanish(&mut self, server: ServerIndex, status: FaultStatus) {
         let record = &mut self.servers[server as usize];
         if record.has_collapsed() {
             return;
         }
-        match edge {
-            FaultEdge::Begin => {
+        match status {
+            FaultStatus::Active => {
                 record.vanished = true;
                 if let Some(process) = self.sidecars[server as usize] {
                     self.end_process(process, ProcessEnd::Silent);
                 }
                 self.announce_change(server, ListedState::Removed, ChangeVisibility::Silent);
             }
-            FaultEdge::End => {
+            FaultStatus::Over => {
                 self.stop_server(server);
                 self.start_server(server);
             }
@@ -66,9 +66,9 @@
     }
 
     /// Operators exclude a server at all balancers of its tier, or allow it again.
-    pub(super) fn set_operator_exclusion(&mut self, fault: &Fault, server: ServerIndex, edge: FaultEdge) {
+    pub(super) fn set_operator_exclusion(&mut self, fault: &Fault, server: ServerIndex, status: FaultStatus) {
         self.excluded_by_operator.retain(|excluded| *excluded != server);
-        if edge == FaultEdge::Begin {
+        if status == FaultStatus::Active {
             self.excluded_by_operator.push(server);
         }
         for process in 0..self.processes.len() {
@@ -79,8 +79,8 @@
     }
 
     /// A server starts or stops to fail requests, to be silent, to break connections or to be slow.
-    pub(super) fn set_server_fault(&mut self, fault: &Fault, server: ServerIndex, edge: FaultEdge) {
-        let active = edge == FaultEdge::Begin;
+    pub(super) fn set_server_fault(&mut self, fault: &Fault, server: ServerIndex, status: FaultStatus) {
+        let active = status == FaultStatus::Active;
         let usual_error_rate = self.scenario.tiers[fault.tier].error_rate;
         let class = self.fault_class(fault);
         let record = &mut self.servers[server as usize];
