--- a/crates/cli/src/model/explain.rs
+++ b/crates/cli/src/model/explain.rs
@@ -4,8 +4,8 @@
 
 use anyhow::Result;
 use clap::Args;
-use zincstand_fleet_model::judge::{Cause, Loss};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scoring::{Cause, Loss};
 use zincstand_fleet_model::{Played, play};
 
 use super::{Source, tables};
--- a/crates/cli/src/model/mod.rs
+++ b/crates/cli/src/model/mod.rs
@@ -17,11 +17,11 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::experiment::{self, Cell, Row};
-use zincstand_fleet_model::kinds::{self, Size};
 use zincstand_fleet_model::play;
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::Scenario;
 
 /// What can be done with the model.
 #[derive(Subcommand)]
@@ -88,9 +88,9 @@
 }
 
 impl Source {
-    fn day(&self) -> Result<Day> {
+    fn day(&self) -> Result<Scenario> {
         let Some(file) = &self.file else {
-            return Ok(kinds::draw(&self.drawn.kind, self.drawn.seed, self.drawn.size)?);
+            return Ok(catalog::generate(&self.drawn.kind, self.drawn.seed, self.drawn.size)?);
         };
         let text = if file.as_os_str() == "-" {
             let mut text = String::new();
@@ -99,7 +99,7 @@
         } else {
             std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?
         };
-        Day::parse(&text).with_context(|| file.display().to_string())
+        Scenario::parse(&text).with_context(|| file.display().to_string())
     }
 }
 
@@ -120,7 +120,7 @@
 #[derive(Args)]
 pub struct Experiment {
     /// Kinds, joined by commas
-    #[arg(long, value_delimiter = ',', default_values = kinds::STANDARD)]
+    #[arg(long, value_delimiter = ',', default_values = catalog::STANDARD)]
     kinds: Vec<String>,
     /// Seeds of each kind: a last one, or a range such as 101-300
     #[arg(long, default_value = "50", value_parser = seeds)]
@@ -165,7 +165,7 @@
     match command {
         Command::Kinds => tables::kinds(),
         Command::Day(drawn) => {
-            let day = kinds::draw(&drawn.kind, drawn.seed, drawn.size)?;
+            let day = catalog::generate(&drawn.kind, drawn.seed, drawn.size)?;
             print(&day.text()?)
         }
         Command::Run(args) => one_day(&args),
@@ -207,7 +207,7 @@
 fn many_days(args: &Experiment) -> Result<()> {
     let mut cells = Vec::new();
     for kind in &args.kinds {
-        kinds::draw(kind, 0, Size::Small)?;
+        catalog::generate(kind, 0, Size::Small)?;
         for seed in args.seeds.clone() {
             for &policy in &args.policies.0 {
                 cells.push(Cell { kind: kind.clone(), seed, size: args.size, policy });
--- a/crates/cli/src/model/plots.rs
+++ b/crates/cli/src/model/plots.rs
@@ -4,7 +4,7 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use zincstand_fleet_model::experiment::Comparison;
-use zincstand_fleet_model::judge::{Sample, Second};
+use zincstand_fleet_model::scoring::{Sample, Second};
 
 const WIDE: (u32, u32) = (900, 300);
 const SERVED: RGBColor = RGBColor(46, 125, 80);
--- a/crates/cli/src/model/tables.rs
+++ b/crates/cli/src/model/tables.rs
@@ -4,11 +4,11 @@
 
 use anyhow::Result;
 use comfy_table::{CellAlignment, Table, presets};
-use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::experiment::{Row, scores};
-use zincstand_fleet_model::judge;
-use zincstand_fleet_model::kinds::{self, Size};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::Scenario;
+use zincstand_fleet_model::scoring;
 
 /// A table without lines, figures to the right.
 pub fn table(head: &[&str], words: usize) -> Table {
@@ -22,7 +22,7 @@
 
 pub fn kinds() -> Result<()> {
     let mut parts = table(&["part", "what happens"], 2);
-    for (name, what) in kinds::PARTS {
+    for (name, what) in catalog::PARTS {
         parts.add_row([name, what]);
     }
     let sizes: Vec<&str> = Size::ALL.iter().map(|s| s.name()).collect();
@@ -31,12 +31,12 @@
         "{parts}\n\nJoin parts with +, such as upgrade+hand.\nSizes: {}\nPolicies: {}\nAn experiment plays: {}",
         sizes.join(", "),
         policies.join(", "),
-        kinds::STANDARD.join(", ")
+        catalog::STANDARD.join(", ")
     ))
 }
 
 /// A day's figures, a line a policy.
-pub fn results(day: &Day, results: &[(&str, judge::Result)]) -> String {
+pub fn results(day: &Scenario, results: &[(&str, scoring::Result)]) -> String {
     let mut t = table(
         &[
             "policy",
--- a/crates/fleet-model/benches/days.rs
+++ b/crates/fleet-model/benches/days.rs
@@ -4,17 +4,17 @@
 use std::time::Duration;
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use zincstand_fleet_model::day::Day;
-use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::Scenario;
 use zincstand_fleet_model::{Span, play};
 
-fn drawn(kind: &str, size: Size) -> Day {
-    kinds::draw(kind, 1, size).expect("a kind that is known")
+fn drawn(kind: &str, size: Size) -> Scenario {
+    catalog::generate(kind, 1, size).expect("a kind that is known")
 }
 
 /// The day in service: 8 + 9 servers, 69 requests a second, 60 s.
-fn service() -> Day {
+fn service() -> Scenario {
     let mut day = drawn("errors+heavy+deploy", Size::Site);
     (day.tiers[0].servers, day.tiers[1].servers) = (vec![4, 4], vec![5, 4]);
     (day.load.rate, day.length) = (69.0, Span::s(60.0));
--- a/crates/fleet-model/src/kinds.rs
+++ b/crates/fleet-model/src/catalog/mod.rs
@@ -3,8 +3,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::day::*;
-use crate::draw::{self, For, within};
+use crate::random::{self, Purpose, within};
+use crate::scenario::*;
 use crate::span::Span;
 
 /// How large a day's fleet is.
@@ -88,19 +88,18 @@
 ];
 
 /// Draws a day. Fails if the kind has a part that nobody knows.
-pub fn draw(kind: &str, seed: u64, size: Size) -> Result<Day, DayError> {
+pub fn generate(kind: &str, seed: u64, size: Size) -> Result<Scenario, ScenarioError> {
     let parts: Vec<&str> = kind.split('+').collect();
     for part in &parts {
         if !PARTS.iter().any(|(name, _)| name == part) {
             let known: Vec<&str> = PARTS.iter().map(|(name, _)| *name).collect();
-            let what = format!("no kind of day is called {part:?}; join some of: {}", known.join(", "));
-            return Err(DayError { line: 0, what });
+            return Err(ScenarioError::UnknownPart { part: (*part).to_owned(), known: known.join(", ") });
         }
     }
     let mut day = base(seed, size, &parts);
     day.name = format!("{kind} {seed} {}", size.name());
     for (i, part) in parts.iter().enumerate() {
-        let mut rng = draw::stream(seed, For::Fate, 1_000 + i as u64);
+        let mut rng = random::stream(seed, Purpose::Fate, 1_000 + i as u64);
         add(&mut day, part, &mut rng);
     }
     day.faults.sort_by_key(|f| f.at);
@@ -206,12 +205,12 @@
 
 /// Mean work of a class in seconds, with what `most_work` cuts off.
 pub(crate) fn mean_work(class: &Class, seed: u64) -> f64 {
-    let mut rng = draw::stream(seed, For::Arrivals, 1 << 40);
-    (0..SAMPLES).map(|_| class.draw(&mut rng)).sum::<f64>() / 1e6 / f64::from(SAMPLES)
+    let mut rng = random::stream(seed, Purpose::Arrivals, 1 << 40);
+    (0..SAMPLES).map(|_| random::request_work(class, &mut rng)).sum::<f64>() / 1e6 / f64::from(SAMPLES)
 }
 
-fn base(seed: u64, size: Size, parts: &[&str]) -> Day {
-    let rng = &mut draw::stream(seed, For::Fate, 999);
+fn base(seed: u64, size: Size, parts: &[&str]) -> Scenario {
+    let rng = &mut random::stream(seed, Purpose::Fate, 999);
     let (front, balancers) = match size {
         Size::Small => (4, 2),
         Size::Site => (whole(rng, 6, 8), whole(rng, 2, 3)),
@@ -273,7 +272,7 @@
     ];
     let names = ["dakar", "thies"];
     let in_first = zoned(balancers, skew)[0];
-    Day {
+    Scenario {
         name: String::new(),
         seed,
         length: Span::s(within(rng, (38.0, 50.0)).round()),
@@ -378,7 +377,7 @@
     all
 }
 
-fn add(day: &mut Day, part: &str, rng: &mut ChaCha8Rng) {
+fn add(day: &mut Scenario, part: &str, rng: &mut ChaCha8Rng) {
     use FaultKind as K;
     let end = day.length.secs();
     let tier = usize::from(rng.random::<f64>() < 0.4);
--- a/crates/fleet-model/src/depth.rs
+++ b/crates/fleet-model/src/depth.rs
@@ -3,10 +3,10 @@
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::day::*;
-use crate::judge::TierCount;
-use crate::kinds::fault;
+use crate::catalog::fault;
 use crate::policy::Kind;
+use crate::scenario::*;
+use crate::scoring::TierCount;
 use crate::span::Span;
 use crate::world::play;
 
@@ -231,7 +231,7 @@
 /// # Errors
 ///
 /// The sizes ask for a day that cannot be played.
-pub fn run(seed: u64, sizes: &Sizes, done: impl Fn() + Sync) -> Result<Depth, DayError> {
+pub fn run(seed: u64, sizes: &Sizes, done: impl Fn() + Sync) -> Result<Depth, ScenarioError> {
     let mut cells = Vec::new();
     for &trouble in &sizes.troubles {
         // The longest first, so that no thread is left alone with one at the end.
@@ -248,14 +248,14 @@
             done();
             Ok((trouble, tiers, one))
         })
-        .collect::<Result<_, DayError>>()?;
+        .collect::<Result<_, ScenarioError>>()?;
     played.sort_by_key(|p| (p.0 as usize, p.1));
     let rows: Vec<Row> = played.chunk_by(|a, b| (a.0, a.1) == (b.0, b.1)).map(row).collect();
     let slopes = rows.chunk_by(|a, b| a.trouble == b.trouble).map(slope).collect();
     Ok(Depth { seed, sizes: sizes.clone(), rows, slopes })
 }
 
-fn one(day: &Day) -> Result<One, DayError> {
+fn one(day: &Scenario) -> Result<One, ScenarioError> {
     let played = play(day, Kind::Module, false)?;
     let d = &played.detail;
     let mut tiers = vec![TierCount::default(); day.tiers.len()];
@@ -324,7 +324,7 @@
 }
 
 /// A day of so many equal tiers, each equally busy: a request makes one call of the next tier.
-pub fn day(tiers: usize, trouble: Trouble, seed: u64, seconds: f64) -> Day {
+pub fn day(tiers: usize, trouble: Trouble, seed: u64, seconds: f64) -> Scenario {
     let mut day = plain(seed, seconds, vec!["a".to_owned()], SERVERS, RATE * f64::from(SERVERS));
     let whole =
         if trouble == Trouble::FixedDeadline { FIXED_DEADLINE_MS } else { DEADLINE_MS * tiers as f64 };
@@ -359,9 +359,9 @@
 
 /// A day of one tier and one class without troubles: `servers` in each zone, as many balancers, equal clients who
 /// do not try again. Nothing but cores is scarce, so that the tiers of a deep day are alike.
-pub(crate) fn plain(seed: u64, seconds: f64, zones: Vec<String>, servers: u32, rate: f64) -> Day {
+pub(crate) fn plain(seed: u64, seconds: f64, zones: Vec<String>, servers: u32, rate: f64) -> Scenario {
     let balancers = zones.iter().cycle().take(zones.len() * servers as usize).cloned().collect();
-    Day {
+    Scenario {
         name: String::new(),
         seed,
         length: Span::s(seconds),
--- a/crates/fleet-model/src/experiment.rs
+++ b/crates/fleet-model/src/experiment.rs
@@ -6,10 +6,10 @@
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::day::{Day, DayError};
-use crate::draw::{self, For};
-use crate::kinds::{self, Size};
+use crate::catalog::{self, Size};
 use crate::policy::Kind;
+use crate::random::{self, Purpose};
+use crate::scenario::{Scenario, ScenarioError};
 use crate::world::play;
 
 /// Resamples of a bootstrap interval.
@@ -34,8 +34,8 @@
 
 impl Cell {
     /// The day of the cell.
-    pub fn day(&self) -> Result<Day, DayError> {
-        kinds::draw(&self.kind, self.seed, self.size)
+    pub fn day(&self) -> Result<Scenario, ScenarioError> {
+        catalog::generate(&self.kind, self.seed, self.size)
     }
 }
 
@@ -82,7 +82,7 @@
 }
 
 /// Plays all cells on all cores; rows come in the cells' order. `done` hears of each as it ends.
-pub fn run(label: &str, cells: &[Cell], done: impl Fn() + Sync) -> Result<Vec<Row>, DayError> {
+pub fn run(label: &str, cells: &[Cell], done: impl Fn() + Sync) -> Result<Vec<Row>, ScenarioError> {
     let row = |cell: &Cell| {
         let r = play(&cell.day()?, cell.policy, false)?.result;
         done();
@@ -153,7 +153,7 @@
         let mut means: Vec<f64> = (0..RESAMPLES as u64)
             .into_par_iter()
             .map(|resample| {
-                let mut rng = draw::stream(0, For::Process, resample);
+                let mut rng = random::stream(0, Purpose::Process, resample);
                 (0..count).map(|_| values[rng.random_range(0..count)]).sum::<f64>() / count as f64
             })
             .collect();
--- a/crates/fleet-model/src/experiment/tests.rs
+++ b/crates/fleet-model/src/experiment/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn pairs_go_by_day_and_the_interval_holds_the_true_difference() {
-    let mut rng = draw::stream(1, For::Request, 9);
+    let mut rng = random::stream(1, Purpose::Request, 9);
     let a: Vec<Row> = (0..100).map(|seed| row("calm", seed, rng.random())).collect();
     let b: Vec<Row> =
         a.iter().rev().map(|r| row("calm", r.seed, r.g + 0.02 + 0.1 * (rng.random::<f64>() - 0.5))).collect();
--- a/crates/fleet-model/src/failures.rs
+++ b/crates/fleet-model/src/failures.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 use zincstand_policy::{Action, Event, LearnedState, Micros};
 
-use crate::day::*;
+use crate::catalog::fault;
 use crate::depth::{Fit, plain};
-use crate::judge::{NewsCount, Rule};
-use crate::kinds::fault;
 use crate::policy::{Kind, Policy};
+use crate::scenario::*;
+use crate::scoring::{NewsCount, Rule};
 use crate::server::Truth;
 use crate::span::Span;
 use crate::world::play_with;
@@ -206,7 +206,7 @@
 /// # Errors
 ///
 /// The sizes ask for a day that cannot be played.
-pub fn run(seed: u64, sizes: &Sizes, known: &[u32], done: impl Fn()) -> Result<Failures, DayError> {
+pub fn run(seed: u64, sizes: &Sizes, known: &[u32], done: impl Fn()) -> Result<Failures, ScenarioError> {
     let mut costs = Vec::new();
     for &servers in known {
         let small = Sizes { servers, zones: sizes.zones.min(servers), seconds: 4.0, ..sizes.clone() };
@@ -235,7 +235,7 @@
     Ok(Failures { seed, sizes: sizes.clone(), scaled: sizes.scaled(), rows, costs, module, world })
 }
 
-fn one(seed: u64, sizes: &Sizes, failure: Failure) -> Result<Row, DayError> {
+fn one(seed: u64, sizes: &Sizes, failure: Failure) -> Result<Row, ScenarioError> {
     let day = day(seed, sizes, failure);
     let spent = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
     let start = {
@@ -310,7 +310,7 @@
 }
 
 /// A day with that failure, the load scaled to the rate: calls are rarer and cost as many times the work.
-pub fn day(seed: u64, sizes: &Sizes, failure: Failure) -> Day {
+pub fn day(seed: u64, sizes: &Sizes, failure: Failure) -> Scenario {
     let zones: Vec<String> = (0..sizes.zones).map(|z| format!("zone {z}")).collect();
     let each = sizes.each();
     let servers = each * sizes.zones;
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -1,17 +1,17 @@
-//! The world around the balancers in virtual time: servers, discovery, network, clients, faults, and a judge.
+//! A deterministic model of a fleet in virtual time: servers, discovery, network, clients, faults, and scoring.
 //!
-//! [`day::Day`] tells a day, [`play`] plays it with one [`policy::Kind`]. A day and a policy give the same
-//! result to the byte on every machine. `docs/model.md` says what is modelled and how far it holds.
+//! [`scenario::Scenario`] describes a run, [`play`] plays it with one [`policy::Kind`]. A scenario and a policy give
+//! the same result to the byte on every machine. `docs/model.md` says what is modelled and how far it holds.
 
-pub mod day;
+pub mod catalog;
 pub mod depth;
-mod draw;
 pub mod experiment;
 pub mod failures;
-pub mod judge;
-pub mod kinds;
 pub mod policy;
 pub mod ramp;
+mod random;
+pub mod scenario;
+pub mod scoring;
 mod server;
 mod span;
 mod world;
--- a/crates/fleet-model/src/ramp.rs
+++ b/crates/fleet-model/src/ramp.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use zincstand_policy::Micros;
 
-use crate::day::{Day, DayError, Fault, FaultKind, Spread};
-use crate::draw::{self, For, within};
-use crate::kinds::{self, Size};
+use crate::catalog::{self, Size};
 use crate::policy::Kind;
+use crate::random::{self, Purpose, within};
+use crate::scenario::{Fault, FaultKind, Scenario, ScenarioError, Spread};
 use crate::span::Span;
 use crate::world;
 
@@ -82,24 +82,24 @@
 /// # Errors
 ///
 /// The rules contradict themselves.
-pub fn day(shape: Shape, balancers: u32, seed: u64, rules: Rules) -> Result<Day, DayError> {
-    let mut day = kinds::draw("busy", seed, Size::Site)?;
-    let rng = &mut draw::stream(seed, For::Fate, 2_000);
+pub fn day(shape: Shape, balancers: u32, seed: u64, rules: Rules) -> Result<Scenario, ScenarioError> {
+    let mut day = catalog::generate("busy", seed, Size::Site)?;
+    let rng = &mut random::stream(seed, Purpose::Fate, 2_000);
     let count = servers(balancers);
     day.name = format!("ramp {} {balancers} {seed}", shape.name());
     day.tiers.truncate(1);
     let t = &mut day.tiers[0];
-    (t.servers, t.calls, t.work) = (kinds::zoned(count, within(rng, (0.4, 0.6))), 0.0, 1.0);
+    (t.servers, t.calls, t.work) = (catalog::zoned(count, within(rng, (0.4, 0.6))), 0.0, 1.0);
     t.cold_from = rules.cold_from.unwrap_or(t.cold_from);
     day.rules.overload_factor = rules.overload_factor.unwrap_or(day.rules.overload_factor);
     let shares: f64 = day.classes.iter().map(|c| c.share).sum();
-    let work = day.classes.iter().map(|c| c.share * kinds::mean_work(c, seed)).sum::<f64>() / shares;
+    let work = day.classes.iter().map(|c| c.share * catalog::mean_work(c, seed)).sum::<f64>() / shares;
     let cores = f64::from(count * day.tiers[0].cores) * day.tiers[0].speed;
     day.load.rate = cores / work * within(rng, (0.54, 0.68));
-    let first = kinds::zoned(balancers, day.load.zone_shares[0])[0];
+    let first = catalog::zoned(balancers, day.load.zone_shares[0])[0];
     let b = &mut day.balancers;
     b.zones = (0..balancers).map(|i| day.zones[usize::from(i >= first)].clone()).collect();
-    b.shares = (0..balancers).map(|_| draw::factor(rng, Spread::Lognormal, UNEVEN)).collect();
+    b.shares = (0..balancers).map(|_| random::factor(rng, Spread::Lognormal, UNEVEN)).collect();
     let warm_after = day.tiers[0].warm_after.secs();
     let mut all: Vec<usize> = (0..count as usize).collect();
     for i in 0..all.len() {
@@ -112,23 +112,23 @@
     let last = match shape {
         Shape::Restart => {
             let which = some(0.2);
-            day.faults.push(Fault { which, ..kinds::fault(FaultKind::Replaced, BEGIN, 4.0) });
+            day.faults.push(Fault { which, ..catalog::fault(FaultKind::Replaced, BEGIN, 4.0) });
             4.0
         }
         Shape::Release => {
             let which = some(0.6);
-            day.faults.push(Fault { which, ..kinds::fault(FaultKind::Replaced, BEGIN, 7.0) });
+            day.faults.push(Fault { which, ..catalog::fault(FaultKind::Replaced, BEGIN, 7.0) });
             7.0
         }
         Shape::Zone => {
             let zone = Some(day.zones[1].clone());
-            day.faults.push(Fault { zone, ..kinds::fault(FaultKind::ZoneLost, BEGIN, 5.0) });
+            day.faults.push(Fault { zone, ..catalog::fault(FaultKind::ZoneLost, BEGIN, 5.0) });
             5.0
         }
         Shape::Start => {
             let which = some(0.6);
-            day.faults.push(Fault { which, ..kinds::fault(FaultKind::Replaced, BEGIN, 1.0) });
-            day.faults.push(kinds::fault(FaultKind::BalancerKilled, BEGIN, 1.0));
+            day.faults.push(Fault { which, ..catalog::fault(FaultKind::Replaced, BEGIN, 1.0) });
+            day.faults.push(catalog::fault(FaultKind::BalancerKilled, BEGIN, 1.0));
             // A notice that came after the restart would be taken for one of the new process.
             day.balancers.notice = Span::ms(500.0);
             1.0
@@ -185,12 +185,12 @@
 /// # Errors
 ///
 /// The day contradicts itself.
-pub fn play(day: &Day, kind: Kind) -> Result<Played, DayError> {
+pub fn play(day: &Scenario, kind: Kind) -> Result<Played, ScenarioError> {
     let (played, watch) = world::play_watched(day, kind)?;
     let t = &day.tiers[0];
     let shares: f64 = day.classes.iter().map(|c| c.share).sum();
     let mean =
-        day.classes.iter().map(|c| c.share * kinds::mean_work(c, day.seed)).sum::<f64>() * 1e6 / shares;
+        day.classes.iter().map(|c| c.share * catalog::mean_work(c, day.seed)).sum::<f64>() * 1e6 / shares;
     let (tip, warm_after) = (day.rules.tip_after.0, t.warm_after.0);
     let bin = warm_after as f64 / BINS_A_WARM_UP;
     let even = day.load.rate / f64::from(t.servers.iter().sum::<u32>()) / 1e6;
@@ -291,8 +291,8 @@
     seeds: u64,
     rules: Rules,
     done: impl Fn() + Sync,
-) -> Result<Line, DayError> {
-    let one = |seed: u64| {
+) -> Result<Line, ScenarioError> {
+    let one = |seed: u64| -> Result<Played, ScenarioError> {
         let played = play(&day(shape, balancers, seed, rules)?, Kind::Module)?;
         done();
         Ok(played)
--- a/crates/fleet-model/src/draw.rs
+++ b/crates/fleet-model/src/random.rs
@@ -4,12 +4,12 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Pareto};
 
-use crate::day::Spread;
+use crate::scenario::{Class, Spread};
 
 /// What a number is drawn for.
 #[derive(Clone, Copy)]
 #[repr(u64)]
-pub(crate) enum For {
+pub(crate) enum Purpose {
     Arrivals = 1,
     Request,
     Attempt,
@@ -24,7 +24,7 @@
 }
 
 /// The seed for a purpose and a number: two rounds of an avalanche, so that neighbours share nothing.
-fn mixed(seed: u64, purpose: For, number: u64) -> u64 {
+fn mixed(seed: u64, purpose: Purpose, number: u64) -> u64 {
     let round = |x: u64| {
         let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -35,12 +35,12 @@
 }
 
 /// A stream of its own.
-pub(crate) fn stream(seed: u64, purpose: For, number: u64) -> ChaCha8Rng {
+pub(crate) fn stream(seed: u64, purpose: Purpose, number: u64) -> ChaCha8Rng {
     ChaCha8Rng::seed_from_u64(mixed(seed, purpose, number))
 }
 
 /// One number from 0 to 1, without the cost of a stream.
-pub(crate) fn unit(seed: u64, purpose: For, number: u64) -> f64 {
+pub(crate) fn unit(seed: u64, purpose: Purpose, number: u64) -> f64 {
     (mixed(seed, purpose, number) >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -68,6 +68,12 @@
     drawn.unwrap_or(1.0)
 }
 
+/// The work of one request of a class, in microseconds.
+pub(crate) fn request_work(class: &Class, rng: &mut impl Rng) -> f64 {
+    let drawn = class.work.0 as f64 * factor(rng, class.spread, class.cv);
+    drawn.min(class.most_work.0 as f64)
+}
+
 /// Uniform within a range.
 pub(crate) fn within(rng: &mut impl Rng, (from, to): (f64, f64)) -> f64 {
     from + (to - from) * rng.random::<f64>()
--- /dev/null
+++ b/crates/fleet-model/src/scenario/error.rs
@@ -0,0 +1,73 @@
+//! Why a scenario cannot be read, written or played.
+
+use std::fmt;
+
+use zincstand_policy::SettingsError;
+
+/// Why a scenario cannot be read, written or played.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScenarioError {
+    /// The file is not TOML, or a key is unknown, missing or of the wrong type.
+    #[error("{location}{message}")]
+    Syntax {
+        /// Where in the file.
+        location: Location,
+        /// What the parser found and what it expected.
+        message: String,
+    },
+    /// A value is out of its range or contradicts another one.
+    #[error("{location}`{key}`: {problem}")]
+    Contradiction {
+        /// Where in the file.
+        location: Location,
+        /// The path of the key, such as `load.rate` or `tier.number 1.cores`.
+        key: String,
+        /// What is wrong with the value or what to give instead.
+        problem: &'static str,
+    },
+    /// A kind names a part that the catalog does not have.
+    #[error("no kind of day is called {part:?}; join some of: {known}")]
+    UnknownPart {
+        /// The part as it was given.
+        part: String,
+        /// The names of all parts, joined by commas.
+        known: String,
+    },
+    /// The scenario cannot be written as TOML.
+    #[error(transparent)]
+    Unwritable(#[from] toml::ser::Error),
+    /// The policy does not start with the settings that follow from the scenario.
+    #[error(transparent)]
+    RejectedByPolicy(#[from] SettingsError),
+}
+
+/// The line of a scenario's file, from 1; unknown where the scenario was not read from a file.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Location {
+    /// The line.
+    pub line: Option<usize>,
+}
+
+impl fmt::Display for Location {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.line {
+            Some(line) => write!(f, "line {line}: "),
+            None => Ok(()),
+        }
+    }
+}
+
+impl Location {
+    /// The line that holds the byte at `offset` of `text`.
+    pub(super) fn of_offset(text: &str, offset: usize) -> Location {
+        let line_breaks = text.as_bytes().iter().take(offset).filter(|byte| **byte == b'\n').count();
+        Location { line: Some(line_breaks + 1) }
+    }
+}
+
+impl ScenarioError {
+    pub(super) fn from_syntax(text: &str, error: &toml::de::Error) -> ScenarioError {
+        let location = error.span().map(|span| Location::of_offset(text, span.start)).unwrap_or_default();
+        ScenarioError::Syntax { location, message: error.message().to_owned() }
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/scenario/policy_settings.rs
@@ -0,0 +1,124 @@
+//! The settings that a balancer of a scenario is configured with.
+
+use zincstand_policy::{self as policy, Micros};
+
+use super::{Asking, Class, Effect, Scenario, Tier};
+
+impl Scenario {
+    /// The settings of the balancer with index `balancer_index` in `tier`, which stands in `zone`.
+    ///
+    /// # Panics
+    ///
+    /// The scenario has no such tier.
+    pub fn settings(&self, tier: usize, balancer_index: u32, zone: u32) -> policy::Settings {
+        policy::Settings {
+            balancer_index,
+            balancer_count: self.balancer_count(tier),
+            zone,
+            zone_count: self.zones.len() as u32,
+            tier: tier as u32,
+            tier_count: self.tiers.len() as u32,
+            propagates_deadline: self.passes_deadline,
+            tenants: self.policy_tenants(),
+            over_quota_weight: self.load.over_share_worth,
+            clients_mark_retries: true,
+            discovery: self.discovery_mode(),
+            limits: self.policy_limits(&self.tiers[tier]),
+            rules: self.policy_rules(&self.tiers[tier]),
+            prices: self.policy_prices(),
+            goal: self.policy_goal(),
+            ..policy::Settings::new(self.classes.iter().map(policy_class).collect())
+        }
+    }
+
+    /// Balancers that send to `tier`: those of the first tier, or one for each server of the tier before.
+    fn balancer_count(&self, tier: usize) -> u32 {
+        if tier == 0 { self.balancers.zones.len() as u32 } else { self.tiers[tier - 1].servers.iter().sum() }
+    }
+
+    fn policy_tenants(&self) -> Vec<policy::Tenant> {
+        self.tenants
+            .iter()
+            .map(|tenant| policy::Tenant { share: tenant.share, quota: tenant.quota })
+            .collect()
+    }
+
+    fn discovery_mode(&self) -> policy::DiscoveryMode {
+        match self.discovery.mode {
+            Asking::Push => policy::DiscoveryMode::Push,
+            Asking::Ask => policy::DiscoveryMode::Poll,
+        }
+    }
+
+    fn policy_limits(&self, tier: &Tier) -> policy::Limits {
+        policy::Limits {
+            cancel: true,
+            health_checks: self.limits.probes,
+            hedging: self.limits.second_copies,
+            retry_after: self.limits.retry_after,
+            max_retry_after: self.limits.max_retry_after.0,
+            max_attempts: self.limits.max_attempts,
+            max_open_requests: self.limits.max_open,
+            max_streams: 1,
+            idle_timeout: tier.connections.idle_close.0,
+            connect_timeout: tier.connections.connect_timeout.0,
+            cpu_per_second: (self.balancers.cores * 1e6) as Micros,
+            cpu_per_request: 0.0,
+        }
+    }
+
+    fn policy_rules(&self, tier: &Tier) -> policy::Rules {
+        policy::Rules {
+            cold_capacity: tier.cold_from,
+            warm_up_time: tier.warm_after.0,
+            overload_factor: self.rules.overload_factor,
+            overload_window: self.rules.tip_after.0,
+            max_poll_interval: self.rules.ask_within.0,
+            drain_grace: self.rules.drain_grace.0,
+            answer_grace: self.rules.answer_grace.0,
+        }
+    }
+
+    fn policy_prices(&self) -> policy::Prices {
+        policy::Prices {
+            cross_zone: self.prices.cross_zone,
+            probe: self.prices.probe,
+            late_fail: self.prices.late_fail,
+            waste: self.prices.waste,
+            handshake: self.prices.handshake,
+            ..policy::Prices::default()
+        }
+    }
+
+    fn policy_goal(&self) -> policy::Goal {
+        policy::Goal {
+            whole: self.goal.whole,
+            worst_window: self.goal.worst_window,
+            worst_class: self.goal.worst_class,
+            worst_tenant: self.goal.worst_tenant,
+            ..policy::Goal::default()
+        }
+    }
+}
+
+fn policy_class(class: &Class) -> policy::Class {
+    policy::Class {
+        idempotency: idempotency(class),
+        latency_objective: class.aim.0,
+        objective_per_work: 0.0,
+        deadline: class.deadline.0,
+        priority_weight: class.worth,
+        late_weight: class.late_worth,
+        streaming: false,
+    }
+}
+
+fn idempotency(class: &Class) -> policy::Idempotency {
+    match class.effect {
+        Effect::Safe => policy::Idempotency::Idempotent,
+        Effect::Keyed => {
+            policy::Idempotency::WithKey { scope: policy::DedupScope::Cell, window: class.repeats_dropped.0 }
+        }
+        Effect::Unsafe => policy::Idempotency::NotIdempotent,
+    }
+}
--- a/crates/fleet-model/src/judge.rs
+++ b/crates/fleet-model/src/scoring/mod.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use zincstand_policy::Micros;
 
-use crate::day::Day;
+use crate::scenario::Scenario;
 
 const SECOND: Micros = 1_000_000;
 /// The worst stretch that counts.
@@ -340,8 +340,8 @@
 }
 
 /// Judges a day that has been played.
-pub(crate) fn judge(
-    day: &Day,
+pub(crate) fn score(
+    day: &Scenario,
     arrivals: &[Arrival],
     tally: Tally,
     choked: (usize, usize),
@@ -463,7 +463,7 @@
 }
 
 /// Work of all tiers for a request whose one call costs 1.
-fn calls_and_parts(day: &Day) -> f64 {
+fn calls_and_parts(day: &Scenario) -> f64 {
     let mut calls = 1.0;
     day.tiers
         .iter()
--- a/crates/fleet-model/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -6,8 +6,8 @@
 use rand::RngExt;
 use zincstand_policy::Micros;
 
-use crate::day::{Choke, Spread, Tier};
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
+use crate::scenario::{Choke, Spread, Tier};
 
 /// Number of a job.
 pub(crate) type JobId = u32;
@@ -92,14 +92,14 @@
 
 impl Server {
     pub fn new(seed: u64, number: u64, tier: usize, t: &Tier, zone: u32, cell: u32, place: usize) -> Server {
-        let mut rng = draw::stream(seed, For::Server, number);
+        let mut rng = random::stream(seed, Purpose::Server, number);
         Server {
             tier,
             zone,
             cell,
             place,
             cores: f64::from(t.cores),
-            speed: t.speed * draw::factor(&mut rng, Spread::Lognormal, t.speed_cv),
+            speed: t.speed * random::factor(&mut rng, Spread::Lognormal, t.speed_cv),
             slots: t.slots as usize,
             room: t.waiting as usize,
             thrash: t.thrash,
--- a/crates/fleet-model/src/world/calls.rs
+++ b/crates/fleet-model/src/world/calls.rs
@@ -6,9 +6,9 @@
 use super::{
     Attempt, AttemptAt, Caller, Ev, Idle, Job, Message, Phase, ProcessAt, RequestAt, ServerAt, World,
 };
-use crate::draw::{self, For};
-use crate::judge::{Cause, Rule};
 use crate::ramp::Landing;
+use crate::random::{self, Purpose};
+use crate::scoring::{Cause, Rule};
 use crate::server::{Condition, JobId};
 
 /// A server that fails fast answers after this.
@@ -36,12 +36,12 @@
                 match self.requests[above.request as usize].caller {
                     Caller::Client { .. } => who,
                     // Prevents a repeat further up from meeting the very draws of the attempt before.
-                    Caller::Job(_) => draw::pair(who, above.key),
+                    Caller::Job(_) => random::pair(who, above.key),
                 }
             }
         };
         let tier = self.processes[process as usize].tier as u64;
-        draw::pair(u64::from(r.arrival) << 8 | tier, u64::from(number) << 24 | who)
+        random::pair(u64::from(r.arrival) << 8 | tier, u64::from(number) << 24 | who)
     }
 
     /// How long a message takes between an attempt's balancer and its server.
@@ -103,7 +103,8 @@
     /// Calls of the next tier that a request makes.
     fn calls(&self, arrival: u32, tier: usize) -> u32 {
         let mean = self.day.tiers[tier].calls;
-        let drawn = draw::unit(self.day.seed, For::Request, draw::pair(u64::from(arrival), 77 + tier as u64));
+        let drawn =
+            random::unit(self.day.seed, Purpose::Request, random::pair(u64::from(arrival), 77 + tier as u64));
         mean as u32 + u32::from(drawn < mean.fract())
     }
 
@@ -113,12 +114,12 @@
         let r = &self.requests[a.request as usize];
         let s = &self.servers[a.to as usize];
         let class = &self.day.classes[r.class];
-        let mut rng = draw::stream(self.day.seed, For::Attempt, self.key(attempt));
-        let noise = draw::factor(&mut rng, crate::day::Spread::Lognormal, class.attempt_noise);
+        let mut rng = random::stream(self.day.seed, Purpose::Attempt, self.key(attempt));
+        let noise = random::factor(&mut rng, crate::scenario::Spread::Lognormal, class.attempt_noise);
         let mut work = self.arrivals[r.arrival as usize].work * self.day.tiers[s.tier].work * noise;
         for &(fault, class, share, factor) in &self.heavy {
-            let key = draw::pair(u64::from(r.arrival), 1_000_000 + u64::from(fault));
-            if class == r.class && draw::unit(self.day.seed, For::Request, key) < share {
+            let key = random::pair(u64::from(r.arrival), 1_000_000 + u64::from(fault));
+            if class == r.class && random::unit(self.day.seed, Purpose::Request, key) < share {
                 work *= factor;
             }
         }
@@ -173,11 +174,11 @@
         if s.draining || s.full() {
             return self.after(way, Ev::Answer { attempt, outcome: Outcome::Rejected });
         }
-        if draw::unit(self.day.seed, For::Fate, key) < s.failing {
+        if random::unit(self.day.seed, Purpose::Fate, key) < s.failing {
             return self.after(way + FAST, Ev::Answer { attempt, outcome: Outcome::Error });
         }
-        if draw::unit(self.day.seed, For::Fate, key ^ 1) < s.breaking {
-            let mut rng = draw::stream(self.day.seed, For::Fate, key ^ 2);
+        if random::unit(self.day.seed, Purpose::Fate, key ^ 1) < s.breaking {
+            let mut rng = random::stream(self.day.seed, Purpose::Fate, key ^ 2);
             let at = (work * rng.random::<f64>()) as Micros;
             self.after(way + at, Ev::Answer { attempt, outcome: Outcome::Reset });
         }
@@ -434,7 +435,7 @@
     /// A probe is answered beside the queue; it tells that the process runs, and costs work.
     pub(super) fn probe(&mut self, process: ProcessAt, server: ServerAt) {
         self.tally.probes += 1;
-        let number = draw::pair(u64::from(process) << 32 | u64::from(server), self.now);
+        let number = random::pair(u64::from(process) << 32 | u64::from(server), self.now);
         let way = self.way(self.processes[process as usize].zone, self.servers[server as usize].zone, number);
         let to = self.places[self.servers[server as usize].place];
         let t = &self.day.tiers[self.servers[to as usize].tier];
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -4,9 +4,9 @@
 use zincstand_policy::Micros;
 
 use super::{Caller, Edge, Ev, Message, ProcessAt, Reply, Request, RequestAt, World};
-use crate::day::{Day, Effect, Shape};
-use crate::draw::{self, For};
-use crate::judge::{Arrival, Cause, End, Rule};
+use crate::random::{self, Purpose};
+use crate::scenario::{Effect, Scenario, Shape};
+use crate::scoring::{Arrival, Cause, End, Rule};
 
 /// A spell of a bursty day.
 const SPELL: f64 = 1.5;
@@ -16,15 +16,15 @@
 const BURST: f64 = 1.0;
 
 /// Draws all first tries of the day.
-pub(super) fn arrivals(day: &Day) -> Vec<Arrival> {
-    let mut rng = draw::stream(day.seed, For::Arrivals, 0);
+pub(super) fn arrivals(day: &Scenario) -> Vec<Arrival> {
+    let mut rng = random::stream(day.seed, Purpose::Arrivals, 0);
     let phase: f64 = rng.random();
     let length = day.length.secs();
     let top = day.load.rate * (1.0 + day.load.swing);
     let swing = |t: f64| match day.load.shape {
         Shape::Wave => (std::f64::consts::TAU * (t / length * WAVES + phase)).sin(),
         Shape::Bursty => {
-            let spell = draw::unit(day.seed, For::Arrivals, 1 + (t / SPELL) as u64);
+            let spell = random::unit(day.seed, Purpose::Arrivals, 1 + (t / SPELL) as u64);
             if spell < 0.5 { -1.0 } else { 1.0 }
         }
     };
@@ -38,14 +38,14 @@
         if rng.random::<f64>() * top > day.load.rate * (1.0 + day.load.swing * swing(now)) {
             continue;
         }
-        let mut own = draw::stream(day.seed, For::Request, all.len() as u64);
+        let mut own = random::stream(day.seed, Purpose::Request, all.len() as u64);
         let zone = weighted(own.random(), day.load.zone_shares.iter().copied());
         let class = weighted(own.random(), day.classes.iter().map(|c| c.share));
         let drawn: f64 = own.random();
         let tenant =
             (!day.tenants.is_empty()).then(|| weighted(drawn, day.tenants.iter().map(|t| t.share * t.usage)));
         let c = &day.classes[class];
-        let work = c.draw(&mut own);
+        let work = random::request_work(c, &mut own);
         let mut arrival = Arrival::new((now * 1e6) as Micros, zone as u32, class, tenant, work);
         if let Some(t) = tenant {
             let (have, at) = &mut tokens[t];
@@ -115,8 +115,8 @@
         self.after(wait, Ev::TryOver { arrival, number });
         let a = &self.arrivals[arrival as usize];
         let (zone, class) = (a.zone, a.class);
-        let key = draw::pair(u64::from(arrival), u64::from(number));
-        let drawn = draw::unit(self.day.seed, For::Front, key);
+        let key = random::pair(u64::from(arrival), u64::from(number));
+        let drawn = random::unit(self.day.seed, Purpose::Front, key);
         let taken = &self.taking[zone as usize];
         let way = self.day.network.client.0;
         let shares = &self.day.balancers.shares;
@@ -138,7 +138,7 @@
         let caller = Caller::Client { arrival, number };
         let request = self.new_request(process, caller, arrival, class, self.now + way + wait);
         self.after(way, Ev::Message { process, message: Message::Request(request) });
-        let patience = draw::unit(self.day.seed, For::Client, key);
+        let patience = random::unit(self.day.seed, Purpose::Client, key);
         if patience < self.day.clients.impatient {
             // Leaves somewhere on the way; nothing is owed then.
             let at = (wait as f64 * patience / self.day.clients.impatient) as Micros;
@@ -211,12 +211,12 @@
         let class = &self.day.classes[self.arrivals[arrival as usize].class];
         // Servers of one cell only drop repeats of a key, and the next try may reach any.
         let may = class.effect == Effect::Safe || matches!(reply, Reply::Refused { .. } | Reply::Unreachable);
-        let key = draw::pair(u64::from(arrival), 1_000 + u64::from(number));
-        let drawn = draw::unit(self.day.seed, For::Client, key);
+        let key = random::pair(u64::from(arrival), 1_000 + u64::from(number));
+        let drawn = random::unit(self.day.seed, Purpose::Client, key);
         let mut wait = clients.backoff.0 as f64 * f64::from(1u32 << number.min(16)) * (0.5 + drawn);
         if let Reply::Refused { retry_after } = reply
             && self.day.limits.retry_after
-            && draw::unit(self.day.seed, For::Client, key ^ 1) < clients.honour
+            && random::unit(self.day.seed, Purpose::Client, key ^ 1) < clients.honour
         {
             wait = wait.max(retry_after.min(self.day.limits.max_retry_after.0) as f64);
         }
--- a/crates/fleet-model/src/world/faults.rs
+++ b/crates/fleet-model/src/world/faults.rs
@@ -3,8 +3,8 @@
 use zincstand_policy::Micros;
 
 use super::{Ev, ServerAt, World, news::Listed};
-use crate::day::{Fault, FaultKind};
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
+use crate::scenario::{Fault, FaultKind};
 use crate::server::Server;
 
 /// From the end of a process to the start of the next one on the same machine.
@@ -269,7 +269,7 @@
         for process in 0..self.processes.len() {
             let p = &self.processes[process];
             if !on && p.alive && p.watching && p.zone == zone as u32 {
-                let late = draw::unit(self.day.seed, For::News, draw::pair(process as u64, self.now));
+                let late = random::unit(self.day.seed, Purpose::News, random::pair(process as u64, self.now));
                 let late = (late * self.day.discovery.spread.0 as f64) as Micros;
                 self.after(late, Ev::News { process: process as u32, whole: true });
             }
@@ -284,7 +284,7 @@
         // What it missed comes as a whole list.
         for process in 0..self.processes.len() {
             if self.processes[process].alive && self.processes[process].watching {
-                let late = draw::unit(self.day.seed, For::News, draw::pair(process as u64, self.now));
+                let late = random::unit(self.day.seed, Purpose::News, random::pair(process as u64, self.now));
                 let late = (late * self.day.discovery.spread.0 as f64) as Micros;
                 self.after(late, Ev::News { process: process as u32, whole: true });
             }
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -12,11 +12,11 @@
 use rand::RngExt;
 use zincstand_policy::{Action, Micros, Outcome, Settings, SettingsError};
 
-use crate::day::{Day, DayError};
-use crate::draw::{self, For};
-use crate::judge::{self, Arrival, Breach, Detail, NewsCount, Result, Rule, Sample, Tally, TierCount};
 use crate::policy::{Kind, Policy};
 use crate::ramp::Watch;
+use crate::random::{self, Purpose};
+use crate::scenario::{Scenario, ScenarioError};
+use crate::scoring::{self, Arrival, Breach, Detail, NewsCount, Result, Rule, Sample, Tally, TierCount};
 use crate::server::{JobId, Server};
 
 const SECOND: Micros = 1_000_000;
@@ -254,7 +254,7 @@
 
 /// A day that is being played.
 struct World<'d> {
-    day: &'d Day,
+    day: &'d Scenario,
     start: Start<'d>,
     now: Micros,
     queue: BinaryHeap<Reverse<Queued>>,
@@ -311,7 +311,7 @@
 /// # Errors
 ///
 /// The day contradicts itself; the error names the key.
-pub fn play(day: &Day, kind: Kind, detail: bool) -> std::result::Result<Played, DayError> {
+pub fn play(day: &Scenario, kind: Kind, detail: bool) -> std::result::Result<Played, ScenarioError> {
     play_with(day, &|settings, seed| kind.start(settings, seed), detail)
 }
 
@@ -320,11 +320,15 @@
 /// # Errors
 ///
 /// The day contradicts itself, or `start` refuses its settings.
-pub fn play_with(day: &Day, start: Start<'_>, detail: bool) -> std::result::Result<Played, DayError> {
+pub fn play_with(
+    day: &Scenario,
+    start: Start<'_>,
+    detail: bool,
+) -> std::result::Result<Played, ScenarioError> {
     day.check()?;
     for tier in 0..day.tiers.len() {
         let settings = day.settings(tier, 0, 0);
-        start(settings, 0).map_err(|e| DayError { line: 0, what: e.to_string() })?;
+        start(settings, 0)?;
     }
     let mut world = World::new(day, start, detail);
     world.run();
@@ -332,7 +336,10 @@
 }
 
 /// Plays a day and writes down what servers get after their start.
-pub(crate) fn play_watched(day: &Day, kind: Kind) -> std::result::Result<(Played, Watch), DayError> {
+pub(crate) fn play_watched(
+    day: &Scenario,
+    kind: Kind,
+) -> std::result::Result<(Played, Watch), ScenarioError> {
     day.check()?;
     let start = |settings, seed| kind.start(settings, seed);
     let mut world = World::new(day, &start, false);
@@ -343,7 +350,7 @@
 }
 
 impl<'d> World<'d> {
-    fn new(day: &'d Day, start: Start<'d>, detail: bool) -> World<'d> {
+    fn new(day: &'d Scenario, start: Start<'d>, detail: bool) -> World<'d> {
         let mut world = World {
             day,
             start,
@@ -470,7 +477,7 @@
     fn way(&self, from: u32, to: u32, number: u64) -> Micros {
         let n = &self.day.network;
         let base = if from == to { n.same_zone } else { n.cross_zone };
-        let late = n.jitter * draw::unit(self.day.seed, For::Message, number);
+        let late = n.jitter * random::unit(self.day.seed, Purpose::Message, number);
         (base.0 as f64 * (1.0 + late)) as Micros
     }
 
@@ -566,7 +573,7 @@
         let choked = self.servers.iter().filter(|s| s.ever_choked).count();
         let tally = std::mem::take(&mut self.tally);
         let (result, mut detail) =
-            judge::judge(self.day, &self.arrivals, tally, (choked, self.servers.len()), self.fallen);
+            scoring::score(self.day, &self.arrivals, tally, (choked, self.servers.len()), self.fallen);
         detail.servers = self.samples.unwrap_or_default();
         Played { result, detail }
     }
@@ -581,10 +588,10 @@
         let span = if number % 2 == 1 {
             (t.pause.0 as f64 * (1.0 + t.pause_grow * held / f64::from(t.cores))) as Micros
         } else {
-            let drawn = draw::unit(
+            let drawn = random::unit(
                 self.day.seed,
-                For::Pause,
-                draw::pair(u64::from(server), u64::from(epoch) << 32 | u64::from(number)),
+                Purpose::Pause,
+                random::pair(u64::from(server), u64::from(epoch) << 32 | u64::from(number)),
             );
             (t.pause_every.0 as f64 * (0.5 + drawn)) as Micros
         };
@@ -630,6 +637,6 @@
 }
 
 /// A seed for a process of its own.
-fn process_seed(day: &Day, number: usize) -> u64 {
-    draw::stream(day.seed, For::Process, number as u64).random()
+fn process_seed(day: &Scenario, number: usize) -> u64 {
+    random::stream(day.seed, Purpose::Process, number as u64).random()
 }
--- a/crates/fleet-model/src/world/news.rs
+++ b/crates/fleet-model/src/world/news.rs
@@ -3,8 +3,8 @@
 use zincstand_policy::{Event, ListKind, Micros, ServerEntry, ServerState};
 
 use super::{Ev, Note, ProcessAt, ServerAt, World};
-use crate::day::Asking;
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
+use crate::scenario::Asking;
 
 /// A call to discovery takes this long.
 const CALL: Micros = 5_000;
@@ -55,8 +55,8 @@
             if !p.alive || p.tier != tier || !p.watching {
                 continue;
             }
-            let key = draw::pair(process as u64, version);
-            let late = d.spread.0 as f64 * draw::unit(self.day.seed, For::News, key);
+            let key = random::pair(process as u64, version);
+            let late = d.spread.0 as f64 * random::unit(self.day.seed, Purpose::News, key);
             self.after(late as Micros, Ev::News { process: process as ProcessAt, whole: false });
         }
     }
@@ -98,8 +98,8 @@
         if heard >= upto {
             return;
         }
-        let key = draw::pair(u64::from(process) << 1 | 1, upto as u64);
-        if draw::unit(self.day.seed, For::News, key) < self.day.discovery.failing {
+        let key = random::pair(u64::from(process) << 1 | 1, upto as u64);
+        if random::unit(self.day.seed, Purpose::News, key) < self.day.discovery.failing {
             // The watch breaks off.
             return match self.day.discovery.mode {
                 Asking::Push => self.after(AGAIN, Ev::News { process, whole: true }),
@@ -116,8 +116,8 @@
 
     /// A process asks discovery, to be kept informed or once.
     pub(super) fn ask(&mut self, process: ProcessAt, once: bool) {
-        let key = draw::pair(u64::from(process) << 1, self.now);
-        let fails = draw::unit(self.day.seed, For::News, key) < self.day.discovery.failing;
+        let key = random::pair(u64::from(process) << 1, self.now);
+        let fails = random::unit(self.day.seed, Purpose::News, key) < self.day.discovery.failing;
         self.news_count().calls += 1;
         if self.discovery_down || fails || self.cut[self.processes[process as usize].zone as usize] {
             return self.tell(process, ListKind::Failed, &[]);
@@ -164,7 +164,7 @@
         ServerEntry {
             zone: s.zone,
             cell: s.cell,
-            ring_position: draw::pair(s.place as u64 + 1, 0x9e37_79b9).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            ring_position: random::pair(s.place as u64 + 1, 0x9e37_79b9).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             state,
             started: started.map(|at| at + offset),
             ..ServerEntry::new(change.server)
--- a/crates/fleet-model/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -8,9 +8,9 @@
     Attempt, AttemptAt, Caller, Edge, Ev, Message, Note, Process, ProcessAt, REMEMBERED, Reply, Request,
     RequestAt, ServerAt, World, process_seed,
 };
-use crate::day::{Asking, Effect};
-use crate::draw::{self, For};
-use crate::judge::{Cause, Rule};
+use crate::random::{self, Purpose};
+use crate::scenario::{Asking, Effect};
+use crate::scoring::{Cause, Rule};
 use crate::server::Truth;
 
 /// A timer costs the processor this part of what a message does.
@@ -26,7 +26,7 @@
         let seed = process_seed(self.day, number);
         // Settings were checked before the day began.
         let policy = (self.start)(settings, seed).unwrap_or_else(|e| unreachable!("checked before: {e}"));
-        let drawn = draw::unit(self.day.seed, For::Process, u64::from(me) << 8 | tier as u64);
+        let drawn = random::unit(self.day.seed, Purpose::Process, u64::from(me) << 8 | tier as u64);
         let offset = (self.day.balancers.clock_spread.0 as f64 * drawn) as Micros;
         self.processes.push(Process {
             tier,
--- a/crates/fleet-model/tests/ramp.rs
+++ b/crates/fleet-model/tests/ramp.rs
@@ -48,5 +48,5 @@
     let mut day = ramp::day(Shape::Restart, 8, 1, Rules::default()).unwrap();
     assert!(day.balancers.shares.iter().any(|s| *s > 1.5), "traffic is uneven: {:?}", day.balancers.shares);
     day.balancers.shares.pop();
-    assert!(day.check().unwrap_err().what.contains("balancers.shares"));
+    assert!(day.check().unwrap_err().to_string().contains("balancers.shares"));
 }
--- a/crates/fleet-model/tests/scale.rs
+++ b/crates/fleet-model/tests/scale.rs
@@ -1,8 +1,8 @@
 //! Slopes as counts: what a call costs by tiers and a change by balancers.
 
-use zincstand_fleet_model::day::{Day, FaultKind};
 use zincstand_fleet_model::depth::{self, Trouble};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::{FaultKind, Scenario};
 use zincstand_fleet_model::{Played, play};
 
 /// Attempts in each tier for one first call.
@@ -12,7 +12,7 @@
     (0..tiers).map(|t| sum(t) / played.result.requests as f64).collect()
 }
 
-fn short(tiers: usize, trouble: Trouble) -> Day {
+fn short(tiers: usize, trouble: Trouble) -> Scenario {
     let mut day = depth::day(tiers, trouble, 7, 1.5);
     // A sixteenth of the traffic for a sixteenth of the servers' speed: as busy, and quick to play.
     day.load.rate /= 16.0;
@@ -41,7 +41,7 @@
     assert!(depth::day(30, Trouble::Healthy, 1, 1.0).check().is_ok());
     assert!(depth::day(32, Trouble::Healthy, 1, 1.0).check().is_ok());
     let error = depth::day(33, Trouble::Healthy, 1, 1.0).check().unwrap_err();
-    assert!(error.what.contains("at most 32 tiers"), "{error}");
+    assert!(error.to_string().contains("at most 32 tiers"), "{error}");
 }
 
 #[test]
@@ -94,7 +94,7 @@
     (fault.kind, fault.tier, fault.which) = (FaultKind::RollingDeploy, 0, vec![3]);
     (fault.at, fault.length, fault.share) =
         (zincstand_fleet_model::Span::ms(200.0), zincstand_fleet_model::Span::ms(100.0), 1.0);
-    let sent = |day: &Day| {
+    let sent = |day: &Scenario| {
         let played = play(day, Kind::TwoChoices, false).unwrap();
         let all = played.detail.discovery;
         (all.iter().map(|n| n.messages).sum::<u64>(), all.iter().map(|n| n.entries).sum::<u64>())
--- a/crates/fleet-model/tests/stored.rs
+++ b/crates/fleet-model/tests/stored.rs
@@ -7,10 +7,10 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use zincstand_fleet_model::day::Day;
-use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::play;
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::Scenario;
 
 const DAYS: [(&str, u64, Size); 8] = [
     ("calm", 1, Size::Site),
@@ -28,7 +28,7 @@
     let mut table =
         String::from("# kind seed size policy: G, served, late, refused, failed, attempts, events\n");
     for (kind, seed, size) in DAYS {
-        let day = kinds::draw(kind, seed, size).unwrap();
+        let day = catalog::generate(kind, seed, size).unwrap();
         for policy in [Kind::Module, Kind::TwoChoices] {
             let r = play(&day, policy, false).unwrap().result;
             let e = r.ends;
@@ -74,10 +74,10 @@
 fn the_page_on_day_files_names_every_key_and_kind_of_fault() {
     let page = include_str!("../../../docs/days.md");
     let mut found = BTreeSet::new();
-    for (part, _) in kinds::PARTS {
+    for (part, _) in catalog::PARTS {
         // Whether servers can choke is drawn as well.
         for seed in 0..8 {
-            let day: Day = kinds::draw(part, seed, Size::Small).unwrap();
+            let day: Scenario = catalog::generate(part, seed, Size::Small).unwrap();
             let text: toml::Value = toml::from_str(&day.text().unwrap()).unwrap();
             keys(&text, &mut found);
             for fault in text.get("fault").and_then(|f| f.as_array()).into_iter().flatten() {
--- a/crates/fleet-model/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -1,15 +1,15 @@
 //! The world does what its description says, and its judge sees what a policy does wrong.
 
-use zincstand_fleet_model::day::{Choke, Day, Effect, Fault, FaultKind};
-use zincstand_fleet_model::judge::{Cause, Rule};
-use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::policy::{Kind, Policy};
+use zincstand_fleet_model::scenario::{Choke, Effect, Fault, FaultKind, Scenario};
+use zincstand_fleet_model::scoring::{Cause, Rule};
 use zincstand_fleet_model::{Played, Span, Truth, play, play_with};
 use zincstand_policy::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
 
 /// A day without chance: one class of equal requests, servers alike, nothing jitters.
-fn plain(servers: u32, rate: f64) -> Day {
-    let mut day = kinds::draw("calm", 1, Size::Small).unwrap();
+fn plain(servers: u32, rate: f64) -> Scenario {
+    let mut day = catalog::generate("calm", 1, Size::Small).unwrap();
     day.zones = vec!["a".to_owned()];
     day.balancers.zones = vec!["a".to_owned()];
     day.load.zone_shares = vec![1.0];
@@ -57,7 +57,7 @@
     }
 }
 
-fn scripted(day: &Day, decide: Decide) -> Played {
+fn scripted(day: &Scenario, decide: Decide) -> Played {
     let start = |_, _| {
         let policy = Scripted { decide, servers: Vec::new() };
         Ok(Box::new(policy) as Box<dyn Policy>)
@@ -106,7 +106,7 @@
 
 #[test]
 fn one_seed_gives_one_result_on_any_number_of_threads() {
-    let day = kinds::draw("errors+deploy+heavy", 5, Size::Small).unwrap();
+    let day = catalog::generate("errors+deploy+heavy", 5, Size::Small).unwrap();
     let once = || serde_json::to_string(&play(&day, Kind::Module, true).unwrap().result).unwrap();
     let first = once();
     let others: Vec<String> = std::thread::scope(|s| {
@@ -231,8 +231,8 @@
 
 #[test]
 fn crowded_servers_choke_and_stay_slow_until_they_rest() {
-    let mut day = kinds::draw("busy", 3, Size::Small).unwrap();
-    let choked = |day: &Day| play(day, Kind::Random, false).unwrap().result.choked;
+    let mut day = catalog::generate("busy", 3, Size::Small).unwrap();
+    let choked = |day: &Scenario| play(day, Kind::Random, false).unwrap().result.choked;
     day.load.rate *= 1.6;
     for (at, expected) in [(5.0, true), (1e6, false)] {
         for t in &mut day.tiers {
@@ -251,8 +251,8 @@
 
 #[test]
 fn every_part_of_every_kind_plays_and_the_module_keeps_the_rules() {
-    for (part, _) in kinds::PARTS {
-        let day = kinds::draw(part, 11, Size::Small).unwrap();
+    for (part, _) in catalog::PARTS {
+        let day = catalog::generate(part, 11, Size::Small).unwrap();
         let result = play(&day, Kind::Module, false).unwrap().result;
         let ends = result.ends;
         let ended = u64::from(ends.served + ends.late + ends.refused + ends.failed);
