--- a/crates/cli/src/model/experiment.rs
+++ b/crates/cli/src/model/experiment.rs
@@ -8,8 +8,8 @@
 
 use anyhow::{Context, Result, anyhow, bail};
 use clap::Args;
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::experiment::{self, Cell, Row};
-use zincstand_fleet_model::kinds::{self, Size};
 
 use crate::model::arguments::{Policies, parse_policies, parse_seeds};
 use crate::model::output::{print, progress_bar};
@@ -19,7 +19,7 @@
 #[derive(Args)]
 pub struct Experiment {
     /// Kinds, joined by commas
-    #[arg(long, value_delimiter = ',', default_values = kinds::STANDARD)]
+    #[arg(long, value_delimiter = ',', default_values = catalog::STANDARD)]
     kinds: Vec<String>,
     /// Seeds of each kind: a last one, or a range such as 101-300
     #[arg(long, default_value = "50", value_parser = parse_seeds)]
@@ -60,7 +60,7 @@
     let mut cells = Vec::new();
     for kind in &args.kinds {
         // Drawn once to reject a kind that does not exist.
-        kinds::draw(kind, 0, Size::Small)?;
+        catalog::generate(kind, 0, Size::Small)?;
         for seed in args.seeds.clone() {
             for &policy in &args.policies.0 {
                 cells.push(Cell { kind: kind.clone(), seed, size: args.size, policy });
--- a/crates/cli/src/model/plots/requests.rs
+++ b/crates/cli/src/model/plots/requests.rs
@@ -3,7 +3,7 @@
 use anyhow::Result;
 use plotters::element::Rectangle;
 use plotters::style::{Color, RGBColor};
-use zincstand_fleet_model::judge::Second;
+use zincstand_fleet_model::scoring::Second;
 
 use crate::model::plots::canvas::{
     BLUE, GREEN, LABEL_FONT, RED, TIMELINE_HEIGHT, WIDTH, YELLOW, chart, draw_error, draw_legend, svg,
--- a/crates/cli/src/model/plots/servers.rs
+++ b/crates/cli/src/model/plots/servers.rs
@@ -4,7 +4,7 @@
 use plotters::element::{PathElement, Rectangle};
 use plotters::series::LineSeries;
 use plotters::style::{Color, RGBAColor, RGBColor};
-use zincstand_fleet_model::judge::Sample;
+use zincstand_fleet_model::scoring::Sample;
 
 use crate::model::plots::canvas::{
     BLUE, GREEN, GREY, LABEL_FONT, RED, TIMELINE_HEIGHT, WIDTH, YELLOW, chart, draw_error, draw_legend, svg,
--- a/crates/cli/src/model/source.rs
+++ b/crates/cli/src/model/source.rs
@@ -5,8 +5,8 @@
 
 use anyhow::{Context, Result};
 use clap::Args;
-use zincstand_fleet_model::day::Day;
-use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::catalog::{self, Size};
+use zincstand_fleet_model::scenario::Scenario;
 
 /// A file argument that stands for standard input.
 const STANDARD_INPUT: &str = "-";
@@ -30,8 +30,8 @@
     ///
     /// # Errors
     /// A kind that does not exist; the message lists the parts of kinds.
-    pub fn draw(&self) -> Result<Day> {
-        Ok(kinds::draw(&self.kind, self.seed, self.size)?)
+    pub fn draw(&self) -> Result<Scenario> {
+        Ok(catalog::generate(&self.kind, self.seed, self.size)?)
     }
 }
 
@@ -49,11 +49,11 @@
     ///
     /// # Errors
     /// A file that cannot be read or is not a valid day, with its name and line; or a kind that does not exist.
-    pub fn day(&self) -> Result<Day> {
+    pub fn day(&self) -> Result<Scenario> {
         match &self.file {
             Some(path) => {
                 let text = read_text(path)?;
-                Day::parse(&text).with_context(|| path.display().to_string())
+                Scenario::parse(&text).with_context(|| path.display().to_string())
             }
             None => self.drawn.draw(),
         }
--- a/crates/cli/src/model/tables.rs
+++ b/crates/cli/src/model/tables.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use comfy_table::{CellAlignment, Table, presets};
-use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::experiment::{Row, scores};
-use zincstand_fleet_model::judge;
-use zincstand_fleet_model::kinds::{self, Size};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::Scenario;
+use zincstand_fleet_model::scoring;
 
 /// The policy that an experiment scores.
 const SCORED_POLICY: &str = "module";
@@ -21,7 +21,7 @@
     /// Name of the policy.
     pub policy: &'a str,
     /// Its result.
-    pub result: judge::Result,
+    pub result: scoring::Result,
 }
 
 /// A table without lines whose columns are aligned to the right, but for the first `text_columns`.
@@ -37,7 +37,7 @@
 /// The parts of kinds, the sizes, the policies, and what an experiment plays.
 pub fn kinds() -> String {
     let mut parts = new_table(&["part", "what happens"], 2);
-    for (name, description) in kinds::PARTS {
+    for (name, description) in catalog::PARTS {
         parts.add_row([name, description]);
     }
     let sizes: Vec<&str> = Size::ALL.iter().map(|size| size.name()).collect();
@@ -46,12 +46,12 @@
         "{parts}\n\nJoin parts with +, such as upgrade+hand.\nSizes: {}\nPolicies: {}\nAn experiment plays: {}",
         sizes.join(", "),
         policies.join(", "),
-        kinds::STANDARD.join(", ")
+        catalog::STANDARD.join(", ")
     )
 }
 
 /// A day's figures, a line a policy, and the first broken rule of each policy.
-pub fn results(day: &Day, results: &[PolicyResult<'_>]) -> String {
+pub fn results(day: &Scenario, results: &[PolicyResult<'_>]) -> String {
     let header = [
         "policy",
         "G",
@@ -82,7 +82,7 @@
     )
 }
 
-fn result_cells(policy: &str, result: &judge::Result) -> Vec<String> {
+fn result_cells(policy: &str, result: &scoring::Result) -> Vec<String> {
     let attempts = result.requests + result.client_retries;
     let attempts_per_request = attempts as f64 / result.requests.max(1) as f64;
     vec![
@@ -104,7 +104,7 @@
 }
 
 /// The first broken rule with the events before it; empty where none was broken.
-fn first_breach(policy: &str, result: &judge::Result) -> String {
+fn first_breach(policy: &str, result: &scoring::Result) -> String {
     let Some(breach) = result.breaches.first() else {
         return String::new();
     };
--- a/crates/fleet-model/benches/days.rs
+++ b/crates/fleet-model/benches/days.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use zincstand_fleet_model::day::Day;
-use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::Scenario;
 use zincstand_fleet_model::{Span, play};
 
 /// The decision module, and a cheap baseline that shows the cost of the world alone.
 const POLICIES: [Kind; 2] = [Kind::Module, Kind::TwoChoices];
 
-fn drawn(kind: &str, size: Size) -> Day {
-    kinds::draw(kind, 1, size).expect("the catalog has this kind")
+fn drawn(kind: &str, size: Size) -> Scenario {
+    catalog::generate(kind, 1, size).expect("the catalog has this kind")
 }
 
 /// The day in service: 8 + 9 servers, 69 requests a second, 60 s.
-fn service_day() -> Day {
+fn service_day() -> Scenario {
     let mut day = drawn("errors+heavy+deploy", Size::Site);
     day.tiers[0].servers = vec![4, 4];
     day.tiers[1].servers = vec![5, 4];
@@ -38,7 +38,7 @@
 }
 
 /// A day of half the vast fleet times `factor`, with the same load for each server.
-fn grown_day(factor: u32) -> Day {
+fn grown_day(factor: u32) -> Scenario {
     let mut day = drawn("deploy", Size::Vast);
     for count in day.tiers.iter_mut().flat_map(|tier| &mut tier.servers) {
         *count = *count * factor / 2;
--- a/crates/fleet-model/src/failures/measure.rs
+++ b/crates/fleet-model/src/failures/measure.rs
@@ -7,9 +7,9 @@
 use zincstand_policy::{Action, Event, LearnedState, Micros, Settings, SettingsError};
 
 use super::{DiscoveryTotal, Failure, Row, Sizes, day};
-use crate::day::DayError;
-use crate::judge::{NewsCount, Rule, Second};
 use crate::policy::{Kind, Policy};
+use crate::scenario::ScenarioError;
+use crate::scoring::{NewsCount, Rule, Second};
 use crate::server::Truth;
 use crate::world::{Played, play_with};
 
@@ -51,7 +51,7 @@
 }
 
 /// Plays a day of a failure and measures what it cost. Without a failure, the day is measured from the same moment.
-pub(super) fn measure(seed: u64, sizes: &Sizes, failure: Failure) -> Result<Row, DayError> {
+pub(super) fn measure(seed: u64, sizes: &Sizes, failure: Failure) -> Result<Row, ScenarioError> {
     let time = Arc::new(ModuleTime::default());
     let start = |settings: Settings, seed: u64| -> Result<Box<dyn Policy>, SettingsError> {
         let inner = Kind::Module.start(settings, seed)?;
--- a/crates/fleet-model/src/failures/mod.rs
+++ b/crates/fleet-model/src/failures/mod.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use self::measure::measure;
-use crate::day::DayError;
 use crate::depth::Fit;
-use crate::judge::Rule;
+use crate::scenario::ScenarioError;
+use crate::scoring::Rule;
 
 pub use self::scenario::day;
 
@@ -226,7 +226,7 @@
 /// # Errors
 ///
 /// The sizes ask for a day that cannot be played.
-pub fn run(seed: u64, sizes: &Sizes, known: &[u32], done: impl Fn()) -> Result<Failures, DayError> {
+pub fn run(seed: u64, sizes: &Sizes, known: &[u32], done: impl Fn()) -> Result<Failures, ScenarioError> {
     let mut costs = Vec::new();
     for &servers in known {
         let small = Sizes {
--- a/crates/fleet-model/src/failures/scenario.rs
+++ b/crates/fleet-model/src/failures/scenario.rs
@@ -1,9 +1,9 @@
 //! Days of a fleet in which a part of it fails.
 
 use super::{Failure, FailureSpan, Sizes};
-use crate::day::{Day, Fault, FaultKind};
+use crate::catalog::fault;
 use crate::depth::plain;
-use crate::kinds::fault;
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::span::Span;
 
 /// How busy the servers are before the failure.
@@ -30,7 +30,7 @@
 const REGIONS: u32 = 4;
 
 /// A day with a failure. The load is scaled to the rate of the sizes: calls are rarer and cost as many times the work.
-pub fn day(seed: u64, sizes: &Sizes, failure: Failure) -> Day {
+pub fn day(seed: u64, sizes: &Sizes, failure: Failure) -> Scenario {
     let zones: Vec<String> = (0..sizes.zones).map(|zone| format!("zone {zone}")).collect();
     let per_zone = sizes.servers_per_zone();
     let servers = per_zone * sizes.zones;
--- a/crates/fleet-model/src/ramp/analysis.rs
+++ b/crates/fleet-model/src/ramp/analysis.rs
@@ -4,8 +4,8 @@
 
 use super::scenario::mean_work;
 use super::{BINS, BINS_PER_WARM_UP, OverloadCount};
-use crate::day::{Day, DayError};
 use crate::policy::Kind;
+use crate::scenario::{Scenario, ScenarioError};
 use crate::world::{ArrivalAtServer, ServerStart, play_recorded};
 
 /// An overload breaks the rule if more than this share of it came from balancers that had been notified of the start.
@@ -77,7 +77,7 @@
 /// # Errors
 ///
 /// The day contradicts itself.
-pub fn play(day: &Day, kind: Kind) -> Result<Measurement, DayError> {
+pub fn play(day: &Scenario, kind: Kind) -> Result<Measurement, ScenarioError> {
     let (played, recording) = play_recorded(day, kind)?;
     let shares: f64 = day.classes.iter().map(|class| class.share).sum();
     let analysis = Analysis {
@@ -107,7 +107,7 @@
 
 /// A played day and figures that all its servers share.
 struct Analysis<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     /// Servers that started.
     starts: usize,
     /// Mean work of a request, in microseconds.
--- a/crates/fleet-model/src/ramp/scenario.rs
+++ b/crates/fleet-model/src/ramp/scenario.rs
@@ -3,9 +3,9 @@
 use rand::RngExt;
 
 use super::{BINS, BINS_PER_WARM_UP, RuleOverrides, Shape};
-use crate::day::{Class, Day, DayError, Fault, FaultKind, Spread};
-use crate::draw::{self, For, within};
-use crate::kinds::{self, Size};
+use crate::catalog::{self, Size};
+use crate::random::{self, Purpose, within};
+use crate::scenario::{Class, Fault, FaultKind, Scenario, ScenarioError, Spread};
 use crate::span::Span;
 
 /// When servers begin to restart, in seconds: balancers with little traffic have sent some requests by then.
@@ -32,7 +32,7 @@
 
 /// Mean work of a request over all classes, in the unit of [`kinds::mean_work`].
 pub(super) fn mean_work(classes: &[Class], seed: u64) -> f64 {
-    classes.iter().map(|class| class.share * kinds::mean_work(class, seed)).sum::<f64>()
+    classes.iter().map(|class| class.share * catalog::mean_work(class, seed)).sum::<f64>()
 }
 
 /// Draws a day of a shape: one tier, all else as on a busy day of the site, shortened to what the shape needs.
@@ -40,14 +40,14 @@
 /// # Errors
 ///
 /// The rules contradict themselves.
-pub fn day(shape: Shape, balancers: u32, seed: u64, rules: RuleOverrides) -> Result<Day, DayError> {
-    let mut day = kinds::draw("busy", seed, Size::Site)?;
-    let rng = &mut draw::stream(seed, For::Fate, RANDOM_STREAM);
+pub fn day(shape: Shape, balancers: u32, seed: u64, rules: RuleOverrides) -> Result<Scenario, ScenarioError> {
+    let mut day = catalog::generate("busy", seed, Size::Site)?;
+    let rng = &mut random::stream(seed, Purpose::Fate, RANDOM_STREAM);
     let count = server_count(balancers);
     day.name = format!("ramp {} {balancers} {seed}", shape.name());
     day.tiers.truncate(1);
     let tier = &mut day.tiers[0];
-    tier.servers = kinds::zoned(count, within(rng, FIRST_ZONE_SHARE));
+    tier.servers = catalog::zoned(count, within(rng, FIRST_ZONE_SHARE));
     tier.calls = 0.0;
     tier.work = 1.0;
     tier.cold_from = rules.cold_from.unwrap_or(tier.cold_from);
@@ -56,10 +56,10 @@
     let work = mean_work(&day.classes, seed) / shares;
     let cores = f64::from(count * day.tiers[0].cores) * day.tiers[0].speed;
     day.load.rate = cores / work * within(rng, UTILIZATION);
-    let in_first_zone = kinds::zoned(balancers, day.load.zone_shares[0])[0];
+    let in_first_zone = catalog::zoned(balancers, day.load.zone_shares[0])[0];
     let zone_of = |balancer: u32| day.zones[usize::from(balancer >= in_first_zone)].clone();
     day.balancers.zones = (0..balancers).map(zone_of).collect();
-    let mut draw_share = |_| draw::factor(rng, Spread::Lognormal, TRAFFIC_DEVIATION);
+    let mut draw_share = |_| random::factor(rng, Spread::Lognormal, TRAFFIC_DEVIATION);
     day.balancers.shares = (0..balancers).map(&mut draw_share).collect();
     let shuffled = shuffled_servers(count, rng);
     let faults_last = add_faults(&mut day, shape, &shuffled);
@@ -79,11 +79,11 @@
 }
 
 /// Adds the faults of a shape and returns for how many seconds they last.
-fn add_faults(day: &mut Day, shape: Shape, shuffled: &[usize]) -> f64 {
+fn add_faults(day: &mut Scenario, shape: Shape, shuffled: &[usize]) -> f64 {
     let replaced = |share: f64, seconds: f64| {
         let affected = (shuffled.len() as f64 * share).round().max(1.0) as usize;
         let which = shuffled[..affected].to_vec();
-        Fault { which, ..kinds::fault(FaultKind::Replaced, FAULTS_BEGIN, seconds) }
+        Fault { which, ..catalog::fault(FaultKind::Replaced, FAULTS_BEGIN, seconds) }
     };
     match shape {
         Shape::Restart => {
@@ -96,12 +96,12 @@
         }
         Shape::Zone => {
             let zone = Some(day.zones[1].clone());
-            day.faults.push(Fault { zone, ..kinds::fault(FaultKind::ZoneLost, FAULTS_BEGIN, 5.0) });
+            day.faults.push(Fault { zone, ..catalog::fault(FaultKind::ZoneLost, FAULTS_BEGIN, 5.0) });
             5.0
         }
         Shape::Start => {
             day.faults.push(replaced(0.6, 1.0));
-            day.faults.push(kinds::fault(FaultKind::BalancerKilled, FAULTS_BEGIN, 1.0));
+            day.faults.push(catalog::fault(FaultKind::BalancerKilled, FAULTS_BEGIN, 1.0));
             // A notice that came after the restart would be taken for one of the new process.
             day.balancers.notice = Span::ms(500.0);
             1.0
--- a/crates/fleet-model/src/ramp/summary.rs
+++ b/crates/fleet-model/src/ramp/summary.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{BINS, BINS_PER_WARM_UP, Measurement, OverloadCount, RuleOverrides, Shape, day, play};
-use crate::day::DayError;
 use crate::policy::Kind;
+use crate::scenario::ScenarioError;
 
 /// From this part of the warm-up time on, a server receives what it always receives.
 const WARM_BIN: usize = 12;
@@ -118,14 +118,14 @@
     seeds: u64,
     rules: RuleOverrides,
     done: impl Fn() + Sync,
-) -> Result<Line, DayError> {
+) -> Result<Line, ScenarioError> {
     let play_seed = |seed: u64| {
         let measurement = play(&day(shape, balancers, seed, rules)?, Kind::Module)?;
         done();
         Ok(measurement)
     };
     let seeds: Vec<u64> = (1..=seeds).collect();
-    let days: Result<Vec<Measurement>, DayError> =
+    let days: Result<Vec<Measurement>, ScenarioError> =
         seeds.into_par_iter().with_max_len(1).map(play_seed).collect();
     Ok(summarize(shape, balancers, &days?))
 }
--- a/crates/fleet-model/src/server/choke.rs
+++ b/crates/fleet-model/src/server/choke.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy::Micros;
 
-use crate::day::Choke;
+use crate::scenario::Choke;
 
 /// Busy time of a choked server is sampled this many times in the span that it must rest.
 const SAMPLES_PER_REST: u64 = 10;
--- a/crates/fleet-model/src/server/mod.rs
+++ b/crates/fleet-model/src/server/mod.rs
@@ -13,8 +13,8 @@
 
 use self::choke::ChokeState;
 use self::cold::ColdWorkWindow;
-use crate::day::{Spread, Tier};
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
+use crate::scenario::{Spread, Tier};
 
 pub(crate) use self::cold::{ColdWork, OverloadRule};
 pub(crate) use self::jobs::{JobAdmission, JobIndex};
@@ -154,8 +154,8 @@
 impl Server {
     /// A warm server that runs; `number` decides how its speed and warm-up time differ from its tier's.
     pub fn new(seed: u64, number: u64, tier: &Tier, place: ServerPlace) -> Server {
-        let mut rng = draw::stream(seed, For::Server, number);
-        let speed = tier.speed * draw::factor(&mut rng, Spread::Lognormal, tier.speed_cv);
+        let mut rng = random::stream(seed, Purpose::Server, number);
+        let speed = tier.speed * random::factor(&mut rng, Spread::Lognormal, tier.speed_cv);
         // Servers warm up at their own pace, never slower than the tier's figure.
         let warm_up_share = MIN_WARM_UP_SHARE + (1.0 - MIN_WARM_UP_SHARE) * rng.random::<f64>();
         Server {
--- a/crates/fleet-model/src/world/actions.rs
+++ b/crates/fleet-model/src/world/actions.rs
@@ -5,8 +5,8 @@
 use super::World;
 use super::event::{Message, Reply, WorldEvent};
 use super::state::{AttemptIndex, PossibleRun, ProcessIndex, RecentEvent, RequestIndex, ServerIndex};
-use crate::day::{Class, Effect};
-use crate::judge::Rule;
+use crate::scenario::{Class, Effect};
+use crate::scoring::Rule;
 
 /// A rule that an action breaks, and how.
 struct Violation {
--- a/crates/fleet-model/src/world/arrivals.rs
+++ b/crates/fleet-model/src/world/arrivals.rs
@@ -3,9 +3,9 @@
 use rand::RngExt;
 use zincstand_policy::Micros;
 
-use crate::day::{Day, Shape, Tenant};
-use crate::draw::{self, For};
-use crate::judge::Arrival;
+use crate::random::{self, Purpose};
+use crate::scenario::{Scenario, Shape, Tenant};
+use crate::scoring::Arrival;
 
 /// Length of a spell of high or low load on a bursty day, in seconds.
 const SPELL_SECONDS: f64 = 1.5;
@@ -38,19 +38,19 @@
 }
 
 /// How the load differs from its mean at a time of the day, from -1 to 1.
-fn load_swing(day: &Day, phase: f64, seconds: f64) -> f64 {
+fn load_swing(day: &Scenario, phase: f64, seconds: f64) -> f64 {
     match day.load.shape {
         Shape::Wave => (std::f64::consts::TAU * (seconds / day.length.secs() * WAVES + phase)).sin(),
         Shape::Bursty => {
-            let spell = draw::unit(day.seed, For::Arrivals, 1 + (seconds / SPELL_SECONDS) as u64);
+            let spell = random::unit(day.seed, Purpose::Arrivals, 1 + (seconds / SPELL_SECONDS) as u64);
             if spell < 0.5 { -1.0 } else { 1.0 }
         }
     }
 }
 
 /// Draws all first tries of the day, in the order in which they are sent.
-pub(super) fn draw_arrivals(day: &Day) -> Vec<Arrival> {
-    let mut rng = draw::stream(day.seed, For::Arrivals, 0);
+pub(super) fn draw_arrivals(day: &Scenario) -> Vec<Arrival> {
+    let mut rng = random::stream(day.seed, Purpose::Arrivals, 0);
     let phase: f64 = rng.random();
     let length = day.length.secs();
     let peak_rate = day.load.rate * (1.0 + day.load.swing);
@@ -76,14 +76,14 @@
 }
 
 /// Draws what one first try asks for.
-fn draw_arrival(day: &Day, number: usize, now: f64) -> Arrival {
-    let mut rng = draw::stream(day.seed, For::Request, number as u64);
+fn draw_arrival(day: &Scenario, number: usize, now: f64) -> Arrival {
+    let mut rng = random::stream(day.seed, Purpose::Request, number as u64);
     let zone = weighted_index(rng.random(), day.load.zone_shares.iter().copied());
     let class = weighted_index(rng.random(), day.classes.iter().map(|class| class.share));
     let drawn: f64 = rng.random();
     let tenant_weights = day.tenants.iter().map(|tenant| tenant.share * tenant.usage);
     let tenant = (!day.tenants.is_empty()).then(|| weighted_index(drawn, tenant_weights));
-    let work = day.classes[class].draw(&mut rng);
+    let work = random::request_work(&day.classes[class], &mut rng);
     Arrival::new((now * 1e6) as Micros, zone as u32, class, tenant, work)
 }
 
--- a/crates/fleet-model/src/world/attempts.rs
+++ b/crates/fleet-model/src/world/attempts.rs
@@ -9,9 +9,9 @@
     Attempt, AttemptConnection, AttemptIndex, Caller, Job, JobPhase, ProcessIndex, Request, RequestIndex,
     ServerIndex,
 };
-use crate::day::Spread;
-use crate::draw::{self, For};
-use crate::judge::{Cause, Rule};
+use crate::random::{self, Purpose};
+use crate::scenario::Spread;
+use crate::scoring::{Cause, Rule};
 use crate::server::{ColdWork, JobAdmission, JobIndex, OverloadRule, Slowdown};
 use crate::world::recording::ArrivalAtServer;
 
@@ -72,7 +72,7 @@
             Caller::Job(job) => self.nested_caller_key(job),
         };
         let tier = self.processes[process as usize].tier as u64;
-        draw::pair(u64::from(request.arrival) << 8 | tier, u64::from(number) << 24 | caller_key)
+        random::pair(u64::from(request.arrival) << 8 | tier, u64::from(number) << 24 | caller_key)
     }
 
     fn nested_caller_key(&self, job: JobIndex) -> u64 {
@@ -82,7 +82,7 @@
         match self.requests[outer.request as usize].caller {
             Caller::Client { .. } => key,
             // Prevents a repeat further up from meeting the very draws of the attempt before.
-            Caller::Job(_) => draw::pair(key, outer.key),
+            Caller::Job(_) => random::pair(key, outer.key),
         }
     }
 
@@ -212,13 +212,13 @@
             self.schedule_outcome(attempt, latency, Outcome::Rejected);
             return true;
         }
-        if draw::unit(self.scenario.seed, For::Fate, key) < server.error_rate {
+        if random::unit(self.scenario.seed, Purpose::Fate, key) < server.error_rate {
             self.schedule_outcome(attempt, latency + FAST_ERROR_DELAY, Outcome::Error);
             return true;
         }
-        if draw::unit(self.scenario.seed, For::Fate, key ^ 1) < server.reset_rate {
+        if random::unit(self.scenario.seed, Purpose::Fate, key ^ 1) < server.reset_rate {
             // The server goes on working for a connection that breaks meanwhile.
-            let mut rng = draw::stream(self.scenario.seed, For::Fate, key ^ 2);
+            let mut rng = random::stream(self.scenario.seed, Purpose::Fate, key ^ 2);
             let breaks_after = (work * rng.random::<f64>()) as Micros;
             self.schedule_outcome(attempt, latency + breaks_after, Outcome::Reset);
         }
@@ -258,8 +258,8 @@
     /// How many calls of the next tier a request makes in a tier.
     fn nested_calls(&self, arrival: u32, tier: usize) -> u32 {
         let mean = self.scenario.tiers[tier].calls;
-        let key = draw::pair(u64::from(arrival), NESTED_CALLS_KEY + tier as u64);
-        let drawn = draw::unit(self.scenario.seed, For::Request, key);
+        let key = random::pair(u64::from(arrival), NESTED_CALLS_KEY + tier as u64);
+        let drawn = random::unit(self.scenario.seed, Purpose::Request, key);
         mean as u32 + u32::from(drawn < mean.fract())
     }
 
@@ -269,13 +269,14 @@
         let request = &self.requests[attempt.request as usize];
         let server = &self.servers[attempt.destination as usize];
         let class = &self.scenario.classes[request.class];
-        let mut rng = draw::stream(self.scenario.seed, For::Attempt, attempt.key);
-        let noise = draw::factor(&mut rng, Spread::Lognormal, class.attempt_noise);
+        let mut rng = random::stream(self.scenario.seed, Purpose::Attempt, attempt.key);
+        let noise = random::factor(&mut rng, Spread::Lognormal, class.attempt_noise);
         let tier_work = self.scenario.tiers[server.tier].work;
         let mut work = self.arrivals[request.arrival as usize].work * tier_work * noise;
         for heavy in &self.heavy_tails {
-            let key = draw::pair(u64::from(request.arrival), HEAVY_TAIL_KEY + u64::from(heavy.fault));
-            if heavy.class == request.class && draw::unit(self.scenario.seed, For::Request, key) < heavy.share
+            let key = random::pair(u64::from(request.arrival), HEAVY_TAIL_KEY + u64::from(heavy.fault));
+            if heavy.class == request.class
+                && random::unit(self.scenario.seed, Purpose::Request, key) < heavy.share
             {
                 work *= heavy.factor;
             }
--- a/crates/fleet-model/src/world/attribution.rs
+++ b/crates/fleet-model/src/world/attribution.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use super::state::{Attempt, AttemptIndex, Job, JobPhase, RequestIndex, ServerIndex};
-use crate::judge::Cause;
+use crate::scoring::Cause;
 use crate::server::Condition;
 
 impl World<'_> {
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -6,9 +6,9 @@
 use super::arrivals::weighted_index;
 use super::event::{Message, Reply, WorldEvent};
 use super::state::{Caller, ClientTry, FrontBalancer, ProcessIndex, Request, RequestIndex};
-use crate::day::Effect;
-use crate::draw::{self, For};
-use crate::judge::{Cause, End, Rule};
+use crate::random::{self, Purpose};
+use crate::scenario::Effect;
+use crate::scoring::{Cause, End, Rule};
 
 /// A client with less time left than this does not send a try.
 const MIN_TRY_TIME: Micros = 1_000;
@@ -60,7 +60,7 @@
         self.client_tries[arrival as usize] = ClientTry { number, pending: true };
         self.schedule_after(limit, WorldEvent::ClientTryTimedOut { arrival, number });
         let latency = self.scenario.network.client.0;
-        let key = draw::pair(u64::from(arrival), u64::from(number));
+        let key = random::pair(u64::from(arrival), u64::from(number));
         match self.choose_front_process(arrival, key) {
             Ok(process) => self.call_balancer(process, arrival, number, limit),
             Err(reply) => {
@@ -72,7 +72,7 @@
 
     /// The process that the front connects a client to, or the reply if none takes the connection.
     fn choose_front_process(&self, arrival: u32, key: u64) -> Result<ProcessIndex, Reply> {
-        let drawn = draw::unit(self.scenario.seed, For::Front, key);
+        let drawn = random::unit(self.scenario.seed, Purpose::Front, key);
         let route = &self.front_routes[self.arrivals[arrival as usize].zone as usize];
         let shares = &self.scenario.balancers.shares;
         let index = if shares.is_empty() {
@@ -99,8 +99,8 @@
         let request = self.new_request(process, caller, arrival, class, deadline);
         let message = Message::Request(request);
         self.schedule_after(latency, WorldEvent::Message { process, message });
-        let key = draw::pair(u64::from(arrival), u64::from(number));
-        let patience = draw::unit(self.scenario.seed, For::Client, key);
+        let key = random::pair(u64::from(arrival), u64::from(number));
+        let patience = random::unit(self.scenario.seed, Purpose::Client, key);
         let impatient = self.scenario.clients.impatient;
         if patience < impatient {
             // It disconnects before its limit; no answer is owed from then on.
@@ -191,13 +191,13 @@
     /// How long a client waits before it retries: its own backoff, or longer if it heeds `Retry-After`.
     fn client_backoff(&self, arrival: u32, number: u32, reply: Reply) -> Micros {
         let clients = &self.scenario.clients;
-        let key = draw::pair(u64::from(arrival), BACKOFF_KEY + u64::from(number));
-        let drawn = draw::unit(self.scenario.seed, For::Client, key);
+        let key = random::pair(u64::from(arrival), BACKOFF_KEY + u64::from(number));
+        let drawn = random::unit(self.scenario.seed, Purpose::Client, key);
         let doubled = f64::from(1u32 << number.min(MAX_BACKOFF_DOUBLINGS));
         let mut backoff = clients.backoff.0 as f64 * doubled * (0.5 + drawn);
         if let Reply::Rejected { retry_after } = reply
             && self.scenario.limits.retry_after
-            && draw::unit(self.scenario.seed, For::Client, key ^ 1) < clients.honour
+            && random::unit(self.scenario.seed, Purpose::Client, key ^ 1) < clients.honour
         {
             backoff = backoff.max(retry_after.min(self.scenario.limits.max_retry_after.0) as f64);
         }
--- a/crates/fleet-model/src/world/discovery.rs
+++ b/crates/fleet-model/src/world/discovery.rs
@@ -7,8 +7,8 @@
 use super::World;
 use super::event::{UpdateScope, WorldEvent};
 use super::state::{ProcessIndex, RecentEvent, ServerIndex};
-use crate::day::Asking;
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
+use crate::scenario::Asking;
 
 /// Duration of a call to discovery.
 const CALL_DURATION: Micros = 5_000;
@@ -84,9 +84,9 @@
 
     /// Schedules an update to a process within the spread of delays; `version` keeps its draw apart from others.
     pub(super) fn schedule_update(&mut self, process: ProcessIndex, version: u64, scope: UpdateScope) {
-        let key = draw::pair(u64::from(process), version);
+        let key = random::pair(u64::from(process), version);
         let spread = self.scenario.discovery.spread.0 as f64;
-        let delay = spread * draw::unit(self.scenario.seed, For::News, key);
+        let delay = spread * random::unit(self.scenario.seed, Purpose::News, key);
         self.schedule_after(delay as Micros, WorldEvent::DiscoveryUpdate { process, scope });
     }
 
@@ -128,8 +128,8 @@
         if received >= position {
             return;
         }
-        let key = draw::pair(u64::from(process) << 1 | 1, position as u64);
-        if draw::unit(self.scenario.seed, For::News, key) < self.scenario.discovery.failing {
+        let key = random::pair(u64::from(process) << 1 | 1, position as u64);
+        if random::unit(self.scenario.seed, Purpose::News, key) < self.scenario.discovery.failing {
             return self.break_watch(process);
         }
         let changes = self.discovery_log[tier][received..position].to_vec();
@@ -152,8 +152,8 @@
 
     /// A process asks discovery for the complete list and, if `watch`, for changes from then on.
     pub(super) fn call_discovery(&mut self, process: ProcessIndex, watch: bool) {
-        let key = draw::pair(u64::from(process) << 1, self.now);
-        let fails = draw::unit(self.scenario.seed, For::News, key) < self.scenario.discovery.failing;
+        let key = random::pair(u64::from(process) << 1, self.now);
+        let fails = random::unit(self.scenario.seed, Purpose::News, key) < self.scenario.discovery.failing;
         self.discovery_count().calls += 1;
         let record = &mut self.processes[process as usize];
         if self.discovery_down || fails || self.partitioned_zones[record.zone as usize] {
@@ -206,7 +206,7 @@
             ListedState::Draining => (ServerState::Draining, server.started),
             ListedState::Removed => (ServerState::Removed, server.started),
         };
-        let ring_key = draw::pair(server.address as u64 + 1, RING_SALT);
+        let ring_key = random::pair(server.address as u64 + 1, RING_SALT);
         ServerEntry {
             zone: server.zone,
             cell: server.cell,
--- a/crates/fleet-model/src/world/faults/balancers.rs
+++ b/crates/fleet-model/src/world/faults/balancers.rs
@@ -4,7 +4,7 @@
 
 use super::schedule::TargetStep;
 use super::{FRONT_NOTICE, READY_DELAY};
-use crate::day::{Fault, FaultKind};
+use crate::scenario::{Fault, FaultKind};
 use crate::world::World;
 use crate::world::event::WorldEvent;
 use crate::world::processes::ProcessEnd;
--- a/crates/fleet-model/src/world/faults/mod.rs
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -13,7 +13,7 @@
 use super::World;
 use super::event::WorldEvent;
 use super::state::HeavyTail;
-use crate::day::{Fault, FaultKind};
+use crate::scenario::{Fault, FaultKind};
 
 /// From the end of a process to the start of the next one on the same machine.
 const RESTART_DELAY: Micros = 500_000;
--- a/crates/fleet-model/src/world/faults/schedule.rs
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -3,7 +3,7 @@
 use zincstand_policy::Micros;
 
 use super::{RESTART_DELAY, SHUTDOWN_GRACE};
-use crate::day::{Fault, FaultKind};
+use crate::scenario::{Fault, FaultKind};
 use crate::world::World;
 use crate::world::event::WorldEvent;
 
--- a/crates/fleet-model/src/world/faults/servers.rs
+++ b/crates/fleet-model/src/world/faults/servers.rs
@@ -2,7 +2,7 @@
 
 use super::FaultStatus;
 use super::schedule::TargetStep;
-use crate::day::{Fault, FaultKind};
+use crate::scenario::{Fault, FaultKind};
 use crate::server::{Server, Slowdown};
 use crate::world::World;
 use crate::world::discovery::{ChangeVisibility, ListedState};
--- a/crates/fleet-model/src/world/faults/zones.rs
+++ b/crates/fleet-model/src/world/faults/zones.rs
@@ -1,7 +1,7 @@
 //! Faults of whole zones and of discovery.
 
 use super::{FaultStatus, READY_DELAY};
-use crate::day::Fault;
+use crate::scenario::Fault;
 use crate::world::World;
 use crate::world::discovery::{ChangeVisibility, ListedState};
 use crate::world::event::{UpdateScope, WorldEvent};
--- a/crates/fleet-model/src/world/jobs.rs
+++ b/crates/fleet-model/src/world/jobs.rs
@@ -5,7 +5,7 @@
 use super::World;
 use super::event::{Message, WorldEvent};
 use super::state::{Caller, Job, JobPhase, ServerIndex};
-use crate::judge::Cause;
+use crate::scoring::Cause;
 use crate::server::JobIndex;
 
 /// Least time that a call of the next tier is given, however late its caller is.
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -28,10 +28,10 @@
 use self::state::{
     Attempt, ClientTry, FrontBalancer, HeavyTail, Job, Process, ProcessIndex, Request, ServerIndex,
 };
-use crate::day::{Day, DayError};
-use crate::draw::{self, For};
-use crate::judge::{self, Arrival, Detail, Metrics, Sample};
 use crate::policy::{Kind, Policy};
+use crate::random::{self, Purpose};
+use crate::scenario::{Scenario, ScenarioError};
+use crate::scoring::{self, Arrival, Detail, Metrics, Sample};
 use crate::server::Server;
 
 pub(crate) use self::recording::{ArrivalAtServer, ServerStart, StartRecording};
@@ -40,7 +40,7 @@
 
 /// A day that is being played.
 struct World<'d> {
-    scenario: &'d Day,
+    scenario: &'d Scenario,
     start: Start<'d>,
     now: Micros,
     queue: EventQueue,
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub struct Played {
     /// Figures of the whole day.
-    pub result: judge::Result,
+    pub result: scoring::Result,
     /// Figures by second, losses and, where asked for, samples of servers.
     pub detail: Detail,
 }
@@ -97,7 +97,7 @@
 /// # Errors
 ///
 /// The day contradicts itself; the error names the key.
-pub fn play(day: &Day, kind: Kind, detail: bool) -> Result<Played, DayError> {
+pub fn play(day: &Scenario, kind: Kind, detail: bool) -> Result<Played, ScenarioError> {
     play_with(day, &|settings, seed| kind.start(settings, seed), detail)
 }
 
@@ -106,11 +106,11 @@
 /// # Errors
 ///
 /// The day contradicts itself, or `start` rejects the settings that follow from it.
-pub fn play_with(day: &Day, start: Start<'_>, detail: bool) -> Result<Played, DayError> {
+pub fn play_with(day: &Scenario, start: Start<'_>, detail: bool) -> Result<Played, ScenarioError> {
     day.check()?;
     for tier in 0..day.tiers.len() {
         let settings = day.settings(tier, 0, 0);
-        start(settings, 0).map_err(|error| DayError { line: 0, what: error.to_string() })?;
+        start(settings, 0)?;
     }
     let mut world = World::new(day, start, detail);
     world.run();
@@ -122,7 +122,7 @@
 /// # Errors
 ///
 /// The day contradicts itself; the error names the key.
-pub(crate) fn play_recorded(day: &Day, kind: Kind) -> Result<(Played, StartRecording), DayError> {
+pub(crate) fn play_recorded(day: &Scenario, kind: Kind) -> Result<(Played, StartRecording), ScenarioError> {
     day.check()?;
     let start = |settings, seed| kind.start(settings, seed);
     let mut world = World::new(day, &start, false);
@@ -187,7 +187,7 @@
     fn network_latency(&self, from: u32, to: u32, key: u64) -> Micros {
         let network = &self.scenario.network;
         let base = if from == to { network.same_zone } else { network.cross_zone };
-        let late = network.jitter * draw::unit(self.scenario.seed, For::Message, key);
+        let late = network.jitter * random::unit(self.scenario.seed, Purpose::Message, key);
         (base.0 as f64 * (1.0 + late)) as Micros
     }
 
@@ -204,7 +204,7 @@
         let metrics = std::mem::take(&mut self.metrics);
         let servers = self.servers.len();
         let (result, mut detail) =
-            judge::judge(self.scenario, &self.arrivals, metrics, (choked, servers), self.collapsed);
+            scoring::score(self.scenario, &self.arrivals, metrics, (choked, servers), self.collapsed);
         detail.servers = self.samples.unwrap_or_default();
         Played { result, detail }
     }
--- a/crates/fleet-model/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -8,8 +8,8 @@
 use super::World;
 use super::event::{Reply, UpdateScope, WorldEvent};
 use super::state::{Caller, FrontBalancer, Process, ProcessIndex, ServerIndex};
-use crate::day::Asking;
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
+use crate::scenario::Asking;
 
 /// From the start of a process to its first list from discovery.
 const FIRST_LIST_DELAY: Micros = 20_000;
@@ -34,11 +34,11 @@
     ) -> ProcessIndex {
         let number = self.processes.len();
         let settings = self.scenario.settings(tier, balancer, zone);
-        let seed = draw::stream(self.scenario.seed, For::Process, number as u64).random();
+        let seed = random::stream(self.scenario.seed, Purpose::Process, number as u64).random();
         let policy = (self.start)(settings, seed)
             .unwrap_or_else(|error| unreachable!("the settings were checked before the day began: {error}"));
         let key = u64::from(balancer) << 8 | tier as u64;
-        let drawn = draw::unit(self.scenario.seed, For::Process, key);
+        let drawn = random::unit(self.scenario.seed, Purpose::Process, key);
         let clock_offset = (self.scenario.balancers.clock_spread.0 as f64 * drawn) as Micros;
         let pushed = self.scenario.discovery.mode == Asking::Push;
         self.processes.push(Process {
--- a/crates/fleet-model/src/world/sampling.rs
+++ b/crates/fleet-model/src/world/sampling.rs
@@ -5,7 +5,7 @@
 use super::event::WorldEvent;
 use super::state::{ProcessIndex, RecentEvent, ServerIndex};
 use super::{MICROS_PER_SECOND, World};
-use crate::judge::{Breach, NewsCount, Rule, Sample, TierCount};
+use crate::scoring::{Breach, NewsCount, Rule, Sample, TierCount};
 use crate::server::AnsweredAttempts;
 
 /// Broken rules that are reported in full; further ones are only counted.
--- a/crates/fleet-model/src/world/servers.rs
+++ b/crates/fleet-model/src/world/servers.rs
@@ -6,7 +6,7 @@
 use super::processes::ProcessEnd;
 use super::state::{ProcessIndex, ServerIndex};
 use super::{ServerStart, World};
-use crate::draw::{self, For};
+use crate::random::{self, Purpose};
 use crate::world::discovery::{ChangeVisibility, ListedState};
 
 impl World<'_> {
@@ -54,8 +54,8 @@
             let held_per_core = tier.pause_grow * record.held() as f64 / f64::from(tier.cores);
             (tier.pause.0 as f64 * (1.0 + held_per_core)) as Micros
         } else {
-            let key = draw::pair(u64::from(server), u64::from(epoch) << 32 | u64::from(number));
-            let drawn = draw::unit(self.scenario.seed, For::Pause, key);
+            let key = random::pair(u64::from(server), u64::from(epoch) << 32 | u64::from(number));
+            let drawn = random::unit(self.scenario.seed, Purpose::Pause, key);
             (tier.pause_every.0 as f64 * (0.5 + drawn)) as Micros
         };
         self.schedule_after(delay, WorldEvent::ServerPause { server, epoch, number });
@@ -88,7 +88,7 @@
     /// costs it work.
     pub(super) fn health_check(&mut self, process: ProcessIndex, server: ServerIndex) {
         self.metrics.probes += 1;
-        let key = draw::pair(u64::from(process) << 32 | u64::from(server), self.now);
+        let key = random::pair(u64::from(process) << 32 | u64::from(server), self.now);
         let from = self.processes[process as usize].zone;
         let to = self.servers[server as usize].zone;
         let round_trip = 2 * self.network_latency(from, to, key);
--- a/crates/fleet-model/src/world/setup.rs
+++ b/crates/fleet-model/src/world/setup.rs
@@ -3,13 +3,13 @@
 use super::event::{EventQueue, WorldEvent};
 use super::state::{ClientTry, FrontBalancer, ServerIndex};
 use super::{MICROS_PER_SECOND, Start, World, arrivals};
-use crate::day::Day;
-use crate::judge::Metrics;
+use crate::scenario::Scenario;
+use crate::scoring::Metrics;
 use crate::server::{Server, ServerPlace};
 
 impl<'d> World<'d> {
     /// Builds the world of a day. The order of the steps is part of the day: events of one instant keep it.
-    pub(super) fn new(scenario: &'d Day, start: Start<'d>, detail: bool) -> World<'d> {
+    pub(super) fn new(scenario: &'d Scenario, start: Start<'d>, detail: bool) -> World<'d> {
         let mut world = World::empty(scenario, start, detail);
         world.add_servers();
         world.arrivals = arrivals::draw_arrivals(scenario);
@@ -28,7 +28,7 @@
         world
     }
 
-    fn empty(scenario: &'d Day, start: Start<'d>, detail: bool) -> World<'d> {
+    fn empty(scenario: &'d Scenario, start: Start<'d>, detail: bool) -> World<'d> {
         World {
             scenario,
             start,
--- a/crates/fleet-model/tests/scale.rs
+++ b/crates/fleet-model/tests/scale.rs
@@ -1,8 +1,8 @@
 //! Costs as counts: what a call costs by number of tiers, and a change of servers by number of balancers.
 
-use zincstand_fleet_model::day::{Day, FaultKind};
 use zincstand_fleet_model::depth::{self, Trouble};
 use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::scenario::{FaultKind, Scenario};
 use zincstand_fleet_model::{Played, Span, play};
 
 /// Attempts in each tier for one first try of a client.
@@ -14,7 +14,7 @@
 }
 
 /// A day that is quick to play: a sixteenth of the traffic for a sixteenth of the servers' speed, so as busy.
-fn short(tiers: usize, trouble: Trouble) -> Day {
+fn short(tiers: usize, trouble: Trouble) -> Scenario {
     let mut day = depth::day(tiers, trouble, 7, 1.5);
     day.load.rate /= 16.0;
     for tier in &mut day.tiers {
@@ -47,7 +47,7 @@
     assert!(depth::day(30, Trouble::Healthy, 1, 1.0).check().is_ok());
     assert!(depth::day(32, Trouble::Healthy, 1, 1.0).check().is_ok());
     let error = depth::day(33, Trouble::Healthy, 1, 1.0).check().unwrap_err();
-    assert!(error.what.contains("at most 32 tiers"), "{error}");
+    assert!(error.to_string().contains("at most 32 tiers"), "{error}");
 }
 
 #[test]
@@ -102,7 +102,7 @@
     entries: u64,
 }
 
-fn discovery_traffic(day: &Day) -> Traffic {
+fn discovery_traffic(day: &Scenario) -> Traffic {
     let seconds = play(day, Kind::TwoChoices, false).unwrap().detail.discovery;
     Traffic {
         messages: seconds.iter().map(|second| second.messages).sum(),
