--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -40,7 +40,7 @@
     requests: BTreeMap<RequestId, Request>,
     queues: Queues,
     latencies: Latencies,
-    /// Retries that wait for their backoff or are bound to a group.
+    /// Retries that wait for their backoff or may only go to some servers.
     retries: Vec<RequestId>,
     retry_budget: RetryBudget,
     send_rate: DecayingRate,
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -34,7 +34,7 @@
 pub(crate) struct Breakers(pub Vec<Breaker>);
 
 impl Breakers {
-    /// Closed breakers for a server of so many classes.
+    /// Closed breakers for a server with `classes` classes.
     pub fn new(classes: usize) -> Self {
         Breakers(vec![Breaker::default(); classes + 1])
     }
@@ -87,3 +87,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -21,7 +21,7 @@
 /// An answer that took more than this share of the time in which it is useful waited too long in queues.
 const QUEUE_TARGET: f64 = 0.7;
 /// The limit shrinks too when half of the answers took more than this many of the lowest median seen lately.
-const CROWDED: f64 = 1.6;
+const SLOWDOWN: f64 = 1.6;
 /// Least limit that a zone starts with, in attempts.
 const MIN_FIRST_LIMIT: f64 = 2.0;
 /// Limits that an express class may fill: long calls of little weight would hold all of the few slots.
@@ -43,16 +43,16 @@
     /// Reads it from an attempt's end. `lowest_median` is 0 if unknown, `objective` that of this tier.
     pub fn of(outcome: Outcome, latency: f64, lowest_median: f64, work_scale: f64, objective: f64) -> Self {
         let known = lowest_median > 0.0;
-        let crowded = if known { CROWDED * lowest_median * work_scale } else { f64::INFINITY };
+        let slow = if known { SLOWDOWN * lowest_median * work_scale } else { f64::INFINITY };
         // Only what comes on top of the lowest median is waiting: a call with tiers behind is long anyway.
         let unqueued = (lowest_median * work_scale).min(objective);
         let target = unqueued + QUEUE_TARGET * (objective - unqueued);
         let lateness = match outcome {
             // Prevents a spiral: an attempt cut short because it was queued long says nothing of the servers.
-            Outcome::TimedOut | Outcome::Error if latency <= target.min(crowded) => return Self::Unknown,
+            Outcome::TimedOut | Outcome::Error if latency <= target.min(slow) => return Self::Unknown,
             Outcome::Rejected => 1.0,
             Outcome::Ok | Outcome::TimedOut | Outcome::Error if latency > target => 1.0,
-            Outcome::Ok | Outcome::TimedOut | Outcome::Error if latency > crowded => 2.0 * LATE_SHARE,
+            Outcome::Ok | Outcome::TimedOut | Outcome::Error if latency > slow => 2.0 * LATE_SHARE,
             Outcome::Ok => 0.0,
             _ => return Self::Unknown,
         };
--- a/crates/policy/src/decaying_rate.rs
+++ b/crates/policy/src/decaying_rate.rs
@@ -20,3 +20,6 @@
         self.half_life * std::f64::consts::LOG2_E * decayed / self.recent.max(1.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -9,11 +9,12 @@
 
 /// Balancers that prefer the same server: each meets its few often enough, and all are covered evenly.
 const BALANCERS_PER_SERVER: f64 = 4.0;
+/// The first poll.
 pub(crate) const FIRST_POLL: PollDelay = PollDelay { interval_share: 0.9, max: 3_000_000.0 };
-/// Changes must be known 6 s after they can be read, and a call takes 2.2 s.
+/// The poll after a failed one: changes must be known 6 s after they can be read, and a call takes 2.2 s.
 pub(crate) const POLL_AFTER_FAILURE: PollDelay = PollDelay { interval_share: 0.4, max: 1_200_000.0 };
 
-/// When discovery is polled: within a share of the allowed interval, and within so many microseconds.
+/// When discovery is polled: within a share of the allowed interval, and within `max` microseconds.
 pub(crate) struct PollDelay {
     interval_share: f64,
     max: f64,
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -119,8 +119,8 @@
 ///
 /// The order in which events are legal:
 ///
-/// * [`EndpointList`](Event::EndpointList), [`Timer`](Event::Timer) and [`HealthChecked`](Event::HealthChecked)
-///   may come at any time, lists before the first request if servers are known by then.
+/// * [`EndpointList`](Event::EndpointList), [`Timer`](Event::Timer) and
+///   [`HealthChecked`](Event::HealthChecked) may come at any time.
 /// * [`Request`](Event::Request) opens a request. If its body is pending, one
 ///   [`BodyComplete`](Event::BodyComplete) follows, unless the request ends before.
 /// * Each [`Action::Send`] is followed by one [`Outcome`](Event::Outcome), also after the request has ended,
--- a/crates/policy/src/failure_by_gap.rs
+++ b/crates/policy/src/failure_by_gap.rs
@@ -40,3 +40,6 @@
         self.shares.iter_mut().for_each(|share| *share *= remaining);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -113,7 +113,7 @@
         self.ejected = self.servers.iter().filter(|server| server.breakers.ejected()).count();
     }
 
-    /// Counts the servers and slots of each zone, forgets zones without servers, and tells if all servers
+    /// Counts the servers and slots of each zone, forgets zones without servers, and notes if all servers
     /// drain.
     pub fn recount_zones(&mut self) {
         for zone in self.zones.values_mut() {
--- a/crates/policy/src/histogram.rs
+++ b/crates/policy/src/histogram.rs
@@ -10,7 +10,7 @@
     pub buckets_per_doubling: f64,
     /// Buckets in all; larger values go into the last.
     pub buckets: usize,
-    /// A decay that leaves more than this share waits: it is not yet worth a pass over all buckets.
+    /// A decay that leaves more than this share waits: it does not justify a pass over all buckets yet.
     pub max_remaining: f64,
     /// Samples that stay whatever their age.
     pub kept_samples: f64,
@@ -121,3 +121,6 @@
         self.tuning.lowest * (middle / self.tuning.buckets_per_doubling).exp2()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -5,7 +5,7 @@
 use crate::event::{ClassId, Micros, Outcome};
 use crate::request::{AttemptEnd, TimeoutBlame};
 
-/// A server is ejected when so many failures in a row would come by chance less often than this.
+/// A server is ejected when its failures in a row would come by chance less often than this.
 const CHANCE: f64 = 0.01;
 /// Weight of one more attempt in the share of all attempts that fail.
 const FAILURE_SHARE_GAIN: f64 = 0.02;
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -14,7 +14,7 @@
 const SAME_SERVER: f64 = 2.0;
 /// Score of a server that is due for a trial: before all others of its zone.
 const TRIAL_SCORE: f64 = -1.0;
-/// At most so many of a zone's preferred servers, and of its others, are ranked for a call: a random stretch.
+/// Most of a zone's preferred servers, and of its others, that are ranked for a call: a random stretch.
 /// The best of these has nearly always as few calls in flight as the best of all.
 const MAX_RANKED: usize = 32;
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -46,8 +46,8 @@
     pub objective_per_work: f64,
     /// How long a client waits in all. Above 0.
     pub deadline: Micros,
-    /// What serving one request is worth beside those of other classes, or a unit of its work, see
-    /// [`Settings::weight_by_work`]. Not negative.
+    /// Weight of one request, or of a unit of its work (see [`Settings::weight_by_work`]), relative to other
+    /// classes. Not negative.
     pub priority_weight: f64,
     /// Share of the weight that an answer after the objective still earns. Not negative.
     pub late_weight: f64,
@@ -165,11 +165,11 @@
     pub late_fail: f64,
     /// For work of servers that served no answer, per work offered.
     pub waste: f64,
-    /// For open connections, per hundred servers' worth of them.
+    /// For open connections, per hundred servers.
     pub connection: f64,
     /// For each new connection, per request.
     pub handshake: f64,
-    /// For entries of the list of servers, per hundred requests' worth of them.
+    /// For entries of the list of servers, per hundred requests.
     pub discovery: f64,
 }
 
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -26,7 +26,7 @@
 
 /// What a cold server's pause follows.
 pub(crate) enum PauseAfter {
-    /// The news that it is cold.
+    /// An endpoint list that shows it to be cold.
     Discovery,
     Attempt,
 }
--- a/crates/policy/src/time_limits.rs
+++ b/crates/policy/src/time_limits.rs
@@ -13,7 +13,7 @@
 /// Samples that do not decay: with a request a second there would be none.
 const KEPT_SAMPLES: f64 = 20.0;
 /// From far below any call that crosses a network, in microseconds, to more than any deadline, and right to
-/// within a tenth. One in a hundred cannot be told from less than a hundred samples.
+/// within a tenth. A P99 takes at least a hundred samples.
 const LATENCY_HISTOGRAM: HistogramTuning = HistogramTuning {
     lowest: 64.0,
     buckets_per_doubling: 8.0,
--- a/crates/policy/tests/decisions/learned.rs
+++ b/crates/policy/tests/decisions/learned.rs
@@ -34,7 +34,7 @@
         after.request(0);
     }
     assert_eq!(after.sends.get(&0), None);
-    // What the one before still has out takes places.
+    // What the one before still has out takes slots.
     let mut alone = world(&[Idempotency::NotIdempotent], 3);
     alone.now = before.now;
     alone.balancer.restore(
