--- a/crates/cli/tests/model.rs
+++ b/crates/cli/tests/model.rs
@@ -12,19 +12,20 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-fn ok(args: &[&str]) -> String {
-    let out = zincstand(args);
-    assert!(out.status.success(), "{args:?}: {}", text(&out.stderr));
-    text(&out.stdout)
+/// Runs a command that must succeed; its standard output.
+fn output(args: &[&str]) -> String {
+    let output = zincstand(args);
+    assert!(output.status.success(), "{args:?}: {}", text(&output.stderr));
+    text(&output.stdout)
 }
 
-/// What a run that must fail says: one line, and a status that tells bad use from bad input.
+/// Runs a command that must fail with this status, which tells bad use from bad input; its standard error.
 fn error(args: &[&str], status: i32) -> String {
-    let out = zincstand(args);
-    assert_eq!(out.status.code(), Some(status), "{args:?}: {}", text(&out.stdout));
-    let said = text(&out.stderr);
-    assert!(!said.contains("panicked"), "{said}");
-    said
+    let output = zincstand(args);
+    assert_eq!(output.status.code(), Some(status), "{args:?}: {}", text(&output.stdout));
+    let error = text(&output.stderr);
+    assert!(!error.contains("panicked"), "{error}");
+    error
 }
 
 fn scratch(name: &str, content: &str) -> PathBuf {
@@ -36,36 +37,49 @@
 #[test]
 fn a_printed_day_plays_as_the_drawn_one() {
     let drawn = ["--kind", "hand+deploy", "--seed", "5", "--size", "small"];
-    let day = ok(&[&["day"], &drawn[..]].concat());
+    let day = output(&[&["day"], &drawn[..]].concat());
     let file = scratch("printed.toml", &day);
-    let again = ok(&["run", "--json", file.to_str().unwrap()]);
-    assert_eq!(again, ok(&[&["run", "--json"], &drawn[..]].concat()));
+    let again = output(&["run", "--json", file.to_str().unwrap()]);
+    assert_eq!(again, output(&[&["run", "--json"], &drawn[..]].concat()));
     assert_eq!(again.lines().count(), 6, "a line a policy");
 }
 
+/// A line of a day's file that is replaced by a wrong one.
+struct BadLine {
+    /// How the line begins.
+    prefix: &'static str,
+    replacement: &'static str,
+    /// What the error contains.
+    error: &'static str,
+}
+
 #[test]
 fn bad_days_get_one_line_that_names_key_and_line() {
-    let day = ok(&["day", "--kind", "silent", "--size", "small"]);
-    let line = |day: &str, of: &str| day.lines().position(|l| l.starts_with(of)).unwrap() + 1;
+    let day = output(&["day", "--kind", "silent", "--size", "small"]);
     let cases = [
-        ("rate = ", "rate = -3.0", "`load.rate`: must be above zero"),
-        ("deadline = ", "deadline = \"0s\"", "needs a deadline above zero"),
-        ("servers = ", "servers = [0, 0]", "a tier needs servers"),
-        ("aim = ", "aim = \"-5ms\"", "a span with its unit"),
-        ("cell_size = ", "cellsize = 4", "unknown field `cellsize`"),
-        ("which = ", "which = [99]", "no such server"),
+        BadLine { prefix: "rate = ", replacement: "rate = -3.0", error: "`load.rate`: must be above zero" },
+        BadLine {
+            prefix: "deadline = ",
+            replacement: "deadline = \"0s\"",
+            error: "needs a deadline above zero",
+        },
+        BadLine { prefix: "servers = ", replacement: "servers = [0, 0]", error: "a tier needs servers" },
+        BadLine { prefix: "aim = ", replacement: "aim = \"-5ms\"", error: "a span with its unit" },
+        BadLine { prefix: "cell_size = ", replacement: "cellsize = 4", error: "unknown field `cellsize`" },
+        BadLine { prefix: "which = ", replacement: "which = [99]", error: "no such server" },
     ];
-    for (of, wrong, says) in cases {
-        let old = day.lines().find(|l| l.starts_with(of)).unwrap();
-        let file = scratch("wrong.toml", &day.replacen(old, wrong, 1));
-        let said = error(&["run", file.to_str().unwrap()], 1);
-        assert_eq!(said.lines().count(), 1, "{said}");
-        let at = format!("line {}: ", line(&day, of));
-        assert!(said.contains(says) && said.contains(&at), "{wrong}, {at}: {said}");
+    for BadLine { prefix, replacement, error: expected } in cases {
+        let index = day.lines().position(|line| line.starts_with(prefix)).unwrap();
+        let line = day.lines().nth(index).unwrap();
+        let file = scratch("wrong.toml", &day.replacen(line, replacement, 1));
+        let error = error(&["run", file.to_str().unwrap()], 1);
+        assert_eq!(error.lines().count(), 1, "{error}");
+        let place = format!("line {}: ", index + 1);
+        assert!(error.contains(expected) && error.contains(&place), "{replacement}, {place}: {error}");
     }
     let no_class: String = day.split("[[class]]").next().unwrap().to_owned();
-    let said = error(&["run", scratch("no-class.toml", &no_class).to_str().unwrap()], 1);
-    assert!(said.contains("class"), "{said}");
+    let error = error(&["run", scratch("no-class.toml", &no_class).to_str().unwrap()], 1);
+    assert!(error.contains("class"), "{error}");
 }
 
 #[test]
@@ -84,18 +98,18 @@
     let rows = scratch("rows.jsonl", "");
     let rows = rows.to_str().unwrap();
     let table =
-        ok(&["experiment", "--kinds", "calm,silent", "--seeds", "4", "--size", "small", "--out", rows]);
+        output(&["experiment", "--kinds", "calm,silent", "--seeds", "4", "--size", "small", "--out", rows]);
     assert!(table.contains("silent") && table.contains("worst third"), "{table}");
-    let same = ok(&["compare", "--json", rows, rows]);
+    let same = output(&["compare", "--json", rows, rows]);
     let same: serde_json::Value = serde_json::from_str(&same).unwrap();
     assert_eq!((same["all"]["mean"].as_f64(), same["all"]["count"].as_u64()), (Some(0.0), Some(8)));
-    let better = ok(&["compare", "--json", "--policy-a", "random", rows, rows]);
+    let better = output(&["compare", "--json", "--policy-a", "random", rows, rows]);
     let better: serde_json::Value = serde_json::from_str(&better).unwrap();
     assert!(better["all"]["low"].as_f64().unwrap() > 0.0, "the module beats random choice: {better}");
     let page = scratch("page.html", "");
     let page = page.to_str().unwrap();
     let small = ["--kind", "silent", "--size", "small"];
-    ok(&[&["report", "--experiment", rows, "--against", rows, "--out", page], &small[..]].concat());
+    output(&[&["report", "--experiment", rows, "--against", rows, "--out", page], &small[..]].concat());
     let html = std::fs::read_to_string(page).unwrap();
     assert_eq!(html.matches("<svg").count(), 8, "five of the day, two of scores, one of differences");
     assert!(!html.contains("http://") || html.matches("http://").count() == html.matches("w3.org").count());
