--- a/crates/cli/src/model/ramp.rs
+++ b/crates/cli/src/model/ramp.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use clap::Args;
 use indicatif::ProgressBar;
-use zincstand_fleet_model::ramp::{self, Line, Rules, Shape};
+use zincstand_fleet_model::ramp::{self, Line, RuleOverrides, Shape};
 
 use crate::model::output::print;
 use crate::model::tables::new_table;
@@ -35,7 +35,7 @@
 
 /// Plays the days, writes their lines and prints them.
 pub fn run(args: &Ramp) -> Result<()> {
-    let rules = Rules { overload_factor: args.overload_factor, cold_from: args.cold_from };
+    let rules = RuleOverrides { overload_factor: args.overload_factor, cold_from: args.cold_from };
     let days = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
     let bar = ProgressBar::new(days);
     let mut lines = Vec::new();
@@ -87,18 +87,20 @@
 
 fn cells(line: &Line) -> Vec<String> {
     let mut cells = vec![line.shape.name().to_owned(), line.balancers.to_string(), line.starts.to_string()];
-    for excess in [line.excess, line.excess_told, line.excess_work].as_flattened() {
-        cells.push(format!("{excess:.2}"));
+    for spread in [line.excess, line.informed_excess, line.informed_excess_work] {
+        for excess in [spread.mean, spread.p99, spread.max] {
+            cells.push(format!("{excess:.2}"));
+        }
     }
-    for (all, notified) in [line.fallen, line.fallen_work] {
-        cells.push(format!("{all}, {notified}"));
+    for overloads in [line.overloaded, line.overloaded_by_work] {
+        cells.push(format!("{}, {}", overloads.total, overloads.informed));
     }
     for tenth in SHOWN_TENTHS {
         let mean_share = f64::midpoint(line.share[tenth], line.share[tenth + 1]);
         cells.push(format!("{mean_share:.2}"));
     }
-    cells.push(format!("{:.1}", line.warm.0));
-    cells.push(format!("{:.1}", line.warm.1));
-    cells.push(format!("{:.3}", line.g));
+    cells.push(format!("{:.1}", line.warm.warm_up_times));
+    cells.push(format!("{:.1}", line.warm.seconds));
+    cells.push(format!("{:.3}", line.score));
     cells
 }
--- a/crates/cli/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -177,7 +177,7 @@
     let mut failures = Vec::new();
     for Measurement { upstreams, outcome, .. } in measurements {
         if outcome.failed() > 0 {
-            failures.push(format!("at {upstreams}: {:?}, {} lost", outcome.answers, outcome.lost));
+            failures.push(format!("at {upstreams}: {:?}, {} lost", outcome.responses, outcome.lost));
         }
     }
     failures.join("; ")
@@ -208,7 +208,7 @@
     }
 
     fn usage(&self) -> Result<Usage> {
-        let processor = self.balancer.usage()?.processor;
+        let processor = self.balancer.usage()?.processor_time;
         Ok(Usage { connections: self.upstreams.connections(), processor })
     }
 
@@ -256,7 +256,7 @@
             // Nobody waits any more after an interrupt.
             let _ = sender.send(open_loop("c", &targets, load.rate, duration));
         })?;
-        receiver.await.map_err(|_| anyhow!("the callers have ended early"))?
+        Ok(receiver.await.map_err(|_| anyhow!("the callers have ended early"))??)
     }
 
     async fn measure(&self, load: Load) -> Result<Vec<Measurement>> {
--- a/crates/cli/src/scale/control.rs
+++ b/crates/cli/src/scale/control.rs
@@ -249,12 +249,12 @@
     let after = snapshots(sides)?;
     let mut spent = Vec::new();
     for ((side, after), before) in sides.iter().zip(&after).zip(before) {
-        let processor = after.usage.processor.saturating_sub(before.usage.processor);
+        let processor = after.usage.processor_time.saturating_sub(before.usage.processor_time);
         spent.push(Spent {
             known: side.entries.len() as f64,
             seconds: (after.at - before.at).as_secs_f64(),
             processor_us: processor.as_secs_f64() * 1e6,
-            switches: after.usage.switches.saturating_sub(before.usage.switches) as f64,
+            switches: after.usage.context_switches.saturating_sub(before.usage.context_switches) as f64,
             traffic: after.traffic.since(&before.traffic),
         });
     }
--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result, bail};
 use tokio::time::{Instant, sleep};
 use zincstand_testbed::balancer::{Balancer, Settings};
-use zincstand_testbed::callers::Held;
+use zincstand_testbed::callers::OpenConnections;
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle};
 use zincstand_testbed::machine::Needs;
 use zincstand_testbed::report::Slope;
@@ -78,11 +78,11 @@
     for connections in CONNECTIONS {
         let testbed = Testbed::start_without_upstreams(bench, KNOWN, |_| {}).await?;
         // Each carries a call first, as connections have that are kept.
-        let mut held = Held::connect(testbed.balancer.address, connections)?;
-        held.send()?;
-        held.receive(TIME_LIMIT)?;
+        let mut open_connections = OpenConnections::connect(testbed.balancer.address, connections)?;
+        open_connections.send()?;
+        open_connections.receive(TIME_LIMIT)?;
         points.push(testbed.resident_memory(connections).await?);
-        drop(held);
+        drop(open_connections);
     }
     let remark = format!("each has carried one call; {KNOWN} upstreams known");
     Ok(slope("memory/connections", "callers' connections", points).remark(remark))
@@ -94,13 +94,13 @@
     for calls in CONNECTIONS {
         let patient = |settings: &mut Settings| settings.deadline_ms = SLOW_DEADLINE_MS;
         let (testbed, upstreams) = Testbed::start(bench, KNOWN, patient).await?;
-        upstreams.answer_after(SLOW_RESPONSE);
-        let mut held = Held::connect(testbed.balancer.address, calls)?;
-        held.send()?;
+        upstreams.respond_after(SLOW_RESPONSE);
+        let mut open_connections = OpenConnections::connect(testbed.balancer.address, calls)?;
+        open_connections.send()?;
         points.push(testbed.resident_memory(calls).await?);
-        forwarded.push(upstreams.calls().iter().sum::<u64>().to_string());
-        held.receive(TIME_LIMIT)?;
-        drop(held);
+        forwarded.push(upstreams.requests().iter().sum::<u64>().to_string());
+        open_connections.receive(TIME_LIMIT)?;
+        drop(open_connections);
     }
     let remark = format!("had reached upstreams: {}", forwarded.join(", "));
     Ok(slope("memory/in-flight", "calls not answered yet, each on its connection", points).remark(remark))
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -14,7 +14,7 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use tokio::signal::unix::{SignalKind, signal};
-use zincstand_testbed::machine::{Machine, Needs, most_descriptors};
+use zincstand_testbed::machine::{Machine, Needs, raise_descriptor_limit};
 use zincstand_testbed::report::{Report, Slope};
 
 use crate::model::fleet_size;
@@ -193,7 +193,7 @@
         eprintln!("{}", plan.description);
         needs = needs.or(plan.needs);
     }
-    needs.check(machine, most_descriptors())?;
+    needs.check(machine, raise_descriptor_limit())?;
     eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
     Ok(())
 }
--- a/crates/cli/src/scale/updates/mod.rs
+++ b/crates/cli/src/scale/updates/mod.rs
@@ -7,8 +7,9 @@
 
 use anyhow::Result;
 use tokio::time::sleep;
-use zincstand_testbed::hollow::{Hush, UpdateMode};
+use zincstand_testbed::hollow::UpdateMode;
 use zincstand_testbed::machine::Needs;
+use zincstand_testbed::quiet_stderr::QuietStderr;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 
@@ -72,7 +73,7 @@
 
 /// Measures hollow balancers, then processes.
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let _quiet = Hush::begin()?;
+    let _quiet_stderr = QuietStderr::begin()?;
     let extent = Extent::new(bench);
     let mut measured = Measured::default();
     for &balancers in extent.balancers {
@@ -152,12 +153,12 @@
 impl Run<'_> {
     /// Changes of one entry, one at a time.
     async fn single_changes(&mut self, rounds: u32) -> Result<()> {
-        let before = self.watched.fleet.processor();
+        let before = self.watched.fleet.processor_time();
         let mut lags = Vec::new();
         for _ in 0..rounds {
             lags.push(self.change_and_rest(1).await?);
         }
-        let spent = self.watched.fleet.processor().saturating_sub(before);
+        let spent = self.watched.fleet.processor_time().saturating_sub(before);
         let balancers = f64::from(self.balancers);
         let micros = spent.as_secs_f64() * 1e6 / balancers / f64::from(rounds);
         self.measured.processor.push(Point { x: balancers, y: micros });
@@ -190,7 +191,7 @@
 
     /// Changes of one entry while one balancer in twenty keeps stalling.
     async fn changes_with_slow_balancers(&mut self, rounds: u32) -> Result<()> {
-        self.watched.fleet.stall(true);
+        self.watched.fleet.set_stalling(true);
         let mut all = Vec::new();
         let mut never_slow = Vec::new();
         for round in 0..rounds {
--- a/crates/cli/src/scale/watched_discovery.rs
+++ b/crates/cli/src/scale/watched_discovery.rs
@@ -9,7 +9,8 @@
 use tokio::time::sleep;
 use zincstand_policy::{ListKind, ServerState};
 use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle, VersionChange};
-use zincstand_testbed::hollow::{Crowd, Options, Reached, Slow, UpdateMode, descriptors};
+use zincstand_testbed::hollow::{FleetOptions, HollowFleet, ListApplied, SlowBalancers, UpdateMode};
+use zincstand_testbed::machine::ensure_descriptors;
 
 /// Grace for drains as in the example of the platform's pages; the discovery client derives its waits from it.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_500);
@@ -21,8 +22,8 @@
 /// Between two checks of a condition. Every figure is timed where it arises, not by these checks.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// One balancer in twenty stalls for four fifths of its time.
-pub const SLOW: Slow =
-    Slow { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
+pub const SLOW: SlowBalancers =
+    SlowBalancers { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
 /// Descriptors beside those of the connections.
 const RESERVED_DESCRIPTORS: u64 = 256;
 /// Threads of the fleet where the number of cores is unknown, times two.
@@ -75,7 +76,7 @@
 /// Discovery and its watchers.
 pub struct WatchedDiscovery {
     /// The watchers. The first field, so that they end before the discovery that they watch.
-    pub fleet: Crowd,
+    pub fleet: HollowFleet,
     /// The discovery.
     pub discovery: Discovery,
     balancers: u32,
@@ -92,25 +93,25 @@
     pub async fn start(
         balancers: u32,
         upstreams: usize,
-        learning: UpdateMode,
+        update_mode: UpdateMode,
         seed: u64,
     ) -> Result<WatchedDiscovery> {
-        descriptors(2 * u64::from(balancers) + RESERVED_DESCRIPTORS)?;
+        ensure_descriptors(2 * u64::from(balancers) + RESERVED_DESCRIPTORS)?;
         let discovery = Discovery::start().context("the stand-in discovery")?;
         discovery.replace(list(upstreams))?;
         let cores = std::thread::available_parallelism().map_or(DEFAULT_CORES, NonZero::get);
-        let options = Options {
+        let options = FleetOptions {
             balancers,
             threads: (cores / 2).max(1) as u32,
             discovery: discovery.address(),
-            learning,
+            update_mode,
             drain_grace: DRAIN_GRACE,
-            ask_within: MAX_POLL_INTERVAL,
+            poll_within: MAX_POLL_INTERVAL,
             zones: ZONES,
             slow: Some(SLOW),
             seed,
         };
-        let fleet = Crowd::start(&options).context("the hollow balancers")?;
+        let fleet = HollowFleet::start(&options).context("the hollow balancers")?;
         let watched = WatchedDiscovery { fleet, discovery, balancers, upstreams, changes: 0 };
         watched.first_lists(|list| list.kind == ListKind::Snapshot && list.entries == upstreams).await?;
         watched.all_watching().await?;
@@ -121,12 +122,15 @@
     ///
     /// # Errors
     /// Balancers that it has not reached within [`TIME_LIMIT`].
-    pub async fn first_lists(&self, is_wanted: impl Fn(&Reached) -> bool) -> Result<BTreeMap<u32, Instant>> {
+    pub async fn first_lists(
+        &self,
+        is_wanted: impl Fn(&ListApplied) -> bool,
+    ) -> Result<BTreeMap<u32, Instant>> {
         let give_up_at = Instant::now() + TIME_LIMIT;
         let mut first = BTreeMap::new();
         loop {
-            for reached in self.fleet.reached().filter(&is_wanted) {
-                first.entry(reached.balancer).or_insert(reached.at);
+            for list in self.fleet.applied().filter(&is_wanted) {
+                first.entry(list.balancer).or_insert(list.at);
             }
             if first.len() == self.balancers as usize {
                 return Ok(first);
@@ -185,7 +189,7 @@
     /// # Errors
     /// Balancers that have not within [`TIME_LIMIT`].
     pub async fn lags(&self, change: VersionChange) -> Result<ChangeLags> {
-        let first = self.first_lists(|list| list.marked && list.at > change.at).await?;
+        let first = self.first_lists(|list| list.is_marked && list.at > change.at).await?;
         let mut all = Vec::new();
         let mut never_slow = Vec::new();
         for (balancer, reached_at) in first {
--- a/crates/cli/src/scale/watchers/mod.rs
+++ b/crates/cli/src/scale/watchers/mod.rs
@@ -8,7 +8,8 @@
 use tokio::time::sleep;
 use zincstand_policy::ListKind;
 use zincstand_testbed::discovery::{Mode, TRAFFIC_BUCKET, Traffic};
-use zincstand_testbed::hollow::{Hush, UpdateMode};
+use zincstand_testbed::hollow::UpdateMode;
+use zincstand_testbed::quiet_stderr::QuietStderr;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 
@@ -75,7 +76,7 @@
 
 /// Measures each number of balancers in turn.
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let _quiet = Hush::begin()?;
+    let _quiet_stderr = QuietStderr::begin()?;
     let extent = Extent::new(bench);
     let mut slopes = Slopes::default();
     for &balancers in extent.balancers {
@@ -141,7 +142,7 @@
     /// What passes while nothing changes.
     async fn at_rest(&mut self, rest: Duration) -> Result<()> {
         let before = self.watched.discovery.counters()?;
-        let fleet_before = self.watched.fleet.processor();
+        let fleet_before = self.watched.fleet.processor_time();
         let began = Instant::now();
         sleep(rest).await;
         let after = self.watched.discovery.counters()?;
@@ -154,7 +155,7 @@
         let percent_of_core = |spent: Duration| spent.as_secs_f64() / seconds * 100.0;
         let discovery_spent = after.processor_time.saturating_sub(before.processor_time);
         self.add("at rest", "% of a core", percent_of_core(discovery_spent));
-        let fleet_spent = self.watched.fleet.processor().saturating_sub(fleet_before);
+        let fleet_spent = self.watched.fleet.processor_time().saturating_sub(fleet_before);
         self.add("at rest, all balancers", "% of a core", percent_of_core(fleet_spent));
         Ok(())
     }
@@ -182,7 +183,7 @@
     /// What it takes to send every balancer the complete list.
     async fn complete_list(&mut self, upstreams: usize) -> Result<()> {
         let before = self.watched.all_watching().await?;
-        let fleet_before = self.watched.fleet.processor();
+        let fleet_before = self.watched.fleet.processor_time();
         let change = self.watched.discovery.replace(list(upstreams))?;
         let reached =
             self.watched.first_lists(|list| list.kind == ListKind::Snapshot && list.at > change.at).await?;
@@ -196,7 +197,7 @@
         self.add("whole list to all", "ms of processor", spent.as_secs_f64() * 1e3);
         let last = reached.values().max().map_or(0.0, |last| millis_between(change.at, *last));
         self.add("whole list to all", "ms until the last acts on it", last);
-        let fleet_spent = self.watched.fleet.processor().saturating_sub(fleet_before);
+        let fleet_spent = self.watched.fleet.processor_time().saturating_sub(fleet_before);
         let millis_per_balancer = fleet_spent.as_secs_f64() * 1e3 / self.balancers;
         self.add("whole list, a balancer", "ms of processor", millis_per_balancer);
         Ok(())
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -4,6 +4,7 @@
 pub mod body_prefix;
 pub mod client_connection;
 pub mod connection;
+mod connection_lease;
 pub mod pool;
 mod request;
 pub mod request_body_stream;
@@ -17,11 +18,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 use zincstand_policy as policy;
-use zincstand_policy::{LoadReport, Micros, Outcome, ServerId};
+use zincstand_policy::{Micros, Outcome, ServerId};
 
 use crate::discovery::endpoint::Target;
-use crate::dispatch::AttemptCompletion;
-use crate::dispatch::transport::Transport;
+use crate::dispatch::{AttemptCompletion, HealthCheckResult};
 use crate::upstream::attempt::{AttemptProgress, exchange};
 use crate::upstream::pool::ConnectionPool;
 
@@ -54,13 +54,14 @@
         self.pool.clone().close_expired()
     }
 
-    /// Starts an attempt, and reports its end to `completion`. The upstream is told that `time_limit` is left.
-    pub fn send<T: Transport<Response = UpstreamResponse>>(
+    /// Starts an attempt, and reports its end to `completion`. The forwarded request says how much of `time_limit`
+    /// is left.
+    pub fn send(
         &self,
         target: Target,
         request: &Rc<UpstreamRequest>,
         time_limit: Micros,
-        completion: AttemptCompletion<T>,
+        completion: AttemptCompletion<UpstreamResponse>,
     ) -> Attempt {
         let pool = self.pool.clone();
         let progress = AttemptProgress::new(request);
@@ -78,19 +79,19 @@
         Attempt::new(task.abort_handle(), progress)
     }
 
-    /// Checks an upstream's health; `report` is called with how long it took, how it ended and the load report.
-    pub fn health_check(
-        &self,
-        target: Target,
-        report: impl FnOnce(Duration, Outcome, Option<LoadReport>) + 'static,
-    ) {
+    /// Checks an upstream's health and calls `on_result` with the result.
+    pub fn health_check(&self, target: Target, on_result: impl FnOnce(HealthCheckResult) + 'static) {
         let pool = self.pool.clone();
         spawn_local(async move {
             let progress = AttemptProgress::new(&Rc::new(UpstreamRequest::health_check()));
             let start = Instant::now();
             let result = timeout(HEALTH_CHECK_TIMEOUT, exchange(&pool, target, None, &progress)).await;
             let result = result.unwrap_or_else(|_| Outcome::TimedOut.into());
-            report(start.elapsed(), result.outcome, result.load_report);
+            on_result(HealthCheckResult {
+                outcome: result.outcome,
+                latency: start.elapsed(),
+                load: result.load_report,
+            });
             if let Some(connection) = result.connection {
                 pool.put_when_ready(target.server, connection).await;
             }
