--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -78,11 +78,11 @@
     for connections in CONNECTIONS {
         let testbed = Testbed::start_without_upstreams(bench, KNOWN, |_| {}).await?;
         // Each carries a call first, as connections have that are kept.
-        let mut held = OpenConnections::connect(testbed.balancer.address, connections)?;
-        held.send()?;
-        held.receive(TIME_LIMIT)?;
+        let mut open_connections = OpenConnections::connect(testbed.balancer.address, connections)?;
+        open_connections.send()?;
+        open_connections.receive(TIME_LIMIT)?;
         points.push(testbed.resident_memory(connections).await?);
-        drop(held);
+        drop(open_connections);
     }
     let remark = format!("each has carried one call; {KNOWN} upstreams known");
     Ok(slope("memory/connections", "callers' connections", points).remark(remark))
@@ -95,12 +95,12 @@
         let patient = |settings: &mut Settings| settings.deadline_ms = SLOW_DEADLINE_MS;
         let (testbed, upstreams) = Testbed::start(bench, KNOWN, patient).await?;
         upstreams.respond_after(SLOW_RESPONSE);
-        let mut held = OpenConnections::connect(testbed.balancer.address, calls)?;
-        held.send()?;
+        let mut open_connections = OpenConnections::connect(testbed.balancer.address, calls)?;
+        open_connections.send()?;
         points.push(testbed.resident_memory(calls).await?);
         forwarded.push(upstreams.requests().iter().sum::<u64>().to_string());
-        held.receive(TIME_LIMIT)?;
-        drop(held);
+        open_connections.receive(TIME_LIMIT)?;
+        drop(open_connections);
     }
     let remark = format!("had reached upstreams: {}", forwarded.join(", "));
     Ok(slope("memory/in-flight", "calls not answered yet, each on its connection", points).remark(remark))
--- a/crates/cli/src/scale/updates/mod.rs
+++ b/crates/cli/src/scale/updates/mod.rs
@@ -73,7 +73,7 @@
 
 /// Measures hollow balancers, then processes.
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let _quiet = QuietStderr::begin()?;
+    let _quiet_stderr = QuietStderr::begin()?;
     let extent = Extent::new(bench);
     let mut measured = Measured::default();
     for &balancers in extent.balancers {
--- a/crates/cli/src/scale/watched_discovery.rs
+++ b/crates/cli/src/scale/watched_discovery.rs
@@ -93,7 +93,7 @@
     pub async fn start(
         balancers: u32,
         upstreams: usize,
-        learning: UpdateMode,
+        update_mode: UpdateMode,
         seed: u64,
     ) -> Result<WatchedDiscovery> {
         ensure_descriptors(2 * u64::from(balancers) + RESERVED_DESCRIPTORS)?;
@@ -104,7 +104,7 @@
             balancers,
             threads: (cores / 2).max(1) as u32,
             discovery: discovery.address(),
-            update_mode: learning,
+            update_mode,
             drain_grace: DRAIN_GRACE,
             poll_within: MAX_POLL_INTERVAL,
             zones: ZONES,
@@ -129,8 +129,8 @@
         let give_up_at = Instant::now() + TIME_LIMIT;
         let mut first = BTreeMap::new();
         loop {
-            for reached in self.fleet.applied().filter(&is_wanted) {
-                first.entry(reached.balancer).or_insert(reached.at);
+            for list in self.fleet.applied().filter(&is_wanted) {
+                first.entry(list.balancer).or_insert(list.at);
             }
             if first.len() == self.balancers as usize {
                 return Ok(first);
--- a/crates/cli/src/scale/watchers/mod.rs
+++ b/crates/cli/src/scale/watchers/mod.rs
@@ -76,7 +76,7 @@
 
 /// Measures each number of balancers in turn.
 pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let _quiet = QuietStderr::begin()?;
+    let _quiet_stderr = QuietStderr::begin()?;
     let extent = Extent::new(bench);
     let mut slopes = Slopes::default();
     for &balancers in extent.balancers {
