--- /dev/null
+++ b/crates/fleet-model/src/catalog/faults.rs
@@ -0,0 +1,178 @@
+//! The faults of the catalog's parts: what goes wrong, when and where.
+
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+
+use crate::random::within;
+use crate::scenario::{Fault, FaultKind, Scenario};
+use crate::span::Span;
+
+/// The classes that a fault of one class can befall.
+const CLASSES: [&str; 3] = ["view-ad", "search", "post-ad"];
+/// Part of the scenarios in which faults of servers befall the second tier.
+const FAULTS_IN_SECOND_TIER: f64 = 0.4;
+
+/// A fault of a kind that begins at `at` and lasts `length`, both in seconds, with every other field at its default.
+pub(crate) fn fault(kind: FaultKind, at: f64, length: f64) -> Fault {
+    Fault {
+        kind,
+        at: Span::s(at),
+        length: Span::s(length),
+        tier: 0,
+        which: Vec::new(),
+        zone: None,
+        class: None,
+        share: 1.0,
+        factor: 1.0,
+        learned: false,
+        restarts: false,
+        drain: Span(0),
+    }
+}
+
+/// Draws a share of the indexes below `total`, at least one of them, in ascending order.
+fn choose(rng: &mut ChaCha8Rng, total: usize, share: f64) -> Vec<usize> {
+    let count = ((total as f64 * share).round() as usize).clamp(1, total);
+    let mut indexes: Vec<usize> = (0..total).collect();
+    for index in 0..count {
+        let other = rng.random_range(index..total);
+        indexes.swap(index, other);
+    }
+    indexes.truncate(count);
+    indexes.sort_unstable();
+    indexes
+}
+
+/// What the faults of a part have in common; drawn before anything of the fault itself.
+struct Draft<'s> {
+    scenario: &'s Scenario,
+    tier: usize,
+    /// Servers of that tier.
+    servers: usize,
+    /// When the fault begins, in seconds.
+    begin: f64,
+    /// How long it lasts where its kind does not say, in seconds.
+    length: f64,
+}
+
+/// Adds the fault of a part, if it has one.
+pub(super) fn add(scenario: &mut Scenario, part: &str, rng: &mut ChaCha8Rng) {
+    let scenario_length = scenario.length.secs();
+    let tier = usize::from(rng.random::<f64>() < FAULTS_IN_SECOND_TIER);
+    let draft = Draft {
+        tier,
+        servers: count_servers(scenario, tier),
+        begin: within(rng, (0.15, 0.35)) * scenario_length,
+        length: within(rng, (0.4, 0.6)) * scenario_length,
+        scenario,
+    };
+    let drawn = draft.server_fault(part, rng).or_else(|| draft.fleet_fault(part, rng));
+    scenario.faults.extend(drawn);
+}
+
+fn count_servers(scenario: &Scenario, tier: usize) -> usize {
+    scenario.tiers[tier].servers.iter().sum::<u32>() as usize
+}
+
+fn draw_class(rng: &mut ChaCha8Rng) -> Option<String> {
+    Some(CLASSES[rng.random_range(0..CLASSES.len())].to_owned())
+}
+
+impl Draft<'_> {
+    /// The fault of a part that befalls servers of one tier, or a class of requests.
+    fn server_fault(&self, part: &str, rng: &mut ChaCha8Rng) -> Option<Fault> {
+        let drawn = match part {
+            "errors" => self.errors(rng),
+            "heavy" => self.heavy(rng),
+            "deploy" => self.deploy(rng),
+            "silent" => {
+                let which = choose(rng, self.servers, 0.0);
+                Fault { tier: self.tier, which, ..fault(FaultKind::Silent, self.begin, self.length) }
+            }
+            "slowclass" => self.slow_class(rng),
+            "resets" => {
+                let which = choose(rng, self.servers, 0.25);
+                let share = within(rng, (0.1, 0.6));
+                Fault { tier: self.tier, which, share, ..fault(FaultKind::Resets, self.begin, self.length) }
+            }
+            "join" => {
+                let which = choose(rng, self.servers, 0.6);
+                Fault { tier: self.tier, which, ..fault(FaultKind::Replaced, self.begin, 7.0) }
+            }
+            _ => return None,
+        };
+        Some(drawn)
+    }
+
+    /// The fault of a part that befalls a zone, balancers or discovery.
+    fn fleet_fault(&self, part: &str, rng: &mut ChaCha8Rng) -> Option<Fault> {
+        let begin = self.begin;
+        let drawn = match part {
+            "zone" => {
+                let zone = Some(self.scenario.zones[1].clone());
+                Fault { zone, ..fault(FaultKind::ZoneLost, begin, within(rng, (6.0, 12.0))) }
+            }
+            "killed" => self.one_balancer(rng, FaultKind::BalancerKilled, (4.0, 9.0)),
+            "together" => fault(FaultKind::BalancerKilled, begin, 1.0),
+            "restart" => fault(FaultKind::BalancerRestart, begin, self.length),
+            "upgrade" | "bare" => {
+                let learned = part == "upgrade";
+                Fault { learned, ..fault(FaultKind::ProcessReplaced, begin, self.length) }
+            }
+            "hand" => self.out_by_hand(rng),
+            "evacuate" => self.one_balancer(rng, FaultKind::Evacuated, (5.0, 10.0)),
+            "disco" => fault(FaultKind::DiscoveryOutage, begin, self.length),
+            _ => return None,
+        };
+        Some(drawn)
+    }
+
+    fn errors(&self, rng: &mut ChaCha8Rng) -> Fault {
+        // A copy of the generator: the share of servers and their choice come from the same numbers.
+        let server_share = within(&mut rng.clone(), (0.1, 0.2));
+        let which = choose(rng, self.servers, server_share);
+        let share = within(rng, (0.32, 0.99));
+        let length = within(rng, (6.1, 29.0));
+        Fault { tier: self.tier, which, share, ..fault(FaultKind::FastErrors, self.begin, length) }
+    }
+
+    fn heavy(&self, rng: &mut ChaCha8Rng) -> Fault {
+        let class = draw_class(rng);
+        let share = within(rng, (0.0069, 0.029));
+        let factor = within(rng, (5.1, 30.0));
+        let length = within(rng, (11.0, 30.0));
+        Fault { class, share, factor, ..fault(FaultKind::HeavyTail, self.begin, length) }
+    }
+
+    fn deploy(&self, rng: &mut ChaCha8Rng) -> Fault {
+        // A copy of the generator, as in `errors`.
+        let server_share = within(&mut rng.clone(), (0.51, 0.99));
+        let which = choose(rng, self.servers, server_share);
+        let share = within(rng, (0.074, 0.19));
+        let drain = Span::s(within(rng, (2.9, 6.0)));
+        let length = within(rng, (22.0, 38.0)).min(self.scenario.length.secs() - self.begin);
+        let tier = self.tier;
+        Fault { tier, which, share, drain, ..fault(FaultKind::RollingDeploy, self.begin, length) }
+    }
+
+    fn slow_class(&self, rng: &mut ChaCha8Rng) -> Fault {
+        let class = draw_class(rng);
+        let which = choose(rng, self.servers, 0.15);
+        let factor = within(rng, (3.0, 10.0));
+        let tier = self.tier;
+        Fault { tier, which, class, factor, ..fault(FaultKind::Slow, self.begin, self.length) }
+    }
+
+    /// Operators act on servers of the first tier only.
+    fn out_by_hand(&self, rng: &mut ChaCha8Rng) -> Fault {
+        let which = choose(rng, count_servers(self.scenario, 0), 0.2);
+        let drain = Span::s(within(rng, (2.5, 4.0)));
+        let length = within(rng, (6.0, 14.0));
+        Fault { which, drain, restarts: true, ..fault(FaultKind::OutByHand, self.begin, length) }
+    }
+
+    fn one_balancer(&self, rng: &mut ChaCha8Rng, kind: FaultKind, length: (f64, f64)) -> Fault {
+        let which = choose(rng, self.scenario.balancers.zones.len(), 0.0);
+        Fault { which, ..fault(kind, self.begin, within(rng, length)) }
+    }
+}
--- /dev/null
+++ b/crates/fleet-model/src/catalog/plain.rs
@@ -0,0 +1,148 @@
+//! A plain scenario: one tier and one class, without faults, in which nothing but cores is scarce.
+
+use crate::scenario::{
+    Asking, Balancers, Class, Clients, Connections, Discovery, Effect, Goal, Limits, Load, Network, Prices,
+    Rules, Scenario, Shape, Spread, Tier,
+};
+use crate::span::Span;
+
+/// A limit that no server of a plain scenario reaches.
+const UNLIMITED: u32 = 100_000;
+
+/// A scenario of one tier and one class without faults, with `servers` in each zone, as many balancers, and equal
+/// clients that do not retry. Nothing but cores is scarce, so that the tiers of a deep scenario are alike.
+pub(crate) fn plain(seed: u64, seconds: f64, zones: Vec<String>, servers: u32, rate: f64) -> Scenario {
+    Scenario {
+        name: String::new(),
+        seed,
+        length: Span::s(seconds),
+        network: network(),
+        discovery: discovery(),
+        passes_deadline: true,
+        balancers: balancers(&zones, servers),
+        load: load(rate, zones.len()),
+        clients: clients(),
+        limits: limits(),
+        rules: rules(),
+        goal: Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        prices: Prices::default(),
+        tiers: vec![tier(servers, zones.len())],
+        classes: vec![class()],
+        tenants: Vec::new(),
+        faults: Vec::new(),
+        zones,
+    }
+}
+
+fn network() -> Network {
+    Network { same_zone: Span::ms(0.1), cross_zone: Span::ms(0.5), client: Span::ms(0.1), jitter: 0.2 }
+}
+
+fn discovery() -> Discovery {
+    Discovery {
+        mode: Asking::Push,
+        notice: Span::ms(200.0),
+        silent_notice: Span::s(3.0),
+        add: Span::ms(500.0),
+        period: Span::ms(200.0),
+        spread: Span::ms(500.0),
+        failing: 0.0,
+    }
+}
+
+/// `per_zone` balancers in each zone; they take turns, so that neighbouring ones stand in different zones.
+fn balancers(zones: &[String], per_zone: u32) -> Balancers {
+    let count = zones.len() * per_zone as usize;
+    Balancers {
+        shares: Vec::new(),
+        zones: zones.iter().cycle().take(count).cloned().collect(),
+        cores: 1.0,
+        event_cost: Span(10),
+        clock_spread: Span(0),
+        notice: Span::s(1.0),
+    }
+}
+
+fn load(rate: f64, zone_count: usize) -> Load {
+    Load { rate, swing: 0.0, shape: Shape::Wave, zone_shares: vec![1.0; zone_count], over_share_worth: 1.0 }
+}
+
+fn clients() -> Clients {
+    Clients { retries: 0, try_share: 1.0, backoff: Span::ms(50.0), honour: 1.0, impatient: 0.0 }
+}
+
+fn limits() -> Limits {
+    Limits {
+        max_attempts: 4,
+        max_open: 100_000,
+        second_copies: false,
+        probes: false,
+        retry_after: true,
+        max_retry_after: Span::s(2.0),
+    }
+}
+
+fn rules() -> Rules {
+    Rules {
+        drain_grace: Span::s(1.0),
+        answer_grace: Span::ms(20.0),
+        overload_factor: 2.0,
+        tip_after: Span::s(1.0),
+        ask_within: Span::s(10.0),
+    }
+}
+
+fn tier(servers: u32, zone_count: usize) -> Tier {
+    Tier {
+        name: "upstreams".to_owned(),
+        servers: vec![servers; zone_count],
+        work: 1.0,
+        calls: 0.0,
+        cell_size: 4,
+        cores: 2,
+        speed: 1.0,
+        speed_cv: 0.0,
+        slots: UNLIMITED,
+        waiting: UNLIMITED,
+        thrash: 0.0,
+        crowded: f64::from(UNLIMITED),
+        cold_from: 0.3,
+        warm_after: Span::s(10.0),
+        pause_every: Span(0),
+        pause: Span(0),
+        pause_grow: 0.0,
+        error_rate: 0.0,
+        connections: connections(),
+        probe_work: Span::ms(1.0),
+        choke: None,
+    }
+}
+
+fn connections() -> Connections {
+    Connections {
+        handshake_trips: 1.0,
+        handshake_work: Span(0),
+        idle_close: Span::s(30.0),
+        connect_timeout: Span::ms(100.0),
+        most: 1_000_000,
+        full_tax: 0.0,
+    }
+}
+
+fn class() -> Class {
+    Class {
+        name: "call".to_owned(),
+        share: 1.0,
+        work: Span::ms(100.0),
+        spread: Spread::Lognormal,
+        cv: 0.5,
+        most_work: Span::ms(400.0),
+        attempt_noise: 0.0,
+        aim: Span::s(1.0),
+        deadline: Span::s(2.0),
+        worth: 1.0,
+        late_worth: 0.5,
+        effect: Effect::Safe,
+        repeats_dropped: Span(0),
+    }
+}
--- a/crates/fleet-model/src/depth.rs
+++ b/crates/fleet-model/src/depth.rs
@@ -3,9 +3,9 @@
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::catalog::fault;
+use crate::catalog::{fault, plain};
 use crate::policy::Kind;
-use crate::scenario::*;
+use crate::scenario::{FaultKind, Scenario, ScenarioError};
 use crate::scoring::TierCount;
 use crate::span::Span;
 use crate::world::play;
@@ -356,111 +356,3 @@
     };
     day
 }
-
-/// A day of one tier and one class without troubles: `servers` in each zone, as many balancers, equal clients who
-/// do not try again. Nothing but cores is scarce, so that the tiers of a deep day are alike.
-pub(crate) fn plain(seed: u64, seconds: f64, zones: Vec<String>, servers: u32, rate: f64) -> Scenario {
-    let balancers = zones.iter().cycle().take(zones.len() * servers as usize).cloned().collect();
-    Scenario {
-        name: String::new(),
-        seed,
-        length: Span::s(seconds),
-        network: Network {
-            same_zone: Span::ms(0.1),
-            cross_zone: Span::ms(0.5),
-            client: Span::ms(0.1),
-            jitter: 0.2,
-        },
-        discovery: Discovery {
-            mode: Asking::Push,
-            notice: Span::ms(200.0),
-            silent_notice: Span::s(3.0),
-            add: Span::ms(500.0),
-            period: Span::ms(200.0),
-            spread: Span::ms(500.0),
-            failing: 0.0,
-        },
-        passes_deadline: true,
-        balancers: Balancers {
-            shares: Vec::new(),
-            zones: balancers,
-            cores: 1.0,
-            event_cost: Span(10),
-            clock_spread: Span(0),
-            notice: Span::s(1.0),
-        },
-        load: Load {
-            rate,
-            swing: 0.0,
-            shape: Shape::Wave,
-            zone_shares: vec![1.0; zones.len()],
-            over_share_worth: 1.0,
-        },
-        clients: Clients { retries: 0, try_share: 1.0, backoff: Span::ms(50.0), honour: 1.0, impatient: 0.0 },
-        limits: Limits {
-            max_attempts: 4,
-            max_open: 100_000,
-            second_copies: false,
-            probes: false,
-            retry_after: true,
-            max_retry_after: Span::s(2.0),
-        },
-        rules: Rules {
-            drain_grace: Span::s(1.0),
-            answer_grace: Span::ms(20.0),
-            overload_factor: 2.0,
-            tip_after: Span::s(1.0),
-            ask_within: Span::s(10.0),
-        },
-        goal: Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        prices: Prices::default(),
-        tiers: vec![Tier {
-            name: "upstreams".to_owned(),
-            servers: vec![servers; zones.len()],
-            work: 1.0,
-            calls: 0.0,
-            cell_size: 4,
-            cores: 2,
-            speed: 1.0,
-            speed_cv: 0.0,
-            slots: 100_000,
-            waiting: 100_000,
-            thrash: 0.0,
-            crowded: 100_000.0,
-            cold_from: 0.3,
-            warm_after: Span::s(10.0),
-            pause_every: Span(0),
-            pause: Span(0),
-            pause_grow: 0.0,
-            error_rate: 0.0,
-            connections: Connections {
-                handshake_trips: 1.0,
-                handshake_work: Span(0),
-                idle_close: Span::s(30.0),
-                connect_timeout: Span::ms(100.0),
-                most: 1_000_000,
-                full_tax: 0.0,
-            },
-            probe_work: Span::ms(1.0),
-            choke: None,
-        }],
-        zones,
-        classes: vec![Class {
-            name: "call".to_owned(),
-            share: 1.0,
-            work: Span::ms(100.0),
-            spread: Spread::Lognormal,
-            cv: 0.5,
-            most_work: Span::ms(400.0),
-            attempt_noise: 0.0,
-            aim: Span::s(1.0),
-            deadline: Span::s(2.0),
-            worth: 1.0,
-            late_worth: 0.5,
-            effect: Effect::Safe,
-            repeats_dropped: Span(0),
-        }],
-        tenants: Vec::new(),
-        faults: Vec::new(),
-    }
-}
--- a/crates/fleet-model/src/failures.rs
+++ b/crates/fleet-model/src/failures.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use zincstand_policy::{Action, Event, LearnedState, Micros};
 
-use crate::catalog::fault;
-use crate::depth::{Fit, plain};
+use crate::catalog::{fault, plain};
+use crate::depth::Fit;
 use crate::policy::{Kind, Policy};
 use crate::scenario::*;
 use crate::scoring::{NewsCount, Rule};
--- /dev/null
+++ b/crates/fleet-model/src/scoring/breach.rs
@@ -0,0 +1,35 @@
+//! The rules that balancers must keep, and reports of broken ones.
+
+use serde::{Deserialize, Serialize};
+use zincstand_policy::Micros;
+
+/// One of the four rules.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Rule {
+    /// Every request gets one final answer in time.
+    Lost,
+    /// Repeats only as the class allows.
+    Duplicate,
+    /// Nothing new to a draining or gone server.
+    Drain,
+    /// No cold server pushed over.
+    Cold,
+}
+
+/// A broken rule.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Breach {
+    /// Which.
+    pub rule: Rule,
+    /// When, in microseconds of the day.
+    pub at: Micros,
+    /// The balancer: its tier and its number there.
+    pub balancer: (usize, u32),
+    /// The server, if one is part of it.
+    pub server: Option<u32>,
+    /// What happened.
+    pub what: String,
+    /// What that balancer saw and did last.
+    pub before: Vec<String>,
+}
--- /dev/null
+++ b/crates/fleet-model/src/scoring/ledger.rs
@@ -0,0 +1,205 @@
+//! Worth by second, class and tenant, and the losses, summed over the requests of a scenario.
+
+use std::collections::BTreeMap;
+
+use zincstand_policy::Micros;
+
+use super::arrival::{Arrival, End};
+use super::{Cause, Detail, Loss, MIN_WORTH, NewsCount, Second, TierCount};
+use crate::scenario::{Class, Scenario};
+
+/// A second, in microseconds.
+const SECOND: Micros = 1_000_000;
+/// Length of the worst stretch that the goal weighs, in seconds.
+const WINDOW_SECONDS: usize = 10;
+
+/// Worth earned, beside the worth that was asked for.
+#[derive(Clone, Copy, Default)]
+pub(super) struct Worth {
+    pub earned: f64,
+    pub asked: f64,
+}
+
+impl Worth {
+    fn add(&mut self, other: Worth) {
+        self.earned += other.earned;
+        self.asked += other.asked;
+    }
+
+    /// The part that was earned; all of it where nothing was asked for.
+    pub fn share(self) -> f64 {
+        if self.asked > 0.0 { self.earned / self.asked } else { 1.0 }
+    }
+}
+
+/// The consecutive seconds with the smallest share of worth earned.
+pub(super) struct WorstWindow {
+    /// Its first second.
+    pub start: usize,
+    /// The share of worth earned in it.
+    pub share: f64,
+}
+
+/// How a request counts.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Outcome {
+    OnTime,
+    Late,
+    Rejected,
+    Failed,
+}
+
+impl Outcome {
+    fn of(arrival: &Arrival, class: &Class) -> Outcome {
+        match arrival.end {
+            End::Served(time) if time <= arrival.at + class.aim.0 => Outcome::OnTime,
+            End::Served(_) => Outcome::Late,
+            End::Refused(_) => Outcome::Rejected,
+            End::Failed(_) | End::Open => Outcome::Failed,
+        }
+    }
+}
+
+impl Second {
+    fn count(&mut self, outcome: Outcome) {
+        match outcome {
+            Outcome::OnTime => self.served += 1,
+            Outcome::Late => self.late += 1,
+            Outcome::Rejected => self.refused += 1,
+            Outcome::Failed => self.failed += 1,
+        }
+    }
+}
+
+/// What losses are summed by.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct LossKey {
+    cause: Cause,
+    server: Option<u32>,
+    second: usize,
+}
+
+/// Sums over the requests that were recorded.
+pub(super) struct Ledger {
+    /// All requests.
+    pub whole: Worth,
+    /// Worth of requests that failed or were rejected only after their latency objective.
+    pub failed_late: f64,
+    /// Ends of all requests.
+    pub ends: Second,
+    ends_by_second: Vec<Second>,
+    by_second: Vec<Worth>,
+    by_class: Vec<Worth>,
+    by_tenant: Vec<Worth>,
+    served_work: Vec<f64>,
+    losses: BTreeMap<LossKey, f64>,
+}
+
+impl Ledger {
+    pub fn new(scenario: &Scenario) -> Ledger {
+        let seconds = (scenario.length.secs().ceil() as usize).max(1);
+        Ledger {
+            whole: Worth::default(),
+            failed_late: 0.0,
+            ends: Second::default(),
+            ends_by_second: vec![Second::default(); seconds],
+            by_second: vec![Worth::default(); seconds],
+            by_class: vec![Worth::default(); scenario.classes.len()],
+            by_tenant: vec![Worth::default(); scenario.tenants.len()],
+            served_work: vec![0.0; seconds],
+            losses: BTreeMap::new(),
+        }
+    }
+
+    /// Adds a request.
+    pub fn record(&mut self, scenario: &Scenario, arrival: &Arrival) {
+        let class = &scenario.classes[arrival.class];
+        let second = ((arrival.at / SECOND) as usize).min(self.by_second.len() - 1);
+        let outcome = Outcome::of(arrival, class);
+        self.ends.count(outcome);
+        self.ends_by_second[second].count(outcome);
+        if matches!(arrival.end, End::Served(_)) {
+            self.served_work[second] += arrival.work;
+        }
+        let worth = worth_of(scenario, class, arrival);
+        self.whole.add(worth);
+        self.by_second[second].add(worth);
+        self.by_class[arrival.class].add(worth);
+        if let Some(tenant) = arrival.tenant.filter(|_| arrival.within) {
+            self.by_tenant[tenant].add(worth);
+        }
+        if let End::Refused(time) | End::Failed(time) = arrival.end
+            && time > arrival.at + class.aim.0
+        {
+            self.failed_late += worth.asked;
+        }
+        if worth.earned < worth.asked {
+            self.record_loss(arrival, second, worth.asked - worth.earned);
+        }
+    }
+
+    fn record_loss(&mut self, arrival: &Arrival, second: usize, lost: f64) {
+        let cause = arrival.main_cause();
+        let server = arrival.worst_server().filter(|_| cause != Cause::Refused);
+        *self.losses.entry(LossKey { cause, server, second }).or_default() += lost;
+    }
+
+    /// The first of the windows with the smallest share.
+    pub fn worst_window(&self) -> WorstWindow {
+        let length = WINDOW_SECONDS.min(self.by_second.len());
+        let shares = self.by_second.windows(length).enumerate().map(|(start, window)| {
+            let mut sum = Worth::default();
+            window.iter().for_each(|worth| sum.add(*worth));
+            WorstWindow { start, share: sum.share() }
+        });
+        shares
+            .min_by(|one, other| one.share.total_cmp(&other.share))
+            .unwrap_or(WorstWindow { start: 0, share: 1.0 })
+    }
+
+    /// Share of worth of the worst-served class.
+    pub fn worst_class(&self) -> f64 {
+        smallest_share(&self.by_class)
+    }
+
+    /// Share of worth of the worst-served tenant, of its requests within its quota.
+    pub fn worst_tenant(&self) -> f64 {
+        smallest_share(&self.by_tenant)
+    }
+
+    /// The details of the result, the largest losses first.
+    pub fn into_detail(self, tiers: Vec<Vec<TierCount>>, discovery: Vec<NewsCount>) -> Detail {
+        let asked = self.whole.asked.max(MIN_WORTH);
+        let to_loss = |(key, lost): (LossKey, f64)| Loss {
+            cause: key.cause,
+            server: key.server,
+            second: key.second,
+            worth: lost / asked,
+        };
+        let mut losses: Vec<Loss> = self.losses.into_iter().map(to_loss).collect();
+        losses.sort_by(|one, other| other.worth.total_cmp(&one.worth));
+        Detail {
+            seconds: self.ends_by_second,
+            losses,
+            servers: Vec::new(),
+            tiers,
+            served_work: self.served_work,
+            discovery,
+        }
+    }
+}
+
+fn worth_of(scenario: &Scenario, class: &Class, arrival: &Arrival) -> Worth {
+    let asked = class.worth * if arrival.within { 1.0 } else { scenario.load.over_share_worth };
+    let earned = match arrival.end {
+        End::Served(time) if time <= arrival.at + class.aim.0 => asked,
+        End::Served(time) if time <= arrival.at + class.deadline.0 => asked * class.late_worth,
+        _ => 0.0,
+    };
+    Worth { earned, asked }
+}
+
+fn smallest_share(parts: &[Worth]) -> f64 {
+    let asked_for = parts.iter().filter(|worth| worth.asked > 0.0);
+    asked_for.map(|worth| worth.share()).min_by(f64::total_cmp).unwrap_or(1.0)
+}
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -16,7 +16,9 @@
 use crate::ramp::Watch;
 use crate::random::{self, Purpose};
 use crate::scenario::{Scenario, ScenarioError};
-use crate::scoring::{self, Arrival, Breach, Detail, NewsCount, Result, Rule, Sample, Tally, TierCount};
+use crate::scoring::{
+    self, Arrival, Breach, Detail, NewsCount, Result, Rule, Sample, ServerOutcome, Tally, TierCount,
+};
 use crate::server::{JobId, Server};
 
 const SECOND: Micros = 1_000_000;
@@ -570,10 +572,13 @@
     }
 
     fn end(mut self) -> Played {
-        let choked = self.servers.iter().filter(|s| s.ever_choked).count();
         let tally = std::mem::take(&mut self.tally);
-        let (result, mut detail) =
-            scoring::score(self.day, &self.arrivals, tally, (choked, self.servers.len()), self.fallen);
+        let servers = ServerOutcome {
+            choked: self.servers.iter().filter(|s| s.ever_choked).count(),
+            total: self.servers.len(),
+            fallen: self.fallen,
+        };
+        let (result, mut detail) = scoring::score(self.day, &self.arrivals, tally, &servers);
         detail.servers = self.samples.unwrap_or_default();
         Played { result, detail }
     }
