--- a/crates/cli/src/model/report.rs
+++ b/crates/cli/src/model/report.rs
@@ -60,7 +60,7 @@
         if let Some(before) = &args.against {
             let (a, b) = (of_policy(before, "module")?, of_policy(path, "module")?);
             let c = Comparison::of(&a, &b, |r| r.g).map_err(|e| anyhow!(e))?;
-            section(&mut page, "Scenario by day", &compare::text(&c), &[plots::differences(&c)?]);
+            section(&mut page, "Day by day", &compare::text(&c), &[plots::differences(&c)?]);
         }
     }
     let title = escape(&format!("{}, {}", day.name, args.policy.name()));
--- a/crates/fleet-model/src/catalog/faults.rs
+++ b/crates/fleet-model/src/catalog/faults.rs
@@ -74,8 +74,8 @@
     scenario.tiers[tier].servers.iter().sum::<u32>() as usize
 }
 
-fn draw_class(rng: &mut ChaCha8Rng) -> Option<String> {
-    Some(CLASSES[rng.random_range(0..CLASSES.len())].to_owned())
+fn draw_class(rng: &mut ChaCha8Rng) -> String {
+    CLASSES[rng.random_range(0..CLASSES.len())].to_owned()
 }
 
 impl Draft<'_> {
@@ -137,7 +137,7 @@
     }
 
     fn heavy(&self, rng: &mut ChaCha8Rng) -> Fault {
-        let class = draw_class(rng);
+        let class = Some(draw_class(rng));
         let share = within(rng, (0.0069, 0.029));
         let factor = within(rng, (5.1, 30.0));
         let length = within(rng, (11.0, 30.0));
@@ -156,7 +156,7 @@
     }
 
     fn slow_class(&self, rng: &mut ChaCha8Rng) -> Fault {
-        let class = draw_class(rng);
+        let class = Some(draw_class(rng));
         let which = choose(rng, self.servers, 0.15);
         let factor = within(rng, (3.0, 10.0));
         let tier = self.tier;
--- a/crates/fleet-model/src/catalog/mod.rs
+++ b/crates/fleet-model/src/catalog/mod.rs
@@ -44,14 +44,23 @@
     }
 }
 
+/// No size has the name that was given.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no size is called {name:?}; there are {known}")]
+pub struct UnknownSize {
+    name: String,
+    /// The names of all sizes, joined by commas.
+    known: String,
+}
+
 impl std::str::FromStr for Size {
-    type Err = String;
+    type Err = UnknownSize;
 
-    /// The size of that name; the error lists them.
-    fn from_str(name: &str) -> Result<Size, String> {
-        let known = Size::ALL.map(Size::name).join(", ");
-        let found = Size::ALL.into_iter().find(|s| s.name() == name);
-        found.ok_or_else(|| format!("no size is called {name:?}; there are {known}"))
+    /// The size of that name.
+    fn from_str(name: &str) -> Result<Size, UnknownSize> {
+        let found = Size::ALL.into_iter().find(|size| size.name() == name);
+        found
+            .ok_or_else(|| UnknownSize { name: name.to_owned(), known: Size::ALL.map(Size::name).join(", ") })
     }
 }
 
--- a/crates/fleet-model/src/depth.rs
+++ b/crates/fleet-model/src/depth.rs
@@ -1,11 +1,12 @@
-//! What one first call becomes at the bottom of many tiers: attempts, goodput, time left, work for nobody.
+//! Deep call chains: what a client's request causes in the last of many tiers, in attempts, goodput, time left and
+//! wasted work.
 
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::{fault, plain};
 use crate::policy::Kind;
-use crate::scenario::{FaultKind, Scenario, ScenarioError};
+use crate::scenario::{Class, Fault, FaultKind, Scenario, ScenarioError, Tier};
 use crate::scoring::TierCount;
 use crate::span::Span;
 use crate::world::play;
@@ -30,7 +31,10 @@
 /// What arrives sooner is not counted: balancers start without having learned anything.
 const WARM_UP: usize = 2;
 
-/// What is wrong with the last tier, for the whole day.
+/// Index of the server of the last tier that is faulty, where one is.
+const FAULTY_SERVER: usize = 3;
+
+/// What is wrong with the last tier, for the whole scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trouble {
@@ -323,36 +327,53 @@
     }
 }
 
-/// A day of so many equal tiers, each equally busy: a request makes one call of the next tier.
+/// A scenario of so many equal tiers, each equally busy: a request makes one call of the next tier.
 pub fn day(tiers: usize, trouble: Trouble, seed: u64, seconds: f64) -> Scenario {
-    let mut day = plain(seed, seconds, vec!["a".to_owned()], SERVERS, RATE * f64::from(SERVERS));
-    let whole =
+    let mut scenario = plain(seed, seconds, vec!["a".to_owned()], SERVERS, RATE * f64::from(SERVERS));
+    scenario.name = format!("{} tiers, {}", tiers, trouble.name());
+    set_class(&mut scenario.classes[0], tiers, trouble);
+    scenario.tiers = equal_tiers(&scenario.tiers[0], tiers);
+    scenario.faults = faults(trouble, tiers - 1, seconds);
+    scenario
+}
+
+fn set_class(class: &mut Class, tiers: usize, trouble: Trouble) {
+    let deadline =
         if trouble == Trouble::FixedDeadline { FIXED_DEADLINE_MS } else { DEADLINE_MS * tiers as f64 };
-    let c = &mut day.classes[0];
-    let (work, cv) = if trouble == Trouble::EvenWork { (WORK_MS, EVEN) } else { (DRAWN_MS, TAIL) };
-    (c.work, c.cv, c.most_work) = (Span::ms(work), cv, Span::ms(MOST_MS));
-    (c.aim, c.deadline) = (Span::ms(whole * AIM_MS / DEADLINE_MS), Span::ms(whole));
-    let mut one = day.tiers[0].clone();
-    one.servers = vec![SERVERS];
-    one.calls = 1.0;
-    day.tiers = vec![one; tiers];
-    for (i, t) in day.tiers.iter_mut().enumerate() {
-        t.name = format!("tier {i}");
+    if trouble == Trouble::EvenWork {
+        class.work = Span::ms(WORK_MS);
+        class.cv = EVEN;
+    } else {
+        class.work = Span::ms(DRAWN_MS);
+        class.cv = TAIL;
     }
-    let last = tiers - 1;
-    day.tiers[last].calls = 0.0;
-    day.name = format!("{} tiers, {}", tiers, trouble.name());
-    let fault = |kind, which: Vec<usize>, share, factor| {
-        let mut f = fault(kind, 0.0, seconds);
-        (f.tier, f.which, f.share, f.factor) = (last, which, share, factor);
-        f
+    class.most_work = Span::ms(MOST_MS);
+    class.aim = Span::ms(deadline * AIM_MS / DEADLINE_MS);
+    class.deadline = Span::ms(deadline);
+}
+
+/// Copies of a tier, each of which calls the next one once for a request.
+fn equal_tiers(pattern: &Tier, count: usize) -> Vec<Tier> {
+    let numbered = |index: usize| Tier {
+        name: format!("tier {index}"),
+        servers: vec![SERVERS],
+        calls: if index + 1 == count { 0.0 } else { 1.0 },
+        ..pattern.clone()
     };
-    day.faults = match trouble {
+    (0..count).map(numbered).collect()
+}
+
+/// The faults of the last tier, which last for the whole scenario.
+fn faults(trouble: Trouble, last_tier: usize, seconds: f64) -> Vec<Fault> {
+    let in_last_tier = |kind| Fault { tier: last_tier, ..fault(kind, 0.0, seconds) };
+    let one_server = vec![FAULTY_SERVER];
+    match trouble {
         Trouble::Healthy | Trouble::FixedDeadline | Trouble::EvenWork => Vec::new(),
-        Trouble::OnePercent => vec![fault(FaultKind::FastErrors, vec![3], 0.2, 1.0)],
-        Trouble::FivePercent => vec![fault(FaultKind::FastErrors, vec![3], 1.0, 1.0)],
-        Trouble::TwentyPercent => vec![fault(FaultKind::FastErrors, Vec::new(), 0.2, 1.0)],
-        Trouble::Slow => vec![fault(FaultKind::Slow, Vec::new(), 1.0, 1.8)],
-    };
-    day
+        Trouble::OnePercent => {
+            vec![Fault { which: one_server, share: 0.2, ..in_last_tier(FaultKind::FastErrors) }]
+        }
+        Trouble::FivePercent => vec![Fault { which: one_server, ..in_last_tier(FaultKind::FastErrors) }],
+        Trouble::TwentyPercent => vec![Fault { share: 0.2, ..in_last_tier(FaultKind::FastErrors) }],
+        Trouble::Slow => vec![Fault { factor: 1.8, ..in_last_tier(FaultKind::Slow) }],
+    }
 }
--- a/crates/fleet-model/src/experiment.rs
+++ b/crates/fleet-model/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Many days, played in parallel, and what two plays of them differ by.
+//! Experiments: many scenarios played in parallel, and paired comparisons of two experiments.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,12 @@
 
 /// Resamples of a bootstrap interval.
 const RESAMPLES: usize = 10_000;
-/// Most and least that the floor of a day lies below its top.
-const SPAN: (f64, f64) = (0.3, 0.45);
-/// Differences under this are none.
-const ALIKE: f64 = 1e-9;
+/// The floor of a scenario's scale lies at least this far below its top.
+const MIN_SCALE: f64 = 0.3;
+/// The floor lies at most this far below the top.
+const MAX_SCALE: f64 = 0.45;
+/// Results that differ by less are equal.
+const EQUALITY_TOLERANCE: f64 = 1e-9;
 
 /// A day to play, and with what.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +35,11 @@
 }
 
 impl Cell {
-    /// The day of the cell.
+    /// Draws the scenario of the cell.
+    ///
+    /// # Errors
+    ///
+    /// The catalog has no such kind.
     pub fn day(&self) -> Result<Scenario, ScenarioError> {
         catalog::generate(&self.kind, self.seed, self.size)
     }
@@ -81,7 +87,11 @@
     pub broken: u64,
 }
 
-/// Plays all cells on all cores; rows come in the cells' order. `done` hears of each as it ends.
+/// Plays all cells on all cores and returns a row for each, in the cells' order. `done` is called after each.
+///
+/// # Errors
+///
+/// The catalog has no such kind, or a scenario cannot be played.
 pub fn run(label: &str, cells: &[Cell], done: impl Fn() + Sync) -> Result<Vec<Row>, ScenarioError> {
     let row = |cell: &Cell| {
         let r = play(&cell.day()?, cell.policy, false)?.result;
@@ -122,7 +132,7 @@
         let (module, random) = (day.get("module")?, day.get("random")?);
         day.get("oracle")?;
         let top = day.values().map(|r| r.g).fold(f64::NEG_INFINITY, f64::max);
-        let floor = random.g.clamp(top - SPAN.1, top - SPAN.0);
+        let floor = random.g.clamp(top - MAX_SCALE, top - MIN_SCALE);
         let score = if module.broken > 0 { 0.0 } else { (module.g - floor) / (top - floor) };
         Some((kind, seed, score.clamp(0.0, 1.0)))
     };
@@ -163,7 +173,23 @@
     }
 }
 
-/// Two plays of one day.
+/// Why two lists of rows cannot be compared.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ComparisonError {
+    /// A list has rows of one scenario for several policies or labels.
+    #[error("{list} has the day {day} more than once; name one policy and label")]
+    Repeated {
+        /// Which list.
+        list: &'static str,
+        /// Kind, seed and size of the scenario.
+        day: String,
+    },
+    /// No scenario is in both lists.
+    #[error("the two have no day in common")]
+    NothingInCommon,
+}
+
+/// Two plays of one scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Pair {
     /// The kind of day.
@@ -196,17 +222,19 @@
 }
 
 impl Comparison {
-    /// Pairs rows by kind, size and seed. Fails where a file has a day twice.
-    pub fn of(a: &[Row], b: &[Row], value: impl Fn(&Row) -> f64) -> Result<Comparison, String> {
+    /// Pairs rows by kind, size and seed, and compares their values.
+    ///
+    /// # Errors
+    ///
+    /// A list has a scenario twice, or the two have none in common.
+    pub fn of(a: &[Row], b: &[Row], value: impl Fn(&Row) -> f64) -> Result<Comparison, ComparisonError> {
         type Days<'r> = BTreeMap<(&'r str, &'r str, u64), &'r Row>;
-        fn days<'r>(rows: &'r [Row], name: &str) -> Result<Days<'r>, String> {
+        fn days<'r>(rows: &'r [Row], name: &'static str) -> Result<Days<'r>, ComparisonError> {
             let mut days = BTreeMap::new();
             for r in rows {
                 if days.insert((r.kind.as_str(), r.size.as_str(), r.seed), r).is_some() {
                     let day = format!("{} {} {}", r.kind, r.seed, r.size);
-                    return Err(format!(
-                        "{name} has the day {day} more than once; name one policy and label"
-                    ));
+                    return Err(ComparisonError::Repeated { list: name, day });
                 }
             }
             Ok(days)
@@ -221,7 +249,7 @@
             })
             .collect();
         if pairs.is_empty() {
-            return Err("the two have no day in common".to_owned());
+            return Err(ComparisonError::NothingInCommon);
         }
         let unpaired = a.len() + b.len() - 2 * pairs.len();
         let difference = |p: &Pair| p.b - p.a;
@@ -236,8 +264,8 @@
             unpaired,
             all: Estimate::of(&all),
             kinds: kinds.into_iter().map(|(kind, d)| (kind, Estimate::of(&d))).collect(),
-            better: share(|d| d > ALIKE),
-            worse: share(|d| d < -ALIKE),
+            better: share(|d| d > EQUALITY_TOLERANCE),
+            worse: share(|d| d < -EQUALITY_TOLERANCE),
             pairs,
         })
     }
--- a/crates/fleet-model/src/experiment/tests.rs
+++ b/crates/fleet-model/src/experiment/tests.rs
@@ -25,6 +25,11 @@
 #[test]
 fn a_day_twice_or_none_in_common_is_an_error() {
     let twice = [row("calm", 1, 0.5), row("calm", 1, 0.6)];
-    assert!(Comparison::of(&twice, &twice[..1], |r| r.g).unwrap_err().contains("more than once"));
-    assert!(Comparison::of(&twice[..1], &[row("busy", 1, 0.5)], |r| r.g).unwrap_err().contains("no day"));
+    assert!(Comparison::of(&twice, &twice[..1], |r| r.g).unwrap_err().to_string().contains("more than once"));
+    assert!(
+        Comparison::of(&twice[..1], &[row("busy", 1, 0.5)], |r| r.g)
+            .unwrap_err()
+            .to_string()
+            .contains("no day")
+    );
 }
--- a/crates/fleet-model/src/scenario/environment.rs
+++ b/crates/fleet-model/src/scenario/environment.rs
@@ -4,7 +4,7 @@
 
 use crate::span::Span;
 
-/// Latencies, one way.
+/// Latencies of the network, one way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
@@ -14,58 +14,58 @@
     pub cross_zone: Span,
     /// Between a client and its balancer.
     pub client: Span,
-    /// Most by which a message takes longer, as a share.
+    /// Largest random addition to a latency, as a share of it.
     #[serde(default)]
     pub jitter: f64,
 }
 
-/// Whether lists arrive by themselves.
+/// How balancers receive endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Asking {
-    /// They do.
+    /// Discovery pushes them.
     Push,
-    /// Only once asked for.
+    /// Balancers poll for them.
     Ask,
 }
 
-/// How news of servers travels.
+/// How changes of the endpoint list reach the balancers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// Push or ask.
+    /// Push or poll.
     pub mode: Asking,
-    /// From a change to its being noticed.
+    /// Time from a change until discovery notices it.
     pub notice: Span,
-    /// The same for what vanishes without a word.
+    /// The same for servers that vanish without deregistering.
     pub silent_notice: Span,
-    /// From a server's start to its listing.
+    /// Time from a server's start until it is listed.
     pub add: Span,
-    /// Changes are sent out together this often.
+    /// Changes are batched and sent at this interval.
     pub period: Span,
-    /// Most by which balancers hear at different times.
+    /// Largest random delay between a batch and its arrival at a balancer.
     pub spread: Span,
-    /// Share of the calls to discovery that fail, and of watches that break off with each round.
+    /// Share of the calls to discovery that fail, and of the watches that break in each batch.
     #[serde(default)]
     pub failing: f64,
 }
 
-/// The balancers of the first tier, and the processor share of all.
+/// The balancers of the first tier, and the processor share of the balancers of all tiers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Balancers {
     /// The zone of each.
     pub zones: Vec<String>,
-    /// Traffic of each beside the others of its zone; all alike if empty.
+    /// Relative traffic of each within its zone; all alike if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub shares: Vec<f64>,
-    /// Share of a core that each has.
+    /// Cores that each may use, such as 0.5 for half a core.
     pub cores: f64,
-    /// Processor time of an event.
+    /// Processor time that one event takes.
     pub event_cost: Span,
-    /// How far their clocks lie apart at most.
+    /// Largest difference between two of their clocks.
     #[serde(default)]
     pub clock_spread: Span,
-    /// Until a dead one gets no new connections.
+    /// Time until a dead balancer gets no new connections.
     pub notice: Span,
 }
--- a/crates/fleet-model/src/scenario/fault.rs
+++ b/crates/fleet-model/src/scenario/fault.rs
@@ -4,39 +4,39 @@
 
 use crate::span::Span;
 
-/// One thing that goes wrong.
+/// A fault of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// What goes wrong.
     pub kind: FaultKind,
-    /// From when.
+    /// When it begins, since the scenario's start.
     pub at: Span,
-    /// For how long, where it does not end by itself.
+    /// How long it lasts, where it does not end by itself.
     #[serde(default)]
     pub length: Span,
-    /// The tier, by number.
+    /// The index of the tier.
     #[serde(default)]
     pub tier: usize,
-    /// Which of the tier's servers, or balancers, by number; all if empty.
+    /// Indexes of the tier's servers, or of the balancers, that it befalls; all if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub which: Vec<usize>,
-    /// The zone.
+    /// The zone that it befalls.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// The class.
+    /// The class of requests that it befalls; all if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
-    /// Share of the requests that it befalls, or of the servers that are out at once.
+    /// Share of the requests that it befalls, or of the servers that are down at once.
     #[serde(default = "one")]
     pub share: f64,
-    /// How many times the work.
+    /// Factor of the work.
     #[serde(default = "one")]
     pub factor: f64,
-    /// The new process takes over what the old one had learned.
+    /// Whether the new process restores the learned state of the old one.
     #[serde(default)]
     pub learned: bool,
-    /// The upstream restarts meanwhile, the server comes back cold.
+    /// Whether the server restarts meanwhile and comes back cold.
     #[serde(default)]
     pub restarts: bool,
     /// How long servers drain before they restart.
@@ -64,13 +64,13 @@
     Slow,
     /// Connections break while a share of the requests is out.
     Resets,
-    /// A zone's servers vanish without a word and return cold.
+    /// A zone's servers vanish without deregistering and return cold.
     ZoneLost,
-    /// The same for single servers, of a rack or a machine; their balancers stay.
+    /// Single servers, of a rack or a machine, vanish without deregistering; their balancers stay.
     Vanished,
     /// A zone is cut off from all others but those that are cut off with it.
     ZoneCut,
-    /// Servers go and others, with other ids at the same addresses, start cold.
+    /// Servers stop, and others with other ids start cold at the same addresses.
     Replaced,
     /// Balancers are killed and start again after `length`.
     BalancerKilled,
@@ -78,10 +78,10 @@
     BalancerRestart,
     /// Each balancer's process is replaced by another that serves from then on.
     ProcessReplaced,
-    /// Operators take servers out at every balancer of the first tier, and put them back.
+    /// Operators take servers out of rotation at every balancer of the first tier, and put them back.
     OutByHand,
-    /// Balancers send their clients away.
+    /// Balancers make their clients use other balancers.
     Evacuated,
-    /// Discovery tells nothing.
+    /// Discovery sends nothing and answers no call.
     DiscoveryOutage,
 }
--- a/crates/fleet-model/src/scenario/mod.rs
+++ b/crates/fleet-model/src/scenario/mod.rs
@@ -24,13 +24,13 @@
 
 use crate::span::Span;
 
-/// A whole day. What a field leaves open is drawn from `seed` as the day is played.
+/// A whole scenario. What its fields leave open is drawn from `seed` while it is played.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the day is called in tables.
+    /// Its name in tables.
     pub name: String,
-    /// Decides every draw of the day.
+    /// Seed of every random draw.
     pub seed: u64,
     /// For how long requests arrive.
     pub length: Span,
@@ -38,23 +38,24 @@
     pub zones: Vec<String>,
     /// Latencies between machines.
     pub network: Network,
-    /// How lists of servers arrive.
+    /// How endpoint lists reach the balancers.
     pub discovery: Discovery,
-    /// Calls of a later tier carry their caller's time left, not their class's whole deadline.
+    /// Whether calls of a later tier carry the time that their caller has left; otherwise each has its class's whole
+    /// deadline.
     pub passes_deadline: bool,
-    /// The balancers of the first tier; a later tier has one for each server of the tier before.
+    /// The balancers of the first tier. A later tier has one balancer for each server of the tier before it.
     pub balancers: Balancers,
-    /// What arrives.
+    /// The requests that arrive.
     pub load: Load,
     /// How clients behave.
     pub clients: Clients,
-    /// What balancers may do.
+    /// What balancers may do, and how much of it.
     pub limits: Limits,
-    /// Figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: Rules,
     /// Weights of the parts of the result.
     pub goal: Goal,
-    /// What costs points of the result.
+    /// What reduces the result.
     pub prices: Prices,
     /// The tiers, first the one that clients call.
     #[serde(rename = "tier")]
@@ -62,10 +63,10 @@
     /// The classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Those who share the service.
+    /// The tenants that share the service.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Tenant>,
-    /// What goes wrong.
+    /// The faults.
     #[serde(rename = "fault", default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
 }
--- a/crates/fleet-model/src/scenario/rules.rs
+++ b/crates/fleet-model/src/scenario/rules.rs
@@ -4,37 +4,37 @@
 
 use crate::span::Span;
 
-/// What balancers may do.
+/// What balancers may do, and how much of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Attempts for a request.
+    /// Attempts of a request at most.
     pub max_attempts: u32,
-    /// Requests that one has open.
+    /// Open requests of a balancer at most.
     pub max_open: u32,
-    /// Two attempts of a request may be out at once.
+    /// Whether requests may be hedged: two attempts in flight at once.
     pub second_copies: bool,
-    /// Probes are answered.
+    /// Whether servers answer health checks.
     pub probes: bool,
-    /// Clients are told when to come back.
+    /// Whether rejections may carry `Retry-After`.
     pub retry_after: bool,
-    /// Longest wait that they heed.
+    /// Longest `Retry-After` that clients honour.
     pub max_retry_after: Span,
 }
 
-/// Figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// Nothing new goes to a draining server later than this after the news.
+    /// A balancer may send new requests to a draining server for this long after it was notified.
     pub drain_grace: Span,
-    /// A final answer counts so long after the deadline.
+    /// A final response counts as in time up to this long after the deadline.
     pub answer_grace: Span,
-    /// A cold server that is sent more than this multiple of its capacity ...
+    /// A cold server that receives more than this multiple of its capacity ...
     pub overload_factor: f64,
-    /// ... for this span falls over.
+    /// ... for this long falls over.
     pub tip_after: Span,
-    /// Where discovery must be asked, at least this often.
+    /// Where balancers poll discovery, they must do so at least this often.
     pub ask_within: Span,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Goal {
-    /// The day as a whole.
+    /// The whole scenario.
     pub whole: f64,
     /// Its worst ten seconds.
     pub worst_window: f64,
@@ -52,20 +52,20 @@
     pub worst_tenant: f64,
 }
 
-/// Points of the result, for a share or rate of one.
+/// What is subtracted from the result for each unit of a share or rate.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prices {
-    /// Work that no answer came of, beside the work asked for.
+    /// Work that led to no response, as a share of the work asked for.
     pub waste: f64,
-    /// Attempts that cross zones, a first try.
+    /// Attempts to another zone, for each request of a client.
     pub cross_zone: f64,
-    /// Worth that failed only after its aim.
+    /// Share of the weight that failed only after its latency objective.
     pub late_fail: f64,
-    /// Probes, a first try.
+    /// Health checks, for each request of a client.
     pub probe: f64,
-    /// New connections, a first try.
+    /// New connections, for each request of a client.
     pub handshake: f64,
-    /// Servers that turned slow from crowding.
+    /// Share of the servers that choked.
     pub choke: f64,
 }
--- a/crates/fleet-model/src/scenario/tier.rs
+++ b/crates/fleet-model/src/scenario/tier.rs
@@ -4,7 +4,7 @@
 
 use crate::span::Span;
 
-/// A tier of like servers.
+/// A tier of identical servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
@@ -12,48 +12,48 @@
     pub name: String,
     /// Servers in each zone.
     pub servers: Vec<u32>,
-    /// Part of a class's work that one call costs here.
+    /// Part of a class's work that one call of this tier costs.
     pub work: f64,
-    /// Calls of the next tier for a request, on average; none in the last.
+    /// Mean number of calls of the next tier for a request; zero in the last tier.
     #[serde(default)]
     pub calls: f64,
-    /// Servers to a cell.
+    /// Servers in a cell; duplicates of a request are detected within one.
     pub cell_size: u32,
     /// Cores of a server.
     pub cores: u32,
-    /// Speed of a core; work is told for 1.
+    /// Speed of a core; work is given for a core of speed 1.
     pub speed: f64,
-    /// How much that differs from server to server.
+    /// Coefficient of variation of the speed between servers.
     pub speed_cv: f64,
-    /// Requests in work at once; one keeps its slot while the next tier works.
+    /// Requests that a server executes at once; one keeps its slot while it calls the next tier.
     pub slots: u32,
-    /// Requests that wait beside; more are turned away.
+    /// Length of a server's queue; further requests are rejected.
     pub waiting: u32,
-    /// Loss of efficiency for each request held beyond `crowded`.
+    /// Loss of efficiency for each request beyond `crowded`.
     pub thrash: f64,
-    /// Held requests from which that is so.
+    /// Requests at a server from which it loses efficiency.
     pub crowded: f64,
-    /// Share of the capacity with which a server starts.
+    /// Share of its capacity that a cold server starts with.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// Time from its start until it has its whole capacity.
     pub warm_after: Span,
-    /// Mean time between two stops of a server, none if zero.
+    /// Mean time between two pauses of a server, such as garbage collections; no pauses if zero.
     #[serde(default)]
     pub pause_every: Span,
-    /// Length of such a stop.
+    /// Length of a pause of an idle server.
     #[serde(default)]
     pub pause: Span,
-    /// Part by which a stop is longer for each request that the server holds a core.
+    /// Part by which a pause grows with each request per core at the server.
     #[serde(default)]
     pub pause_grow: f64,
-    /// Share of the requests that fail for no reason.
+    /// Share of the requests that fail at random.
     #[serde(default)]
     pub error_rate: f64,
-    /// Connections.
+    /// Connections to its servers.
     pub connections: Connections,
-    /// Work of a probe.
+    /// Work of a health check.
     pub probe_work: Span,
-    /// Servers turn slow and stay so when crowded.
+    /// How crowded servers turn slow and stay slow, if they do.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub choke: Option<Choke>,
 }
@@ -62,34 +62,34 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Connections {
-    /// Round trips before a new one can be used.
+    /// Round trips until a new connection can be used.
     pub handshake_trips: f64,
-    /// Work that it costs the server.
+    /// Work that a new connection costs the server.
     pub handshake_work: Span,
-    /// Idle ones are closed after this.
+    /// Idle connections are closed after this time.
     pub idle_close: Span,
-    /// One that is not up after this has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Span,
-    /// Most at one server.
+    /// Connections of one server at most.
     pub most: u32,
-    /// Part of the capacity that a full table takes.
+    /// Part of a server's capacity that `most` connections take.
     pub full_tax: f64,
 }
 
-/// How servers turn slow.
+/// How crowded servers turn slow: metastable overload of a single server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Choke {
-    /// Requests waiting for each core ...
+    /// A server chokes once so many requests a core wait ...
     pub at: f64,
     /// ... for this long ...
     pub over: Span,
-    /// ... make it so many times slower,
+    /// ... and is then so many times slower
     pub slower: f64,
     /// until it has been busy for less than this share ...
     pub below: f64,
     /// ... of this span,
     pub rest: Span,
-    /// or this long.
+    /// or for this long at most.
     pub most: Span,
 }
--- a/crates/fleet-model/src/scenario/traffic.rs
+++ b/crates/fleet-model/src/scenario/traffic.rs
@@ -4,20 +4,20 @@
 
 use crate::span::Span;
 
-/// First tries.
+/// Requests of clients, retries not counted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Mean rate a second.
+    /// Mean rate, in requests a second.
     pub rate: f64,
-    /// Part by which the rate swings.
+    /// Amplitude of the rate, as a share of the mean.
     #[serde(default)]
     pub swing: f64,
-    /// How it does.
+    /// How the rate changes over time.
     pub shape: Shape,
-    /// Share of each zone.
+    /// Share of each zone, in the order of the scenario's zones.
     pub zone_shares: Vec<f64>,
-    /// Worth of what exceeds a tenant's share.
+    /// Priority weight of requests beyond a tenant's quota, as a part of their class's.
     pub over_share_worth: f64,
 }
 
@@ -25,38 +25,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// A sine over the day.
+    /// A sine over the scenario.
     Wave,
-    /// High and low spells of a second or two.
+    /// Alternating high and low phases of a second or two.
     Bursty,
 }
 
-/// Clients' habits.
+/// How clients behave.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Tries after the first.
+    /// Retries of a request at most.
     pub retries: u32,
-    /// Part of a class's deadline after which a try is given up.
+    /// Time-out of an attempt, as a part of its class's deadline.
     pub try_share: f64,
-    /// First wait before a retry; it doubles.
+    /// Backoff before the first retry; it doubles with each.
     pub backoff: Span,
-    /// Share of clients that heed `Retry-After`.
+    /// Share of the clients that honour `Retry-After`.
     pub honour: f64,
-    /// Share of tries that leave early.
+    /// Share of the attempts that clients cancel early.
     #[serde(default)]
     pub impatient: f64,
 }
 
-/// What may be repeated.
+/// Which requests of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Anything.
+    /// All: they are idempotent.
     Safe,
-    /// Within the cell and the window, see [`Class::repeats_dropped`].
+    /// Those with an idempotency key: within the cell and for [`Class::repeats_dropped`].
     Keyed,
-    /// Nothing that may have run.
+    /// None that a server may have executed.
     Unsafe,
 }
 
@@ -66,35 +66,35 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its share of the requests.
+    /// Its share of the requests, relative to the other classes.
     pub share: f64,
-    /// Mean work of all tiers' first calls.
+    /// Mean work of a request, summed over one call of each tier.
     pub work: Span,
-    /// How the work is spread.
+    /// Distribution of the work.
     pub spread: Spread,
-    /// Standard deviation of the work, in means.
+    /// Coefficient of variation of the work: standard deviation by mean.
     pub cv: f64,
-    /// No request is more work than this.
+    /// Upper limit of a request's work.
     pub most_work: Span,
-    /// The same for attempts of one request.
+    /// Coefficient of variation of the work between attempts of one request.
     #[serde(default)]
     pub attempt_noise: f64,
-    /// An answer within this is worth all.
+    /// Latency objective: a response within it earns the whole weight.
     pub aim: Span,
-    /// A client gives up after this.
+    /// Clients give up after this time.
     pub deadline: Span,
-    /// Worth of a request.
+    /// Priority weight of a request.
     pub worth: f64,
-    /// Part that a late answer earns.
+    /// Part of the weight that a response between `aim` and `deadline` earns.
     pub late_worth: f64,
-    /// What may be repeated.
+    /// Which requests of a class may be retried.
     pub effect: Effect,
-    /// How long servers drop repeats of keyed ones.
+    /// How long servers detect duplicates of requests with an idempotency key.
     #[serde(default)]
     pub repeats_dropped: Span,
 }
 
-/// How work is spread.
+/// The distribution of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spread {
@@ -104,7 +104,7 @@
     Pareto,
 }
 
-/// One of those who share the service.
+/// A tenant of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -112,8 +112,8 @@
     pub name: String,
     /// Its share of the service.
     pub share: f64,
-    /// Requests a second that are worth all.
+    /// Requests a second that count with their whole weight.
     pub quota: f64,
-    /// Its traffic beside its share.
+    /// Its traffic, as a multiple of its share.
     pub usage: f64,
 }
--- a/crates/fleet-model/src/scoring/ledger.rs
+++ b/crates/fleet-model/src/scoring/ledger.rs
@@ -149,7 +149,9 @@
         let length = WINDOW_SECONDS.min(self.by_second.len());
         let shares = self.by_second.windows(length).enumerate().map(|(start, window)| {
             let mut sum = Worth::default();
-            window.iter().for_each(|worth| sum.add(*worth));
+            for worth in window {
+                sum.add(*worth);
+            }
             WorstWindow { start, share: sum.share() }
         });
         shares
