--- a/crates/fleet-model/src/depth.rs
+++ b/crates/fleet-model/src/depth.rs
@@ -1,11 +1,12 @@
-//! What one first call becomes at the bottom of many tiers: attempts, goodput, time left, work for nobody.
+//! Deep call chains: what a client's request causes in the last of many tiers, in attempts, goodput, time left and
+//! wasted work.
 
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::catalog::fault;
+use crate::catalog::{fault, plain};
 use crate::policy::Kind;
-use crate::scenario::*;
+use crate::scenario::{Class, Fault, FaultKind, Scenario, ScenarioError, Tier};
 use crate::scoring::TierCount;
 use crate::span::Span;
 use crate::world::play;
@@ -30,7 +31,10 @@
 /// What arrives sooner is not counted: balancers start without having learned anything.
 const WARM_UP: usize = 2;
 
-/// What is wrong with the last tier, for the whole day.
+/// Index of the server of the last tier that is faulty, where one is.
+const FAULTY_SERVER: usize = 3;
+
+/// What is wrong with the last tier, for the whole scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trouble {
@@ -323,144 +327,53 @@
     }
 }
 
-/// A day of so many equal tiers, each equally busy: a request makes one call of the next tier.
+/// A scenario of so many equal tiers, each equally busy: a request makes one call of the next tier.
 pub fn day(tiers: usize, trouble: Trouble, seed: u64, seconds: f64) -> Scenario {
-    let mut day = plain(seed, seconds, vec!["a".to_owned()], SERVERS, RATE * f64::from(SERVERS));
-    let whole =
+    let mut scenario = plain(seed, seconds, vec!["a".to_owned()], SERVERS, RATE * f64::from(SERVERS));
+    scenario.name = format!("{} tiers, {}", tiers, trouble.name());
+    set_class(&mut scenario.classes[0], tiers, trouble);
+    scenario.tiers = equal_tiers(&scenario.tiers[0], tiers);
+    scenario.faults = faults(trouble, tiers - 1, seconds);
+    scenario
+}
+
+fn set_class(class: &mut Class, tiers: usize, trouble: Trouble) {
+    let deadline =
         if trouble == Trouble::FixedDeadline { FIXED_DEADLINE_MS } else { DEADLINE_MS * tiers as f64 };
-    let c = &mut day.classes[0];
-    let (work, cv) = if trouble == Trouble::EvenWork { (WORK_MS, EVEN) } else { (DRAWN_MS, TAIL) };
-    (c.work, c.cv, c.most_work) = (Span::ms(work), cv, Span::ms(MOST_MS));
-    (c.aim, c.deadline) = (Span::ms(whole * AIM_MS / DEADLINE_MS), Span::ms(whole));
-    let mut one = day.tiers[0].clone();
-    one.servers = vec![SERVERS];
-    one.calls = 1.0;
-    day.tiers = vec![one; tiers];
-    for (i, t) in day.tiers.iter_mut().enumerate() {
-        t.name = format!("tier {i}");
+    if trouble == Trouble::EvenWork {
+        class.work = Span::ms(WORK_MS);
+        class.cv = EVEN;
+    } else {
+        class.work = Span::ms(DRAWN_MS);
+        class.cv = TAIL;
     }
-    let last = tiers - 1;
-    day.tiers[last].calls = 0.0;
-    day.name = format!("{} tiers, {}", tiers, trouble.name());
-    let fault = |kind, which: Vec<usize>, share, factor| {
-        let mut f = fault(kind, 0.0, seconds);
-        (f.tier, f.which, f.share, f.factor) = (last, which, share, factor);
-        f
-    };
-    day.faults = match trouble {
-        Trouble::Healthy | Trouble::FixedDeadline | Trouble::EvenWork => Vec::new(),
-        Trouble::OnePercent => vec![fault(FaultKind::FastErrors, vec![3], 0.2, 1.0)],
-        Trouble::FivePercent => vec![fault(FaultKind::FastErrors, vec![3], 1.0, 1.0)],
-        Trouble::TwentyPercent => vec![fault(FaultKind::FastErrors, Vec::new(), 0.2, 1.0)],
-        Trouble::Slow => vec![fault(FaultKind::Slow, Vec::new(), 1.0, 1.8)],
+    class.most_work = Span::ms(MOST_MS);
+    class.aim = Span::ms(deadline * AIM_MS / DEADLINE_MS);
+    class.deadline = Span::ms(deadline);
+}
+
+/// Copies of a tier, each of which calls the next one once for a request.
+fn equal_tiers(pattern: &Tier, count: usize) -> Vec<Tier> {
+    let numbered = |index: usize| Tier {
+        name: format!("tier {index}"),
+        servers: vec![SERVERS],
+        calls: if index + 1 == count { 0.0 } else { 1.0 },
+        ..pattern.clone()
     };
-    day
+    (0..count).map(numbered).collect()
 }
 
-/// A day of one tier and one class without troubles: `servers` in each zone, as many balancers, equal clients who
-/// do not try again. Nothing but cores is scarce, so that the tiers of a deep day are alike.
-pub(crate) fn plain(seed: u64, seconds: f64, zones: Vec<String>, servers: u32, rate: f64) -> Scenario {
-    let balancers = zones.iter().cycle().take(zones.len() * servers as usize).cloned().collect();
-    Scenario {
-        name: String::new(),
-        seed,
-        length: Span::s(seconds),
-        network: Network {
-            same_zone: Span::ms(0.1),
-            cross_zone: Span::ms(0.5),
-            client: Span::ms(0.1),
-            jitter: 0.2,
-        },
-        discovery: Discovery {
-            mode: Asking::Push,
-            notice: Span::ms(200.0),
-            silent_notice: Span::s(3.0),
-            add: Span::ms(500.0),
-            period: Span::ms(200.0),
-            spread: Span::ms(500.0),
-            failing: 0.0,
-        },
-        passes_deadline: true,
-        balancers: Balancers {
-            shares: Vec::new(),
-            zones: balancers,
-            cores: 1.0,
-            event_cost: Span(10),
-            clock_spread: Span(0),
-            notice: Span::s(1.0),
-        },
-        load: Load {
-            rate,
-            swing: 0.0,
-            shape: Shape::Wave,
-            zone_shares: vec![1.0; zones.len()],
-            over_share_worth: 1.0,
-        },
-        clients: Clients { retries: 0, try_share: 1.0, backoff: Span::ms(50.0), honour: 1.0, impatient: 0.0 },
-        limits: Limits {
-            max_attempts: 4,
-            max_open: 100_000,
-            second_copies: false,
-            probes: false,
-            retry_after: true,
-            max_retry_after: Span::s(2.0),
-        },
-        rules: Rules {
-            drain_grace: Span::s(1.0),
-            answer_grace: Span::ms(20.0),
-            overload_factor: 2.0,
-            tip_after: Span::s(1.0),
-            ask_within: Span::s(10.0),
-        },
-        goal: Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        prices: Prices::default(),
-        tiers: vec![Tier {
-            name: "upstreams".to_owned(),
-            servers: vec![servers; zones.len()],
-            work: 1.0,
-            calls: 0.0,
-            cell_size: 4,
-            cores: 2,
-            speed: 1.0,
-            speed_cv: 0.0,
-            slots: 100_000,
-            waiting: 100_000,
-            thrash: 0.0,
-            crowded: 100_000.0,
-            cold_from: 0.3,
-            warm_after: Span::s(10.0),
-            pause_every: Span(0),
-            pause: Span(0),
-            pause_grow: 0.0,
-            error_rate: 0.0,
-            connections: Connections {
-                handshake_trips: 1.0,
-                handshake_work: Span(0),
-                idle_close: Span::s(30.0),
-                connect_timeout: Span::ms(100.0),
-                most: 1_000_000,
-                full_tax: 0.0,
-            },
-            probe_work: Span::ms(1.0),
-            choke: None,
-        }],
-        zones,
-        classes: vec![Class {
-            name: "call".to_owned(),
-            share: 1.0,
-            work: Span::ms(100.0),
-            spread: Spread::Lognormal,
-            cv: 0.5,
-            most_work: Span::ms(400.0),
-            attempt_noise: 0.0,
-            aim: Span::s(1.0),
-            deadline: Span::s(2.0),
-            worth: 1.0,
-            late_worth: 0.5,
-            effect: Effect::Safe,
-            repeats_dropped: Span(0),
-        }],
-        tenants: Vec::new(),
-        faults: Vec::new(),
+/// The faults of the last tier, which last for the whole scenario.
+fn faults(trouble: Trouble, last_tier: usize, seconds: f64) -> Vec<Fault> {
+    let in_last_tier = |kind| Fault { tier: last_tier, ..fault(kind, 0.0, seconds) };
+    let one_server = vec![FAULTY_SERVER];
+    match trouble {
+        Trouble::Healthy | Trouble::FixedDeadline | Trouble::EvenWork => Vec::new(),
+        Trouble::OnePercent => {
+            vec![Fault { which: one_server, share: 0.2, ..in_last_tier(FaultKind::FastErrors) }]
+        }
+        Trouble::FivePercent => vec![Fault { which: one_server, ..in_last_tier(FaultKind::FastErrors) }],
+        Trouble::TwentyPercent => vec![Fault { share: 0.2, ..in_last_tier(FaultKind::FastErrors) }],
+        Trouble::Slow => vec![Fault { factor: 1.8, ..in_last_tier(FaultKind::Slow) }],
     }
 }
--- a/crates/fleet-model/src/failures/scenario.rs
+++ b/crates/fleet-model/src/failures/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::{Failure, FailureSpan, Sizes};
 use crate::catalog::fault;
-use crate::depth::plain;
+use crate::catalog::plain;
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::span::Span;
 
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -31,7 +31,7 @@
 use crate::policy::{Kind, Policy};
 use crate::random::{self, Purpose};
 use crate::scenario::{Scenario, ScenarioError};
-use crate::scoring::{self, Arrival, Detail, Metrics, Sample};
+use crate::scoring::{self, Arrival, Detail, Metrics, Sample, ServerOutcome};
 use crate::server::Server;
 
 pub(crate) use self::recording::{ArrivalAtServer, ServerStart, StartRecording};
@@ -200,11 +200,13 @@
 
     /// Scores the day that has been played.
     fn finish(mut self) -> Played {
-        let choked = self.servers.iter().filter(|server| server.has_ever_choked()).count();
+        let servers = ServerOutcome {
+            choked: self.servers.iter().filter(|server| server.has_ever_choked()).count(),
+            total: self.servers.len(),
+            fallen: self.collapsed,
+        };
         let metrics = std::mem::take(&mut self.metrics);
-        let servers = self.servers.len();
-        let (result, mut detail) =
-            scoring::score(self.scenario, &self.arrivals, metrics, (choked, servers), self.collapsed);
+        let (result, mut detail) = scoring::score(self.scenario, &self.arrivals, metrics, &servers);
         detail.servers = self.samples.unwrap_or_default();
         Played { result, detail }
     }
