--- /dev/null
+++ b/crates/proxy/tests/stored_state.rs
@@ -0,0 +1,246 @@
+//! Files that processes of one balancer share. The fixtures were written by the program of revision a4f1f98; during
+//! a replacement a process of that version and one of this version use the same folder.
+
+mod common;
+
+use std::fs::{self, File};
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use std::sync::mpsc::Receiver;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use common::*;
+use serde_json::Value;
+
+const OVERRIDES: &str = include_str!("fixtures/sloeline-orders.json");
+const LEARNED: &str = include_str!("fixtures/sloeline-learned.json");
+
+const OVERRIDES_FILE: &str = "sloeline-orders.json";
+const OVERRIDES_LOCK: &str = "sloeline-orders.lock";
+const LEARNED_FILE: &str = "sloeline-learned.json";
+
+fn parse(text: &str) -> Value {
+    serde_json::from_str(text).expect("JSON")
+}
+
+fn read_json(folder: &Path, name: &str) -> Value {
+    parse(&fs::read_to_string(folder.join(name)).expect("a file"))
+}
+
+/// Whether two values have the same keys, the same types and, in arrays, elements of one shape. Under `names` the
+/// keys are ids and say nothing; `null` stands for any value that is absent.
+fn assert_same_shape(path: &str, expected: &Value, found: &Value) {
+    match (expected, found) {
+        (Value::Null, _) | (_, Value::Null) => {}
+        (Value::Object(expected), Value::Object(found)) if keyed_by_name(path) => {
+            let mut examples = expected.values().chain(found.values());
+            let Some(example) = examples.next() else { return };
+            examples.for_each(|value| assert_same_shape(&format!("{path}.*"), example, value));
+        }
+        (Value::Object(expected), Value::Object(found)) => {
+            let expected_keys: Vec<_> = expected.keys().collect();
+            let found_keys: Vec<_> = found.keys().collect();
+            assert_eq!(expected_keys, found_keys, "keys of {path}");
+            for (key, value) in expected {
+                assert_same_shape(&format!("{path}.{key}"), value, &found[key]);
+            }
+        }
+        (Value::Array(expected), Value::Array(found)) if path.ends_with("[]") => {
+            // A pair: each place has a type of its own.
+            assert_eq!(expected.len(), found.len(), "length of {path}");
+            expected.iter().zip(found).for_each(|(a, b)| assert_same_shape(path, a, b));
+        }
+        (Value::Array(expected), Value::Array(found)) => {
+            let Some(example) = expected.first() else { return };
+            found.iter().for_each(|value| assert_same_shape(&format!("{path}[]"), example, value));
+        }
+        (Value::Number(expected), Value::Number(found)) => {
+            assert_eq!(expected.is_f64(), found.is_f64(), "type of {path}");
+        }
+        (expected, found) => {
+            let same = std::mem::discriminant(expected) == std::mem::discriminant(found);
+            assert!(same, "type of {path}: {expected} and {found}");
+        }
+    }
+}
+
+/// Objects whose keys are names or ids, and not names of fields.
+fn keyed_by_name(path: &str) -> bool {
+    ["learned.zones", "learned.servers", "overrides.back"].contains(&path)
+}
+
+fn unix_micros() -> u64 {
+    u64::try_from(SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_micros()).expect("it fits")
+}
+
+/// An upstream that responds at once and reports the requests that it got.
+fn upstream() -> (SocketAddr, Receiver<Message>) {
+    let peer = Peer::new();
+    (peer.address, peer.serve(|_, stream| ok(stream)))
+}
+
+/// A process that shares its listener and its folder, as during a replacement.
+fn start(folder: &Folder, upstreams: &[SocketAddr]) -> Balancer {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let folder = Some(folder.0.clone());
+    let management = Some("127.0.0.1:0");
+    Setup { door: Some(listener), folder, management, ..Setup::knowing(upstreams) }.start()
+}
+
+fn serve_requests(balancer: &Balancer, ids: std::ops::Range<u32>) {
+    for id in ids {
+        assert_eq!(balancer.ask(&request("pay", &format!("r-{id}"), "")).status(), 200);
+    }
+}
+
+/// Waits until the process has written what it has learned, after the file was written as `before`.
+fn learned_after(folder: &Folder, before: &Value) -> Value {
+    let start = Instant::now();
+    loop {
+        let learned = read_json(&folder.0, LEARNED_FILE);
+        if learned != *before {
+            return learned;
+        }
+        assert!(start.elapsed() < LONG, "nothing is saved");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+/// What the earlier version left a moment ago, in its own layout.
+fn fresh_learned_state() -> Value {
+    let mut learned = parse(LEARNED);
+    learned["learned"]["at"] = unix_micros().into();
+    learned
+}
+
+#[test]
+fn overrides_are_written_as_the_earlier_version_wrote_them() {
+    let folder = Folder::new("stored-overrides-layout");
+    let balancer = start(&folder, &[nowhere(), nowhere()]);
+    for call in ["exclude/s-0", "include/s-0", "exclude/s-1", "evacuate"] {
+        assert_eq!(balancer.call("POST", &format!("/api/{call}")), 200);
+    }
+    let written = read_json(&folder.0, OVERRIDES_FILE);
+    assert_same_shape("overrides", &parse(OVERRIDES), &written);
+    // The times differ and nothing else does: the calls are those that made the fixture.
+    let mut expected = parse(OVERRIDES);
+    expected["back"]["s-0"] = written["back"]["s-0"].clone();
+    assert_eq!(written, expected);
+    let raw = fs::read_to_string(folder.0.join(OVERRIDES_FILE)).expect("a file");
+    assert!(raw.starts_with(r#"{"out":["s-1"],"back":{"s-0":"#), "{raw}");
+}
+
+#[test]
+fn learned_state_of_the_earlier_version_is_taken_over_and_written_alike() {
+    let folder = Folder::new("stored-learned");
+    let before = fresh_learned_state();
+    fs::write(folder.0.join(LEARNED_FILE), before.to_string()).expect("a file");
+    let addresses: Vec<_> = (0..4).map(|_| upstream()).collect();
+    let upstreams: Vec<_> = addresses.iter().map(|(address, _)| *address).collect();
+    let balancer = start(&folder, &upstreams);
+    let after = learned_after(&folder, &before);
+    assert_same_shape("learned", &before, &after);
+    assert_same_shape("learned", &after, &before);
+    // The line of processes began with the earlier one, and what it had measured is still there.
+    assert_eq!(after["learned"]["began"], before["learned"]["began"]);
+    assert_eq!(after["learned"]["all"], before["learned"]["all"]);
+    assert_eq!(after["servers"].as_object().map(serde_json::Map::len), Some(4));
+    drop(balancer);
+}
+
+#[test]
+fn learned_state_that_is_old_is_not_taken_over() {
+    let folder = Folder::new("stored-learned-old");
+    let before = parse(LEARNED);
+    fs::write(folder.0.join(LEARNED_FILE), LEARNED).expect("a file");
+    let _balancer = start(&folder, &[nowhere()]);
+    let after = learned_after(&folder, &before);
+    assert_ne!(after["learned"]["began"], before["learned"]["began"]);
+    assert_eq!(after["learned"]["all"]["counts"], parse("[]"));
+}
+
+/// What a process of the earlier version does with the shared files, step by step.
+struct EarlierVersion {
+    folder: std::path::PathBuf,
+    _own_lock: File,
+    other_locks: Vec<File>,
+}
+
+impl EarlierVersion {
+    /// Takes the first lock that is free of the four that it creates.
+    fn start(folder: &Folder) -> EarlierVersion {
+        let name = |number| folder.0.join(format!("sloeline-process-{number}.lock"));
+        let mut files: Vec<_> = (0..4).map(|number| File::create(name(number)).expect("a file")).collect();
+        let free = files.iter().position(|file| file.try_lock().is_ok()).expect("a free place");
+        let own_lock = files.remove(free);
+        EarlierVersion { folder: folder.0.clone(), _own_lock: own_lock, other_locks: files }
+    }
+
+    fn other_processes(&self) -> usize {
+        let running = |file: &&File| match file.try_lock_shared() {
+            Ok(()) => file.unlock().is_err(),
+            Err(fs::TryLockError::WouldBlock) => true,
+            Err(fs::TryLockError::Error(_)) => false,
+        };
+        self.other_locks.iter().filter(running).count()
+    }
+
+    fn lock_overrides(&self) -> File {
+        let lock = File::create(self.folder.join(OVERRIDES_LOCK)).expect("a file");
+        lock.lock().expect("a lock");
+        lock
+    }
+
+    /// To be called with the lock held: replaces the file by a rename.
+    fn write_overrides(&self, overrides: &Value) {
+        let written = self.folder.join(format!("{OVERRIDES_FILE}.new"));
+        let mut file = File::create(&written).expect("a file");
+        file.write_all(overrides.to_string().as_bytes()).expect("it is written");
+        fs::rename(&written, self.folder.join(OVERRIDES_FILE)).expect("it is renamed");
+    }
+}
+
+#[test]
+fn processes_of_both_versions_see_each_other() {
+    let folder = Folder::new("stored-processes");
+    let earlier = EarlierVersion::start(&folder);
+    assert_eq!(earlier.other_processes(), 0);
+    let balancer = start(&folder, &[nowhere()]);
+    assert_eq!(earlier.other_processes(), 1);
+    // One that starts later is noticed, and so is its end.
+    let another = EarlierVersion::start(&folder);
+    balancer.logged("3 processes");
+    assert_eq!(another.other_processes(), 2);
+    drop(another);
+    balancer.logged("2 processes");
+    drop(earlier);
+    balancer.logged("1 processes");
+}
+
+#[test]
+fn processes_of_both_versions_follow_each_others_overrides() {
+    let folder = Folder::new("stored-both");
+    let earlier = EarlierVersion::start(&folder);
+    let (first, to_first) = upstream();
+    let (second, to_second) = upstream();
+    let balancer = start(&folder, &[first, second]);
+    let lock = earlier.lock_overrides();
+    earlier.write_overrides(&parse(r#"{"out":["s-0"],"back":{},"evacuated":false}"#));
+    drop(lock);
+    serve_requests(&balancer, 0..10);
+    assert_eq!((to_first.try_iter().count(), to_second.try_iter().count()), (0, 10));
+
+    // An override that comes here waits for the earlier version's lock and keeps what that one has written.
+    let lock = earlier.lock_overrides();
+    let mut stream = balancer.desk();
+    stream.write_all(b"POST /api/evacuate HTTP/1.1\r\nHost: b\r\n\r\n").expect("it reads");
+    stream.set_read_timeout(Some(Duration::from_millis(300))).expect("an option");
+    assert!(read(&mut stream).is_none(), "it did not wait for the lock");
+    earlier.write_overrides(&parse(r#"{"out":["s-0","s-9"],"back":{"s-1":5},"evacuated":false}"#));
+    drop(lock);
+    stream.set_read_timeout(Some(LONG)).expect("an option");
+    assert_eq!(read(&mut stream).expect("a response").status(), 200);
+    let written = read_json(&folder.0, OVERRIDES_FILE);
+    assert_eq!(written, parse(r#"{"out":["s-0","s-9"],"back":{"s-1":5},"evacuated":true}"#));
+}
