--- a/crates/proxy/tests/stored_state.rs
+++ b/crates/proxy/tests/stored_state.rs
@@ -114,6 +114,35 @@
     learned
 }
 
+#[test]
+fn overrides_of_the_earlier_version_are_in_force() {
+    let folder = Folder::new("stored-overrides");
+    // Found at the start, but for the evacuation: its log line would come before those that name the addresses.
+    let not_evacuated = OVERRIDES.replace(r#""evacuated":true"#, r#""evacuated":false"#);
+    fs::write(folder.0.join(OVERRIDES_FILE), not_evacuated).expect("a file");
+    let (first, to_first) = upstream();
+    let (second, to_second) = upstream();
+    let balancer = start(&folder, &[first, second]);
+    assert_eq!(balancer.ask(READY).status(), 200);
+    serve_requests(&balancer, 10..20);
+    assert_eq!((to_first.try_iter().count(), to_second.try_iter().count()), (10, 0));
+    // The file as it is, found while it runs.
+    let earlier = EarlierVersion::start(&folder);
+    let lock = earlier.lock_overrides();
+    earlier.write_overrides(&parse(OVERRIDES));
+    drop(lock);
+    assert_eq!(balancer.ask(READY).status(), 503);
+    serve_requests(&balancer, 0..10);
+    assert_eq!((to_first.try_iter().count(), to_second.try_iter().count()), (10, 0));
+    assert_eq!(balancer.call("POST", "/api/include/s-1"), 200);
+    assert_eq!(balancer.call("POST", "/api/rejoin"), 200);
+    assert_eq!(balancer.ask(READY).status(), 200);
+    let written = read_json(&folder.0, OVERRIDES_FILE);
+    assert_eq!(written["out"], parse("[]"));
+    assert_eq!(written["evacuated"], Value::Bool(false));
+    assert!(written["back"]["s-1"].is_u64(), "{written}");
+}
+
 #[test]
 fn overrides_are_written_as_the_earlier_version_wrote_them() {
     let folder = Folder::new("stored-overrides-layout");
