--- /dev/null
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -0,0 +1,191 @@
+//! A client's socket, with what has been read of it and not yet passed on to hyper.
+
+use std::cell::RefCell;
+use std::io::{self, Read as _};
+use std::mem::MaybeUninit;
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker, ready};
+use std::time::Duration;
+
+use hyper::rt::ReadBufCursor;
+use socket2::SockRef;
+use tokio::io::{AsyncRead, Interest, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+/// Most that is read ahead and kept; also the longest head.
+pub(super) const MAX_BUFFERED: usize = 16 * 1024;
+/// Most that one call reads.
+pub(super) const READ_CHUNK: usize = 4096;
+/// For this long the kernel's last word that the client is connected is taken for current: asking costs a call.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1);
+/// Most reads in one look at a socket, more than a receive buffer holds: a client may send as fast as this reads.
+const MAX_READS_PER_CHECK: usize = 4096;
+
+/// A client's socket and its read-ahead buffer. It is used from both sides of hyper: hyper reads requests through
+/// the framer, and the connection's task checks whether the client is still there.
+pub struct ClientStream {
+    socket: TcpStream,
+    buffered: Vec<u8>,
+    /// The end of the client's sending was read: nobody waits for an answer.
+    ended: bool,
+    /// So much came behind an open request that some of it was dropped: nothing behind it is a request any more.
+    overflowed: bool,
+    /// When the kernel last said that the client is connected.
+    last_seen: Option<Instant>,
+}
+
+impl ClientStream {
+    /// A socket of which nothing has been read.
+    pub fn new(socket: TcpStream) -> Rc<RefCell<ClientStream>> {
+        let stream =
+            ClientStream { socket, buffered: Vec::new(), ended: false, overflowed: false, last_seen: None };
+        Rc::new(RefCell::new(stream))
+    }
+
+    /// Reads more into the buffer, at most `limit` bytes; ready with their number, 0 at the end of input.
+    pub fn poll_fill(&mut self, cx: &mut Context<'_>, limit: usize) -> Poll<io::Result<usize>> {
+        if self.ended {
+            return Poll::Ready(Ok(0));
+        }
+        let mut chunk = [0; READ_CHUNK];
+        let mut read = ReadBuf::new(&mut chunk[..limit.min(READ_CHUNK)]);
+        ready!(Pin::new(&mut self.socket).poll_read(cx, &mut read))?;
+        self.buffered.extend_from_slice(read.filled());
+        self.ended = read.filled().is_empty();
+        Poll::Ready(Ok(read.filled().len()))
+    }
+
+    /// What was read and not passed on.
+    pub fn buffered(&self) -> &[u8] {
+        &self.buffered
+    }
+
+    /// Drops what was read and not passed on.
+    pub fn clear_buffered(&mut self) {
+        self.buffered = Vec::new();
+    }
+
+    /// Passes on at most `limit` bytes of the buffer; returns their number. An empty buffer holds no memory.
+    pub fn pass(&mut self, target: &mut ReadBufCursor<'_>, limit: u64) -> u64 {
+        let limit = usize::try_from(limit).unwrap_or(usize::MAX);
+        let passed = self.buffered.len().min(target.remaining()).min(limit);
+        target.put_slice(&self.buffered[..passed]);
+        self.buffered.drain(..passed);
+        if self.buffered.is_empty() {
+            self.clear_buffered();
+        }
+        passed as u64
+    }
+
+    /// Whether some of what came behind an open request was dropped.
+    pub fn overflowed(&self) -> bool {
+        self.overflowed
+    }
+
+    /// Ready once the client of a request that has come completely has disconnected, or ended its sending. What it
+    /// sends too early is buffered; past the bound it is dropped, and its connection closed with the answer, since
+    /// an end of input behind it must be seen.
+    pub fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        loop {
+            self.drop_overflow();
+            match ready!(self.poll_fill(cx, READ_CHUNK)) {
+                Ok(1..) => {}
+                Ok(0) | Err(_) => return Poll::Ready(()),
+            }
+        }
+    }
+
+    /// Whether the client has disconnected by now, even if the runtime has not looked at the socket since.
+    pub fn disconnected_now(&mut self, cx: &mut Context<'_>) -> bool {
+        loop {
+            if self.poll_disconnected(cx).is_ready() {
+                return true;
+            }
+            match self.read_past_runtime() {
+                Some(0) => return true,
+                Some(_) => {}
+                None => return false,
+            }
+        }
+    }
+
+    /// The same as [`disconnected_now`](Self::disconnected_now) without a task to be woken, and asking the kernel
+    /// at most once per [`CHECK_INTERVAL`].
+    pub fn disconnected(&mut self) -> bool {
+        if self.ended || self.last_seen.is_some_and(|seen| seen.elapsed() < CHECK_INTERVAL) {
+            return self.ended;
+        }
+        for _ in 0..MAX_READS_PER_CHECK {
+            self.drop_overflow();
+            match self.read_past_runtime() {
+                Some(0) => return true,
+                Some(_) => {}
+                None => return false,
+            }
+        }
+        false
+    }
+
+    /// Whether the client of a request that is still coming has ended its sending, so that the request stays
+    /// incomplete. Reads nothing, since that may be far too much to buffer: an end behind unread bytes is known
+    /// once the runtime has looked.
+    pub fn ended_early(&self) -> bool {
+        let readiness =
+            pin!(self.socket.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
+        let mut byte = [MaybeUninit::uninit()];
+        let peeked_end = match SockRef::from(&self.socket).peek(&mut byte) {
+            Ok(read) => read == 0,
+            Err(error) => error.kind() != io::ErrorKind::WouldBlock,
+        };
+        let read_closed = matches!(readiness, Poll::Ready(Ok(ready)) if ready.is_read_closed());
+        self.ended || peeked_end || read_closed
+    }
+
+    /// Whether something has come that was not passed on. Asks the kernel, since the runtime may not have looked:
+    /// a socket that is closed with something unread takes a request with it.
+    pub fn has_unread_input(&self) -> bool {
+        !self.buffered.is_empty() || has_unread_input(&self.socket)
+    }
+
+    /// The socket, for writing.
+    pub fn socket_mut(&mut self) -> &mut TcpStream {
+        &mut self.socket
+    }
+
+    /// The socket, when hyper is done with it.
+    pub fn into_socket(self) -> TcpStream {
+        self.socket
+    }
+
+    /// Drops what is buffered past the bound.
+    fn drop_overflow(&mut self) {
+        if self.buffered.len() >= MAX_BUFFERED {
+            self.overflowed = true;
+            self.buffered.truncate(MAX_BUFFERED - READ_CHUNK);
+        }
+    }
+
+    /// Reads into the buffer where the runtime knows of nothing to read: it may not have looked since. Returns the
+    /// number of bytes, 0 once the client has disconnected, or `None` if there is nothing to read.
+    fn read_past_runtime(&mut self) -> Option<usize> {
+        let mut chunk = [0; READ_CHUNK];
+        let read = match (&*SockRef::from(&self.socket)).read(&mut chunk) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                self.last_seen = Some(Instant::now());
+                return None;
+            }
+            read => read.unwrap_or(0),
+        };
+        self.buffered.extend_from_slice(&chunk[..read]);
+        self.ended = read == 0;
+        Some(read)
+    }
+}
+
+/// Whether a socket has bytes that were not read; asks the kernel.
+pub fn has_unread_input(socket: &TcpStream) -> bool {
+    let mut byte = [MaybeUninit::uninit()];
+    SockRef::from(socket).peek(&mut byte).is_ok_and(|read| read > 0)
+}
--- a/crates/proxy/src/downstream/framer.rs
+++ b/crates/proxy/src/downstream/framer.rs
@@ -1,540 +1,134 @@
-//! A caller's connection as hyper sees it: only heads that are good pass, and never more than one request. Also
-//! how long such a connection has been at what, and which of them are idle.
+//! The transport that hyper reads requests from: it passes on only requests with a valid head, and never more than
+//! one at a time.
 
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::future::poll_fn;
-use std::io::{self, Read as _};
-use std::mem::MaybeUninit;
-use std::pin::{Pin, pin};
-use std::rc::{Rc, Weak};
-use std::task::{Context, Poll, Waker, ready};
-use std::time::Duration;
+use std::cell::RefCell;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
 
 use hyper::rt::{Read, ReadBufCursor, Write};
-use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
-use tokio::net::TcpStream;
-use tokio::task::AbortHandle;
-use tokio::time::Instant;
+use tokio::io::AsyncWrite;
 
-use crate::downstream::framing::{Framing, request};
+use crate::downstream::client_stream::{ClientStream, MAX_BUFFERED, READ_CHUNK};
+use crate::downstream::framing::{Framing, parse_request_head};
+use crate::downstream::progress::{ConnectionProgress, ProtocolError, RequestStage};
 
-/// A connection on which no request is open is kept this long.
-pub const IDLE_TIME: Duration = Duration::from_secs(2);
-/// One that has not been idle for so long is not closed for others.
-const SPARED: Duration = Duration::from_millis(100);
-/// Nor one that has not been in the middle of a head for so long.
-const HALFWAY_SPARED: Duration = Duration::from_secs(1);
-/// A head may take this long from its first byte: callers may take 2 s for it.
-const HEAD_TIME: Duration = Duration::from_millis(2400);
-/// A request may take this long from its first byte to its last, and longer as its body comes.
-const BODY_TIME: Duration = Duration::from_millis(2800);
-/// Bytes of a body that buy one second more: three quarters of what the slowest honest callers send.
-const RATE: f64 = 48_000.0;
-/// Most time that can be bought ahead: one that has sent much and is stuck is found within it.
-const MOST_CREDIT: Duration = Duration::from_secs(2);
-/// A caller that takes nothing of its answer for so long is stuck, and not slow.
-const STUCK_TIME: Duration = Duration::from_secs(10);
-/// A connection's first request may take this long from the connection on, with the silence before it.
-const FIRST_TIME: Duration = Duration::from_millis(2800);
-/// Most of a head.
-const MOST_HEAD: usize = 16 * 1024;
-/// Read at once.
-const CHUNK: usize = 4096;
-/// For so long the kernel's word that a caller is there is taken for news.
-const FRESH: Duration = Duration::from_millis(1);
-/// So often a caller's socket is read in one look: more than a receive buffer holds.
-const MOST_READS: usize = 4096;
-
-/// What a connection is at.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestStage {
-    /// No byte of a request has come.
-    Idle,
-    /// A part of a head has come.
+/// What the next bytes of the connection are.
+enum Expected {
+    /// A head, to be parsed before it is passed on.
     Head,
-    /// The head has come.
-    Body,
-    /// The request has come whole and is not answered.
-    Open,
-}
-
-/// What cannot be let through; the connection is of no further use.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ProtocolError {
-    /// It cannot be read, or where it ends cannot be told.
-    Bad,
-    /// The head does not end.
-    TooLarge,
-}
-
-/// The connections that may be closed for others: those that are idle and those in the middle of a head, each
-/// longest first.
-#[derive(Default)]
-pub struct IdleConnections {
-    idle: RefCell<BTreeMap<u64, IdleConnection>>,
-    halfway: RefCell<BTreeMap<u64, IdleConnection>>,
-    next: Cell<u64>,
+    /// This many bytes of a request, which pass.
+    Bytes(u64),
+    /// A chunked body: everything passes until the connection ends.
+    UntilEnd,
 }
 
-/// A connection that may be closed for others, and since when it may.
-struct IdleConnection {
-    since: Instant,
-    task: AbortHandle,
-    inbound: Weak<RefCell<ClientStream>>,
+/// The result of one step towards the next head.
+enum HeadStep {
+    /// Bytes were read or a head was accepted: go on with what is expected now.
+    Continue,
+    /// Hyper is to see the end of its input.
+    EndOfInput,
 }
 
-impl IdleConnections {
-    /// Closes the connection that has been idle longest, or else longest in the middle of a head; else, when one
-    /// may be. Guards those that have just come, whose request is on its way.
-    pub fn close_oldest(&self) -> Result<(), Option<Instant>> {
-        let mut ripe: Option<Instant> = None;
-        for (list, spared) in [(&self.idle, SPARED), (&self.halfway, HALFWAY_SPARED)] {
-            let mut list = list.borrow_mut();
-            let Some(at) = list.values().next().map(|spare| spare.since + spared) else { continue };
-            // Guards a request that has come and was not read yet: it would be reset with its connection.
-            let unread =
-                |s: &IdleConnection| s.inbound.upgrade().is_some_and(|inbound| inbound.borrow().waits());
-            let free = list.iter().take_while(|(_, s)| s.since + spared <= Instant::now());
-            let free = free.filter(|(_, s)| spared > SPARED || !unread(s)).map(|(&place, _)| place).next();
-            if let Some(spare) = free.and_then(|place| list.remove(&place)) {
-                spare.task.abort();
-                return Ok(());
-            }
-            ripe = Some(ripe.map_or(at, |other| other.min(at)));
-        }
-        Err(ripe)
-    }
-
-    /// The list that connections at this are in.
-    fn list(&self, stage: RequestStage) -> Option<&RefCell<BTreeMap<u64, IdleConnection>>> {
-        match stage {
-            RequestStage::Idle => Some(&self.idle),
-            RequestStage::Head => Some(&self.halfway),
-            RequestStage::Body | RequestStage::Open => None,
-        }
-    }
-}
-
-/// How far a connection is, seen from both sides of hyper.
-pub struct ConnectionProgress {
-    crowd: Rc<IdleConnections>,
-    inbound: Weak<RefCell<ClientStream>>,
-    task: RefCell<Option<AbortHandle>>,
-    stage: Cell<RequestStage>,
-    since: Cell<Instant>,
-    first_byte: Cell<Instant>,
-    /// Until when its first request must have come whole; nothing once one has.
-    first_until: Cell<Option<Instant>>,
-    place: Cell<Option<u64>>,
-    fault: Cell<Option<ProtocolError>>,
-    chunked: Cell<bool>,
-    unread: Cell<bool>,
-    /// Since when nothing could be written.
-    stuck: Cell<Option<Instant>>,
-    /// Since when there has been nothing to read of its body, and since when more of it is wanted.
-    empty: Cell<Option<Instant>>,
-    wanted: Cell<Option<Instant>>,
-    /// Time that the body's bytes have bought.
-    credit: Cell<Duration>,
-    /// It has its answer, of which the last bytes are to be written.
-    answered: Cell<bool>,
+/// A client connection as hyper sees it.
+pub struct RequestFramer {
+    stream: Rc<RefCell<ClientStream>>,
+    progress: Rc<ConnectionProgress>,
+    expected: Expected,
 }
 
-impl ConnectionProgress {
-    /// A connection that has just come.
-    pub fn new(crowd: Rc<IdleConnections>, inbound: &Rc<RefCell<ClientStream>>) -> Rc<ConnectionProgress> {
-        ConnectionProgress::from(crowd, Rc::downgrade(inbound))
-    }
-
-    fn from(crowd: Rc<IdleConnections>, inbound: Weak<RefCell<ClientStream>>) -> Rc<ConnectionProgress> {
-        let now = Instant::now();
-        Rc::new(ConnectionProgress {
-            crowd,
-            inbound,
-            task: RefCell::default(),
-            stage: Cell::new(RequestStage::Open),
-            since: Cell::new(now),
-            first_byte: Cell::new(now),
-            first_until: Cell::new(Some(now + FIRST_TIME)),
-            place: Cell::default(),
-            fault: Cell::default(),
-            chunked: Cell::default(),
-            unread: Cell::default(),
-            stuck: Cell::default(),
-            empty: Cell::default(),
-            wanted: Cell::default(),
-            credit: Cell::default(),
-            answered: Cell::default(),
-        })
-    }
-
-    /// Its task, to be ended when room is needed while it is idle.
-    pub fn of(&self, task: AbortHandle) {
-        *self.task.borrow_mut() = Some(task);
-        self.enter(RequestStage::Idle);
-    }
-
-    /// What it is at.
-    pub fn stage(&self) -> RequestStage {
-        self.stage.get()
-    }
-
-    fn enter(&self, stage: RequestStage) {
-        let now = Instant::now();
-        match stage {
-            RequestStage::Head => self.first_byte.set(now),
-            RequestStage::Body => {
-                self.empty.set(None);
-                self.wanted.set(Some(now));
-                self.credit.set(Duration::ZERO);
-            }
-            RequestStage::Idle | RequestStage::Open => {}
-        }
-        self.leave_crowd();
-        self.stage.set(stage);
-        self.since.set(now);
-        if let (Some(list), Some(task)) = (self.crowd.list(stage), &*self.task.borrow()) {
-            let place = self.crowd.next.get();
-            self.crowd.next.set(place + 1);
-            let (task, inbound) = (task.clone(), self.inbound.clone());
-            list.borrow_mut().insert(place, IdleConnection { since: now, task, inbound });
-            self.place.set(Some(place));
-        }
-    }
-
-    fn leave_crowd(&self) {
-        if let (Some(place), Some(list)) = (self.place.take(), self.crowd.list(self.stage.get())) {
-            list.borrow_mut().remove(&place);
-        }
-    }
-
-    /// The request has come whole.
-    pub fn taken(&self) {
-        self.unread.set(false);
-        self.first_until.set(None);
-        self.enter(RequestStage::Open);
-    }
-
-    /// It has its answer: once that is written, the next request may pass.
-    pub fn answered(&self) {
-        self.answered.set(true);
-    }
-
-    /// Its answer is its last, and what it may still send is nothing.
-    pub fn parting(&self) {
-        self.enter(RequestStage::Open);
-    }
-
-    /// All that was to be written is.
-    fn flushed(&self) {
-        self.stuck.set(None);
-        if self.answered.replace(false) {
-            self.first_until.set(None);
-            self.enter(RequestStage::Idle);
-        }
-    }
-
-    /// Whether more of the body is wanted now: what the upstream does not take yet is not.
-    pub fn want(&self, wanted: bool) {
-        match (wanted, self.wanted.get()) {
-            (true, Some(_)) => {}
-            (true, None) => self.wanted.set(Some(Instant::now())),
-            (false, _) => {
-                self.spend();
-                self.wanted.set(None);
+impl RequestFramer {
+    /// A connection of which nothing has been read.
+    pub fn new(stream: Rc<RefCell<ClientStream>>, progress: Rc<ConnectionProgress>) -> RequestFramer {
+        RequestFramer { stream, progress, expected: Expected::Head }
+    }
+
+    /// Reads towards the next head, and accepts it once it is complete.
+    fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<HeadStep>> {
+        if matches!(self.progress.stage(), RequestStage::Body | RequestStage::Open) {
+            // Notices a client that disconnects; what it sends too early is buffered until the answer went.
+            ready!(self.stream.borrow_mut().poll_disconnected(cx));
+            return Poll::Ready(Ok(HeadStep::EndOfInput));
+        }
+        if self.stream.borrow().overflowed() {
+            // The connection's last answer has gone.
+            return Poll::Ready(Ok(HeadStep::EndOfInput));
+        }
+        if self.buffered_bytes() > 0 && self.progress.stage() == RequestStage::Idle {
+            self.progress.head_started();
+        }
+        let parsed = parse_request_head(self.stream.borrow().buffered());
+        match parsed {
+            Err(_) => Poll::Ready(Ok(self.reject(ProtocolError::MalformedHead))),
+            Ok(Some(head)) => {
+                self.progress.head_received(head.framing);
+                self.expected = match head.framing {
+                    Framing::Length(body) => Expected::Bytes((head.length as u64).saturating_add(body)),
+                    Framing::Chunked => Expected::UntilEnd,
+                };
+                Poll::Ready(Ok(HeadStep::Continue))
             }
-        }
-    }
-
-    /// Since when the caller has been waited for in its body.
-    fn waiting(&self) -> Option<Instant> {
-        Some(self.empty.get()?.max(self.wanted.get()?))
-    }
-
-    /// Takes the time that the caller has been waited for from what its body has bought.
-    fn spend(&self) {
-        let waited = self.waiting().map_or(Duration::ZERO, |since| since.elapsed());
-        self.credit.set(self.credit.get().saturating_sub(waited));
-    }
-
-    /// So many bytes of the body have come; nothing if there are none to read.
-    fn body(&self, bytes: Option<usize>) {
-        match bytes {
-            None if self.empty.get().is_none() => self.empty.set(Some(Instant::now())),
-            None => {}
-            Some(bytes) => {
-                self.spend();
-                self.empty.set(None);
-                let bought = Duration::from_secs_f64(bytes as f64 / RATE);
-                self.credit.set((self.credit.get() + bought).min(MOST_CREDIT));
+            Ok(None) if self.buffered_bytes() >= MAX_BUFFERED => {
+                Poll::Ready(Ok(self.reject(ProtocolError::HeadTooLarge)))
             }
-        }
-    }
-
-    /// What follows the request is none: where it ends is known to hyper alone, or some of it was dropped.
-    pub fn last(&self) -> bool {
-        self.chunked.get() || self.inbound.upgrade().is_some_and(|inbound| inbound.borrow().flooded)
-    }
-
-    /// Ready once the caller has left whose request has come whole; see [`ClientStream::poll_left`].
-    pub fn poll_left(&self, cx: &mut Context<'_>) -> Poll<()> {
-        match self.inbound.upgrade() {
-            Some(inbound) if self.stage() == RequestStage::Open => inbound.borrow_mut().poll_left(cx),
-            _ => Poll::Pending,
-        }
-    }
-
-    /// The same at this moment, be the runtime's view as old as it may.
-    pub async fn left(&self) -> bool {
-        let look = |cx: &mut Context<'_>| match self.inbound.upgrade() {
-            Some(inbound) if self.stage() == RequestStage::Open => inbound.borrow_mut().left(cx),
-            _ => false,
-        };
-        poll_fn(|cx| Poll::Ready(look(cx))).await
-    }
-
-    /// The same for anyone who asks: its connection is not polled, and one that was dropped has nobody behind it.
-    /// To be asked before each attempt's first byte. However long the connection waits for its turn, this asks the
-    /// kernel, unless it was asked just now.
-    pub fn departed(&self) -> bool {
-        let Some(inbound) = self.inbound.upgrade() else { return true };
-        let mut inbound = inbound.borrow_mut();
-        match self.stage() {
-            RequestStage::Open => inbound.departed(),
-            RequestStage::Body => inbound.broken_off(),
-            RequestStage::Idle | RequestStage::Head => false,
-        }
-    }
-
-    /// When it has been at this for too long; a request that is open has a clock of its own. Guards against a
-    /// peer that is silent first and slow then, each for less than it may: it is owed an end within 3 s in all.
-    pub fn due(&self, idle_time: Duration) -> Option<Instant> {
-        let whole_until = self.first_until.get();
-        let first = |due: Instant| whole_until.map_or(due, |until| due.min(until));
-        match self.stage.get() {
-            RequestStage::Idle => Some(first(self.since.get() + idle_time)),
-            RequestStage::Head => Some(first(self.first_byte.get() + HEAD_TIME)),
-            // Only while the caller is waited for: the upstream may be the slow one.
-            RequestStage::Body => {
-                let due = first(self.first_byte.get() + BODY_TIME);
-                self.waiting().map(|since| due.max(since + self.credit.get()))
+            Ok(None) => {
+                let room = MAX_BUFFERED - self.buffered_bytes();
+                let step = match ready!(self.poll_fill(cx, room))? {
+                    0 => HeadStep::EndOfInput,
+                    _ => HeadStep::Continue,
+                };
+                Poll::Ready(Ok(step))
             }
-            RequestStage::Open => self.stuck.get().map(|since| since + STUCK_TIME),
         }
     }
 
-    /// What was not let through.
-    pub fn fault(&self) -> Option<ProtocolError> {
-        self.fault.get()
-    }
-
-    /// The caller may still be sending.
-    pub fn unread(&self) -> bool {
-        self.unread.get()
-    }
-
-    /// An earlier answer is not written to its end: nothing can be said after it.
-    pub fn stuck(&self) -> bool {
-        self.stuck.get().is_some()
-    }
-}
-
-impl Drop for ConnectionProgress {
-    fn drop(&mut self) {
-        self.leave_crowd();
-    }
-}
-
-/// What the next bytes are.
-enum Next {
-    /// A head, to be looked at first.
-    Head,
-    /// So many bytes that pass.
-    Pass(u64),
-    /// All pass.
-    All,
-}
-
-/// A caller's socket, and what has been read of it and not passed on. Looked at from both sides: hyper reads a
-/// request through the gate, and its connection looks whether the caller is still there.
-pub struct ClientStream {
-    stream: TcpStream,
-    held: Vec<u8>,
-    /// Its end was read: nobody waits for an answer.
-    ended: bool,
-    /// So much came behind an open request that some of it was dropped: nothing behind it is a request any more.
-    flooded: bool,
-    /// When the kernel last said that the caller is there.
-    looked: Option<Instant>,
-}
-
-impl ClientStream {
-    /// Nothing read yet.
-    pub fn new(stream: TcpStream) -> Rc<RefCell<ClientStream>> {
-        let (held, ended, flooded, looked) = (Vec::new(), false, false, None);
-        Rc::new(RefCell::new(ClientStream { stream, held, ended, flooded, looked }))
-    }
-
-    /// Reads more into what is held, no more than `most`; tells how much it was.
-    fn fill(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<io::Result<usize>> {
-        if self.ended {
+    /// Passes on at most `limit` bytes; ready with their number, 0 at the end of input.
+    fn poll_pass(
+        &mut self,
+        cx: &mut Context<'_>,
+        target: &mut ReadBufCursor<'_>,
+        limit: u64,
+    ) -> Poll<io::Result<u64>> {
+        if self.buffered_bytes() == 0 && ready!(self.poll_fill(cx, READ_CHUNK))? == 0 {
             return Poll::Ready(Ok(0));
         }
-        let mut chunk = [0; CHUNK];
-        let mut read = ReadBuf::new(&mut chunk[..most.min(CHUNK)]);
-        ready!(Pin::new(&mut self.stream).poll_read(cx, &mut read))?;
-        self.held.extend_from_slice(read.filled());
-        self.ended = read.filled().is_empty();
-        Poll::Ready(Ok(read.filled().len()))
+        Poll::Ready(Ok(self.stream.borrow_mut().pass(target, limit)))
     }
 
-    /// Ready once the caller of a request that has come whole has left, be it by half. What it sent too early is
-    /// held; past the bound it is dropped, and its connection with the answer: an end behind it must be seen.
-    pub fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        loop {
-            self.bound();
-            match ready!(self.fill(cx, CHUNK)) {
-                Ok(1..) => {}
-                Ok(0) | Err(_) => return Poll::Ready(()),
-            }
-        }
-    }
-
-    /// Drops what is held past the bound.
-    fn bound(&mut self) {
-        if self.held.len() >= MOST_HEAD {
-            self.flooded = true;
-            self.held.truncate(MOST_HEAD - CHUNK);
-        }
-    }
-
-    /// The same as [`left`](Self::left) without a task to be woken, and no oftener than the kernel need be asked.
-    fn departed(&mut self) -> bool {
-        if self.ended || self.looked.is_some_and(|at| at.elapsed() < FRESH) {
-            return self.ended;
-        }
-        // Guards against a caller that sends as fast as this reads.
-        for _ in 0..MOST_READS {
-            self.bound();
-            match self.ask_kernel() {
-                Some(0) => return true,
-                Some(_) => {}
-                None => return false,
-            }
-        }
-        false
-    }
-
-    /// Whether the caller has left by now; the runtime may not have looked since.
-    fn left(&mut self, cx: &mut Context<'_>) -> bool {
-        loop {
-            if self.poll_left(cx).is_ready() {
-                return true;
-            }
-            match self.ask_kernel() {
-                Some(0) => return true,
-                Some(_) => {}
-                None => return false,
-            }
-        }
-    }
-
-    /// The same as [`fill`](Self::fill) where the runtime knows of nothing to read: it may not have looked since.
-    fn ask_kernel(&mut self) -> Option<usize> {
-        let mut chunk = [0; CHUNK];
-        let read = match (&*SockRef::from(&self.stream)).read(&mut chunk) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                self.looked = Some(Instant::now());
-                return None;
-            }
-            read => read.unwrap_or(0),
-        };
-        self.held.extend_from_slice(&chunk[..read]);
-        self.ended = read == 0;
-        Some(read)
-    }
-
-    /// The caller of a request that is still coming has ended its sending, so that it never comes whole; without
-    /// reading what may be far too much to hold. Behind unread bytes it is known once the runtime has looked.
-    fn broken_off(&self) -> bool {
-        let looked =
-            pin!(self.stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
-        let mut byte = [MaybeUninit::uninit()];
-        let gone = match SockRef::from(&self.stream).peek(&mut byte) {
-            Ok(read) => read == 0,
-            Err(e) => e.kind() != io::ErrorKind::WouldBlock,
-        };
-        self.ended || gone || matches!(looked, Poll::Ready(Ok(ready)) if ready.is_read_closed())
-    }
-
-    /// Something has come that was not passed on. Asks the kernel: the runtime may not have looked since, and a
-    /// socket that is closed with something unread takes a request with it.
-    pub fn waits(&self) -> bool {
-        !self.held.is_empty() || waits(&self.stream)
-    }
-
-    /// The socket, when hyper is done with it.
-    pub fn into_stream(self) -> TcpStream {
-        self.stream
-    }
-}
-
-/// Whether bytes have come that were not read; asks the kernel.
-pub fn waits(stream: &TcpStream) -> bool {
-    let mut byte = [MaybeUninit::uninit()];
-    SockRef::from(stream).peek(&mut byte).is_ok_and(|n| n > 0)
-}
-
-/// The connection between the socket and hyper.
-pub struct RequestFramer {
-    inbound: Rc<RefCell<ClientStream>>,
-    progress: Rc<ConnectionProgress>,
-    next: Next,
-}
-
-impl RequestFramer {
-    /// Nothing read yet.
-    pub fn new(inbound: Rc<RefCell<ClientStream>>, progress: Rc<ConnectionProgress>) -> RequestFramer {
-        RequestFramer { inbound, progress, next: Next::Head }
-    }
-
-    /// Reads more into what is held; tells how much it was.
-    fn fill(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<io::Result<usize>> {
-        let polled = self.inbound.borrow_mut().fill(cx, most);
+    /// Reads more into the buffer, and records how fast a body comes.
+    fn poll_fill(&mut self, cx: &mut Context<'_>, limit: usize) -> Poll<io::Result<usize>> {
+        let polled = self.stream.borrow_mut().poll_fill(cx, limit);
         if self.progress.stage() == RequestStage::Body {
-            self.progress.body(match &polled {
-                Poll::Ready(read) => Some(read.as_ref().copied().unwrap_or(0)),
-                Poll::Pending => None,
-            });
+            match &polled {
+                Poll::Ready(Ok(bytes)) => self.progress.body_pace().record_bytes(*bytes),
+                Poll::Ready(Err(_)) => self.progress.body_pace().record_bytes(0),
+                Poll::Pending => self.progress.body_pace().record_empty(),
+            }
         }
         polled
     }
 
-    /// How much is held.
-    fn held(&self) -> usize {
-        self.inbound.borrow().held.len()
+    fn buffered_bytes(&self) -> usize {
+        self.stream.borrow().buffered().len()
     }
 
-    /// Passes on what is held, up to `most`.
-    fn pass(&mut self, buf: &mut ReadBufCursor<'_>, most: u64) -> u64 {
-        let held = &mut self.inbound.borrow_mut().held;
-        let n = held.len().min(buf.remaining()).min(usize::try_from(most).unwrap_or(usize::MAX));
-        buf.put_slice(&held[..n]);
-        held.drain(..n);
-        if held.is_empty() {
-            *held = Vec::new();
-        }
-        n as u64
+    /// Ends the connection as hyper sees it; the error is answered once hyper has been dropped.
+    fn reject(&mut self, error: ProtocolError) -> HeadStep {
+        self.progress.reject(error);
+        self.stream.borrow_mut().clear_buffered();
+        HeadStep::EndOfInput
     }
 
-    fn refuse(&mut self, fault: ProtocolError) -> Poll<io::Result<()>> {
-        self.progress.fault.set(Some(fault));
-        self.progress.unread.set(true);
-        self.inbound.borrow_mut().held = Vec::new();
-        // An end, as hyper sees it; the answer is given when hyper has left.
-        Poll::Ready(Ok(()))
+    /// Records whether the client takes what is written to it.
+    fn record_write<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+        if written.is_pending() {
+            self.progress.write_blocked();
+        } else {
+            self.progress.write_unblocked();
+        }
+        written
     }
 }
 
@@ -542,60 +136,26 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        mut buf: ReadBufCursor<'_>,
+        mut target: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.progress.fault().is_some() {
+        if this.progress.protocol_error().is_some() {
             return Poll::Ready(Ok(()));
         }
         loop {
-            match this.next {
-                Next::Head if matches!(this.progress.stage(), RequestStage::Body | RequestStage::Open) => {
-                    // Whether the caller has left, and what it sends too early: held until the answer went.
-                    ready!(this.inbound.borrow_mut().poll_left(cx));
-                    return Poll::Ready(Ok(()));
-                }
-                // An end, as hyper sees it: its last answer has gone.
-                Next::Head if this.inbound.borrow().flooded => return Poll::Ready(Ok(())),
-                Next::Head => {
-                    if this.held() > 0 && this.progress.stage() == RequestStage::Idle {
-                        this.progress.enter(RequestStage::Head);
-                    }
-                    let read = request(&this.inbound.borrow().held);
-                    match read {
-                        Err(()) => return this.refuse(ProtocolError::Bad),
-                        Ok(Some((head, framing))) => {
-                            let head = head as u64;
-                            this.progress.chunked.set(framing == Framing::Chunked);
-                            this.progress.unread.set(framing != Framing::Length(0));
-                            this.progress.enter(RequestStage::Body);
-                            this.next = match framing {
-                                Framing::Length(n) => Next::Pass(head.saturating_add(n)),
-                                Framing::Chunked => Next::All,
-                            };
-                        }
-                        Ok(None) if this.held() >= MOST_HEAD => return this.refuse(ProtocolError::TooLarge),
-                        Ok(None) => {
-                            if ready!(this.fill(cx, MOST_HEAD - this.held()))? == 0 {
-                                return Poll::Ready(Ok(()));
-                            }
-                        }
-                    }
-                }
-                Next::Pass(0) => this.next = Next::Head,
-                Next::Pass(n) => {
-                    if this.held() == 0 && ready!(this.fill(cx, CHUNK))? == 0 {
-                        return Poll::Ready(Ok(()));
-                    }
-                    let passed = this.pass(&mut buf, n);
-                    this.next = Next::Pass(n - passed);
+            match this.expected {
+                Expected::Head => match ready!(this.poll_head(cx))? {
+                    HeadStep::Continue => {}
+                    HeadStep::EndOfInput => return Poll::Ready(Ok(())),
+                },
+                Expected::Bytes(0) => this.expected = Expected::Head,
+                Expected::Bytes(remaining) => {
+                    let passed = ready!(this.poll_pass(cx, &mut target, remaining))?;
+                    this.expected = Expected::Bytes(remaining - passed);
                     return Poll::Ready(Ok(()));
                 }
-                Next::All => {
-                    if this.held() == 0 && ready!(this.fill(cx, CHUNK))? == 0 {
-                        return Poll::Ready(Ok(()));
-                    }
-                    this.pass(&mut buf, u64::MAX);
+                Expected::UntilEnd => {
+                    ready!(this.poll_pass(cx, &mut target, u64::MAX))?;
                     return Poll::Ready(Ok(()));
                 }
             }
@@ -603,18 +163,10 @@
     }
 }
 
-impl RequestFramer {
-    fn note<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-        let since = self.progress.stuck.get().or_else(|| Some(Instant::now()));
-        self.progress.stuck.set(since.filter(|_| written.is_pending()));
-        written
-    }
-}
-
 impl Write for RequestFramer {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.inbound.borrow_mut().stream).poll_write(cx, buf);
-        self.note(written)
+        let written = Pin::new(self.stream.borrow_mut().socket_mut()).poll_write(cx, buf);
+        self.record_write(written)
     }
 
     fn poll_write_vectored(
@@ -622,8 +174,8 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.inbound.borrow_mut().stream).poll_write_vectored(cx, bufs);
-        self.note(written)
+        let written = Pin::new(self.stream.borrow_mut().socket_mut()).poll_write_vectored(cx, bufs);
+        self.record_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -631,15 +183,12 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(Pin::new(&mut self.inbound.borrow_mut().stream).poll_flush(cx))?;
+        ready!(Pin::new(self.stream.borrow_mut().socket_mut()).poll_flush(cx))?;
         self.progress.flushed();
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.inbound.borrow_mut().stream).poll_shutdown(cx)
+        Pin::new(self.stream.borrow_mut().socket_mut()).poll_shutdown(cx)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/proxy/src/downstream/framing/tests.rs
+++ b/crates/proxy/src/downstream/framing/tests.rs
@@ -1,38 +1,46 @@
 use super::*;
 
 #[test]
-fn only_one_reading_of_a_head_is_taken() {
-    let read = |lines: &str| {
-        let text = format!("POST /api HTTP/1.1\r\nHost: b\r\n{lines}\r\n");
-        request(text.as_bytes()).map(|r| r.map(|(end, framing)| (end == text.len(), framing)))
-    };
+fn a_head_with_one_reading_is_accepted() {
     for (lines, framing) in [
         ("", Framing::Length(0)),
         ("Content-Length: 65536\r\n", Framing::Length(65_536)),
         ("content-length:0\r\n", Framing::Length(0)),
         ("TRANSFER-ENCODING: Chunked\r\n", Framing::Chunked),
     ] {
-        assert_eq!(read(lines), Ok(Some((true, framing))), "{lines:?}");
+        let text = head_with(lines);
+        let expected = RequestHead { length: text.len(), framing };
+        assert_eq!(parse_request_head(text.as_bytes()), Ok(Some(expected)), "{lines:?}");
     }
-    for lines in [
-        "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
-        "transfer-encoding: chunked\r\ncontent-length: 4\r\n",
-        "Content-Length: 4\r\nContent-Length: 4\r\n",
-        "Content-Length: 4, 4\r\n",
-        "Content-Length: -4\r\n",
-        "Content-Length: +4\r\n",
-        "Content-Length: ten\r\n",
-        "Content-Length:\r\n",
-        "Content-Length: 99999999999999999999\r\n",
-        "Transfer-Encoding: gzip, chunked\r\n",
-        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-        "Transfer-Encoding: identity\r\n",
-        "Transfer-Encoding : chunked\r\n",
-        "no colon\r\n",
+    assert_eq!(parse_request_head(b"POST /api HTTP/1.1\r\nContent-Le"), Ok(None));
+}
+
+#[test]
+fn a_head_with_several_readings_is_an_error() {
+    for (lines, error) in [
+        ("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", HeadError::AmbiguousFraming),
+        ("transfer-encoding: chunked\r\ncontent-length: 4\r\n", HeadError::AmbiguousFraming),
+        ("Content-Length: 4\r\nContent-Length: 4\r\n", HeadError::AmbiguousFraming),
+        ("Content-Length: 4, 4\r\n", HeadError::InvalidLength),
+        ("Content-Length: -4\r\n", HeadError::InvalidLength),
+        ("Content-Length: +4\r\n", HeadError::InvalidLength),
+        ("Content-Length: ten\r\n", HeadError::InvalidLength),
+        ("Content-Length:\r\n", HeadError::InvalidLength),
+        ("Content-Length: 99999999999999999999\r\n", HeadError::InvalidLength),
+        ("Transfer-Encoding: gzip, chunked\r\n", HeadError::AmbiguousFraming),
+        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", HeadError::AmbiguousFraming),
+        ("Transfer-Encoding: identity\r\n", HeadError::AmbiguousFraming),
+        ("Transfer-Encoding : chunked\r\n", HeadError::Syntax(httparse::Error::HeaderName)),
+        ("no colon\r\n", HeadError::Syntax(httparse::Error::HeaderName)),
     ] {
-        assert_eq!(read(lines), Err(()), "{lines:?}");
+        assert_eq!(parse_request_head(head_with(lines).as_bytes()), Err(error), "{lines:?}");
     }
-    assert_eq!(request(b"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Err(()));
-    assert_eq!(request(b"POST /api HTTP/1.1\r\nContent-Le"), Ok(None));
-    assert_eq!(request(b"\0\0\0\0"), Err(()));
+    let chunks_of_http_1_0 = b"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n";
+    assert_eq!(parse_request_head(chunks_of_http_1_0), Err(HeadError::ChunksBeforeHttp11));
+    let not_http = parse_request_head(b"\0\0\0\0");
+    assert_eq!(not_http, Err(HeadError::Syntax(httparse::Error::Token)));
+}
+
+fn head_with(lines: &str) -> String {
+    format!("POST /api HTTP/1.1\r\nHost: b\r\n{lines}\r\n")
 }
--- /dev/null
+++ b/crates/proxy/src/downstream/linger/tests.rs
@@ -0,0 +1,13 @@
+use super::*;
+
+#[test]
+fn an_error_is_answered_with_its_reason_and_closes_the_connection() {
+    for (status, line) in [
+        (StatusCode::BAD_REQUEST, "400 Bad Request"),
+        (StatusCode::REQUEST_TIMEOUT, "408 Request Timeout"),
+        (StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "431 Request Header Fields Too Large"),
+    ] {
+        let expected = format!("HTTP/1.1 {line}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        assert_eq!(error_response(status), expected);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/request_validation.rs
@@ -0,0 +1,207 @@
+//! Turns a client's request into one that the dispatcher takes, or says what is wrong with it.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use thiserror::Error;
+use tokio::time::Instant;
+use zincstand_policy as policy;
+use zincstand_policy::{Idempotency, Micros};
+
+use crate::dispatch::transport::IncomingRequest;
+use crate::downstream::headers::{IDEMPOTENCY_KEY, REQ_ID, end_to_end_headers};
+use crate::downstream::progress::ConnectionProgress;
+use crate::downstream::shutdown::ShutdownBudget;
+use crate::upstream::stream::{BodyEnd, BodyPrefix, RequestBodyStream, read_prefix};
+use crate::upstream::{RequestBody, UpstreamRequest};
+
+const REQ_KIND: &str = "req-kind";
+const REQ_DEADLINE_MS: &str = "req-deadline-ms";
+const REQ_OWNER: &str = "req-owner";
+const REQ_COST: &str = "req-cost";
+const REQ_RETRY: &str = "req-retry";
+
+/// Why a request is not served, as its client is answered.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+#[error("{status}: {message}")]
+pub struct RequestError {
+    /// The status of the answer.
+    pub status: StatusCode,
+    /// The body of the answer.
+    pub message: &'static str,
+}
+
+impl RequestError {
+    /// Its body is longer than is passed on.
+    pub const BODY_TOO_LARGE: RequestError =
+        RequestError { status: StatusCode::PAYLOAD_TOO_LARGE, message: "over 32 MiB" };
+    /// Its body does not come to its end.
+    pub const BROKEN_BODY: RequestError = RequestError::bad_request("broken body");
+    /// Its class takes no body.
+    const UNEXPECTED_BODY: RequestError = RequestError::bad_request("a body that does not fit the class");
+
+    /// A request that is wrong in itself.
+    pub const fn bad_request(message: &'static str) -> RequestError {
+        RequestError { status: StatusCode::BAD_REQUEST, message }
+    }
+
+    /// The answer to a request whose body ended before its last byte.
+    pub fn incomplete_body(end: BodyEnd) -> RequestError {
+        match end {
+            BodyEnd::TooLong => RequestError::BODY_TOO_LARGE,
+            BodyEnd::Broken | BodyEnd::Whole => RequestError::BROKEN_BODY,
+        }
+    }
+}
+
+/// Checks requests against the classes and tenants of the settings.
+pub struct RequestValidator {
+    /// By the bytes of their names, which need not be plain text.
+    classes: HashMap<Vec<u8>, RequestClass>,
+    tenants: HashMap<Vec<u8>, policy::TenantId>,
+    shutdown: ShutdownBudget,
+}
+
+struct RequestClass {
+    id: policy::ClassId,
+    class: policy::Class,
+}
+
+impl RequestValidator {
+    /// A validator for classes and tenants, whose ids are their positions.
+    pub fn new(
+        classes: Vec<(String, policy::Class)>,
+        tenants: Vec<String>,
+        shutdown: ShutdownBudget,
+    ) -> RequestValidator {
+        let classes = classes
+            .into_iter()
+            .enumerate()
+            .map(|(id, (name, class))| (name.into_bytes(), RequestClass { id, class }))
+            .collect();
+        let tenants = tenants.into_iter().enumerate().map(|(id, name)| (name.into_bytes(), id)).collect();
+        RequestValidator { classes, tenants, shutdown }
+    }
+
+    /// Reads a request, completely if it can be buffered; its time starts with its last byte.
+    pub async fn read(
+        &self,
+        request: Request<Incoming>,
+        progress: &Rc<ConnectionProgress>,
+        stop_requested: Option<Instant>,
+    ) -> Result<IncomingRequest<UpstreamRequest>, RequestError> {
+        let (head, body) = request.into_parts();
+        reject_repeated_headers(&head.headers)?;
+        let RequestClass { id: class_id, class } = self.class(&head.headers)?;
+        require_request_id(&head.headers)?;
+        check_method(&head.method, &head.headers, class.idempotency)?;
+        let time_left = self.time_left(&head.headers, class, stop_requested)?;
+        let tenant = head.headers.get(REQ_OWNER).and_then(|name| self.tenants.get(name.as_bytes()).copied());
+        let work = text_header(&head.headers, REQ_COST).and_then(parse_digits);
+        let retry = text_header(&head.headers, REQ_RETRY) == Some("1");
+        let headers = end_to_end_headers(&head.headers);
+        let body = read_body(body, class.idempotency, progress).await?;
+        // A request that names the whole address is for this path all the same.
+        let path = head.uri.path_and_query().cloned().ok_or(RequestError::bad_request("no path"))?;
+        let upload = matches!(body, RequestBody::Streamed(_));
+        let call = UpstreamRequest {
+            method: head.method,
+            uri: path.into(),
+            headers,
+            body,
+            caller: Some(Rc::downgrade(progress)),
+        };
+        Ok(IncomingRequest { class: *class_id, time_left, tenant, work, retry, upload, call })
+    }
+
+    fn class(&self, headers: &HeaderMap) -> Result<&RequestClass, RequestError> {
+        let name = headers.get(REQ_KIND).ok_or(RequestError::bad_request("no Req-Kind"))?;
+        self.classes.get(name.as_bytes()).ok_or(RequestError::bad_request("unknown Req-Kind"))
+    }
+
+    /// How long the client waits: as it says, but no longer than its class allows or than the process lives.
+    fn time_left(
+        &self,
+        headers: &HeaderMap,
+        class: &policy::Class,
+        stop_requested: Option<Instant>,
+    ) -> Result<Micros, RequestError> {
+        let mut time_left = class.deadline;
+        if headers.contains_key(REQ_DEADLINE_MS) {
+            let milliseconds = text_header(headers, REQ_DEADLINE_MS)
+                .and_then(parse_digits)
+                .ok_or(RequestError::bad_request("Req-Deadline-Ms is no number"))?;
+            time_left = time_left.min(milliseconds.saturating_mul(1000));
+        }
+        Ok(time_left.min(self.shutdown.request_time(stop_requested)))
+    }
+}
+
+/// Of two headers with the same name one peer would read the first and another the last.
+fn reject_repeated_headers(headers: &HeaderMap) -> Result<(), RequestError> {
+    let is_single = |name: &HeaderName| name.as_str().starts_with("req-") || *name == IDEMPOTENCY_KEY;
+    let is_repeated = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
+    if headers.keys().any(|name| is_single(name) && is_repeated(name)) {
+        return Err(RequestError::bad_request("a header that may stand once stands twice"));
+    }
+    Ok(())
+}
+
+fn require_request_id(headers: &HeaderMap) -> Result<(), RequestError> {
+    if headers.get(REQ_ID).is_none_or(HeaderValue::is_empty) {
+        return Err(RequestError::bad_request("no Req-Id"));
+    }
+    Ok(())
+}
+
+/// Method and idempotency key say whether a request may be repeated. Its class says the same, or one of the two is
+/// wrong.
+fn check_method(method: &Method, headers: &HeaderMap, idempotency: Idempotency) -> Result<(), RequestError> {
+    if *method != Method::GET && *method != Method::POST {
+        return Err(RequestError { status: StatusCode::METHOD_NOT_ALLOWED, message: "GET or POST" });
+    }
+    let key = headers.get(IDEMPOTENCY_KEY);
+    let fits = match idempotency {
+        Idempotency::Idempotent => *method == Method::GET && key.is_none(),
+        Idempotency::WithKey { .. } => *method == Method::POST && key.is_some_and(|key| !key.is_empty()),
+        Idempotency::NotIdempotent => *method == Method::POST && key.is_none(),
+    };
+    if !fits {
+        return Err(RequestError::bad_request("method or Idempotency-Key do not fit the class"));
+    }
+    Ok(())
+}
+
+/// Reads a body as far as it is buffered. An idempotent request has none.
+async fn read_body(
+    body: Incoming,
+    idempotency: Idempotency,
+    progress: &Rc<ConnectionProgress>,
+) -> Result<RequestBody, RequestError> {
+    let takes_body = idempotency != Idempotency::Idempotent;
+    match read_prefix(body, None).await {
+        BodyPrefix::Whole(body) if takes_body || body.is_empty() => Ok(RequestBody::Whole(body)),
+        BodyPrefix::More(prefix, rest) if takes_body => {
+            Ok(RequestBody::Streamed(RequestBodyStream::new(prefix, rest, progress)))
+        }
+        BodyPrefix::Whole(_) | BodyPrefix::More(..) => Err(RequestError::UNEXPECTED_BODY),
+        BodyPrefix::TooLong => Err(RequestError::BODY_TOO_LARGE),
+        BodyPrefix::Broken => Err(RequestError::BROKEN_BODY),
+    }
+}
+
+/// A header's value; `None` if the header is absent or not plain text.
+fn text_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
+
+/// A decimal number of digits alone; `u64::from_str` would also accept a leading `+`.
+fn parse_digits(text: &str) -> Option<u64> {
+    if !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    text.parse().ok()
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/responses.rs
@@ -0,0 +1,42 @@
+//! The answers that the proxy gives itself.
+
+use bytes::Bytes;
+use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use zincstand_policy::Micros;
+
+use crate::dispatch::transport::Failure;
+use crate::downstream::request_validation::RequestError;
+use crate::upstream::stream::ResponseBody;
+
+/// An answer whose body is a short text.
+pub fn plain_text(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
+}
+
+/// The answer to a request that cannot be served as it is.
+pub fn request_error(error: RequestError) -> Response<ResponseBody> {
+    plain_text(error.status, error.message)
+}
+
+/// The answer to a request that is shed. `retry_after` is how long the client should stay away, 0 for no wish.
+pub fn rejected(retry_after: Micros) -> Response<ResponseBody> {
+    let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
+    if retry_after > 0 {
+        let seconds = format!("{:.3}", retry_after as f64 / 1e6);
+        if let Ok(seconds) = HeaderValue::from_str(&seconds) {
+            response.headers_mut().insert(RETRY_AFTER, seconds);
+        }
+    }
+    response
+}
+
+/// The answer to a request that failed after it was admitted.
+pub fn failed(failure: Failure) -> Response<ResponseBody> {
+    match failure {
+        Failure::Time => plain_text(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+        Failure::Upstream => plain_text(StatusCode::BAD_GATEWAY, "upstream failed"),
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/server.rs
@@ -0,0 +1,73 @@
+//! The state that all client connections share.
+
+use std::rc::Rc;
+
+use zincstand_policy as policy;
+
+use crate::dispatch::Dispatcher;
+use crate::dispatch::transport::Transport;
+use crate::downstream::connection_permits::ConnectionPermits;
+use crate::downstream::idle_connections::IdleConnections;
+use crate::downstream::open_request_ids::OpenRequestIds;
+use crate::downstream::request_validation::RequestValidator;
+use crate::downstream::shutdown::ShutdownBudget;
+use crate::lifecycle::Lifecycle;
+use crate::limits::ResizableLimit;
+use crate::upstream::{UpstreamRequest, UpstreamResponse};
+
+/// A transport that carries the requests and responses of this proxy's upstreams.
+pub trait UpstreamTransport: Transport<Request = UpstreamRequest, Response = UpstreamResponse> {}
+
+impl<T: Transport<Request = UpstreamRequest, Response = UpstreamResponse>> UpstreamTransport for T {}
+
+/// What all clients together may use.
+pub struct ConnectionLimits {
+    /// Connections.
+    pub connections: usize,
+    /// Bytes of the bodies of open requests and of their answers.
+    pub bodies: usize,
+}
+
+/// Serves the clients' connections.
+pub struct Server<T: UpstreamTransport> {
+    pub(super) dispatcher: Rc<Dispatcher<T>>,
+    pub(super) lifecycle: Rc<Lifecycle>,
+    pub(super) validator: RequestValidator,
+    pub(super) permits: ConnectionPermits,
+    pub(super) idle_connections: Rc<IdleConnections>,
+    /// Bytes that bodies and answers take.
+    pub(super) body_memory: Rc<ResizableLimit>,
+    pub(super) open_request_ids: OpenRequestIds,
+    pub(super) shutdown: ShutdownBudget,
+}
+
+impl<T: UpstreamTransport> Server<T> {
+    /// A server for the named classes and tenants.
+    pub fn new(
+        dispatcher: Rc<Dispatcher<T>>,
+        classes: Vec<(String, policy::Class)>,
+        tenants: Vec<String>,
+        limits: ConnectionLimits,
+        lifecycle: Rc<Lifecycle>,
+    ) -> Rc<Self> {
+        let longest_deadline = classes.iter().map(|(_, class)| class.deadline).max().unwrap_or(0);
+        let shutdown = ShutdownBudget::new(longest_deadline);
+        let idle_connections = Rc::<IdleConnections>::default();
+        Rc::new(Server {
+            dispatcher,
+            lifecycle,
+            validator: RequestValidator::new(classes, tenants, shutdown),
+            permits: ConnectionPermits::new(limits.connections, idle_connections.clone()),
+            idle_connections,
+            body_memory: ResizableLimit::new(limits.bodies),
+            open_request_ids: OpenRequestIds::default(),
+            shutdown,
+        })
+    }
+
+    /// Changes the limits. What exceeds the new ones is released as connections become idle.
+    pub fn resize(&self, limits: &ConnectionLimits) {
+        self.body_memory.resize(limits.bodies);
+        self.permits.resize(limits.connections);
+    }
+}
--- a/crates/proxy/src/limits/mod.rs
+++ b/crates/proxy/src/limits/mod.rs
@@ -1,74 +1,76 @@
-//! What is limited and can be taken and given back, with a limit that may change.
+//! A limit on a countable resource, and the permits that hold parts of it. The limit can be changed while permits
+//! are out.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// So much of something is taken, of so much at the most.
+/// How much of a resource is in use, and how much of it may be.
 pub struct ResizableLimit {
     used: Cell<usize>,
-    most: Cell<usize>,
-    freed: Notify,
+    limit: Cell<usize>,
+    /// Notified when a permit is dropped or the limit changes.
+    released: Notify,
 }
 
-/// A part that is taken; given back when dropped.
+/// A part of a [`ResizableLimit`] that is in use; released when dropped.
 pub struct Permit {
-    gauge: Rc<ResizableLimit>,
+    limit: Rc<ResizableLimit>,
     amount: usize,
 }
 
 impl ResizableLimit {
-    /// Nothing taken yet.
-    pub fn new(most: usize) -> Rc<ResizableLimit> {
-        Rc::new(ResizableLimit { used: Cell::new(0), most: Cell::new(most), freed: Notify::new() })
+    /// A limit of which nothing is in use.
+    pub fn new(limit: usize) -> Rc<ResizableLimit> {
+        Rc::new(ResizableLimit { used: Cell::new(0), limit: Cell::new(limit), released: Notify::new() })
     }
 
-    /// Takes a part, if there is room for it.
+    /// Acquires `amount` if the limit still allows it.
     pub fn try_acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
-        let fits = self.used.get().checked_add(amount).is_some_and(|used| used <= self.most.get());
-        fits.then(|| self.acquire_over_limit(amount))
+        let used = self.used.get().checked_add(amount)?;
+        (used <= self.limit.get()).then(|| self.acquire_over_limit(amount))
     }
 
-    /// Takes a part, room or not.
+    /// Acquires `amount` even where that exceeds the limit.
     pub fn acquire_over_limit(self: &Rc<Self>, amount: usize) -> Permit {
         self.used.set(self.used.get() + amount);
-        Permit { gauge: self.clone(), amount }
+        Permit { limit: self.clone(), amount }
     }
 
-    /// Another limit. What is taken stays so.
-    pub fn resize(&self, most: usize) {
-        self.most.set(most);
-        self.freed.notify_one();
+    /// Changes the limit. Permits that are out stay valid, also where they exceed the new limit.
+    pub fn resize(&self, limit: usize) {
+        self.limit.set(limit);
+        self.released.notify_one();
     }
 
-    /// How much more is taken than the limit allows.
+    /// By how much the permits that are out exceed the limit; 0 while they are within it.
     pub fn excess(&self) -> usize {
-        self.used.get().saturating_sub(self.most.get())
+        self.used.get().saturating_sub(self.limit.get())
     }
 
-    /// How much of it is taken, as a part of the whole.
-    pub fn used_part(&self) -> f64 {
-        self.used.get() as f64 / self.most.get().max(1) as f64
+    /// What is in use as a fraction of the limit; over 1 while the limit is exceeded.
+    pub fn used_fraction(&self) -> f64 {
+        self.used.get() as f64 / self.limit.get().max(1) as f64
     }
 
-    /// Waits until something has been given back.
-    pub async fn freed(&self) {
-        self.freed.notified().await;
+    /// Waits until a permit is released or the limit changes. Serves one waiter at a time.
+    pub async fn released(&self) {
+        self.released.notified().await;
     }
 
-    /// Waits until nothing is taken.
-    pub async fn empty(&self) {
+    /// Waits until no permit is out.
+    pub async fn all_released(&self) {
         while self.used.get() > 0 {
-            self.freed().await;
+            self.released().await;
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.gauge.used.set(self.gauge.used.get() - self.amount);
-        self.gauge.freed.notify_one();
+        self.limit.used.set(self.limit.used.get() - self.amount);
+        self.limit.released.notify_one();
     }
 }
 
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -18,7 +18,7 @@
 use crate::discovery::endpoint::Target;
 use crate::dispatch::transport::Transport;
 use crate::dispatch::{AttemptCompletion, Dispatcher};
-use crate::downstream::{ConnectionLimits, Listener, Server};
+use crate::downstream::{BACKLOG, ConnectionLimits, Listener, Server};
 use crate::lifecycle::Lifecycle;
 use crate::lifecycle::hot_restart::{self, ProcessPresence};
 use crate::lifecycle::overrides::{self, OverrideStore};
@@ -32,8 +32,6 @@
 /// Part of the memory that the bodies of open requests and their answers may fill. The rest is for what each
 /// connection has beside: of 32 MB with 256 descriptors, 8 KB buffers and heads take 5, the program itself 2.
 const BODIES: f64 = 0.4;
-/// Connections that wait to be accepted.
-pub const BACKLOG: u32 = 1024;
 /// How often what was learned is kept for a successor.
 const BEQUEATH: Duration = Duration::from_millis(250);
 /// How often is looked whether another process of this balancer lives, and what operators have set there.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 use crate::discovery::endpoint::Target;
 use crate::dispatch::AttemptCompletion;
 use crate::dispatch::transport::Transport;
-use crate::downstream::framer::ConnectionProgress;
+use crate::downstream::ConnectionProgress;
 use crate::upstream::pool::{CONNECT_UNTOLD, Pool, UpstreamConnection};
 use crate::upstream::stream::{
     BodyEnd, BodyPrefix, MOST_HELD, Outgoing, RequestBodyStream, StreamedBody, read_response_prefix,
--- a/crates/proxy/src/upstream/stream.rs
+++ b/crates/proxy/src/upstream/stream.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-use crate::downstream::framer::ConnectionProgress;
+use crate::downstream::ConnectionProgress;
 use crate::limits::Permit;
 use crate::upstream::ConnectionLease;
 
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -142,8 +142,7 @@
 async fn waiting() -> (Rc<AttemptProgress>, TcpStream, impl Sized) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it listens");
-    let inbound =
-        crate::downstream::framer::ClientStream::new(listener.accept().await.expect("a connection").0);
+    let inbound = crate::downstream::ClientStream::new(listener.accept().await.expect("a connection").0);
     let progress = ConnectionProgress::new(Rc::default(), &inbound);
     progress.taken();
     let (method, uri, headers) = (Method::GET, Uri::from_static("/api"), HeaderMap::new());
