--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -1,6 +1,6 @@
 //! The client's connection as the upstream side sees it.
 
-use crate::downstream::framer::ConnectionProgress;
+use crate::downstream::ConnectionProgress;
 use crate::upstream::client_connection::ClientConnection;
 
 impl ClientConnection for ConnectionProgress {
--- a/crates/proxy/src/downstream/response_body.rs
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 
-use crate::downstream::framer::ConnectionProgress;
+use crate::downstream::ConnectionProgress;
 use crate::limits::Permit;
 use crate::upstream::StreamedBody;
 
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -9,7 +9,6 @@
 mod request;
 pub mod request_body_stream;
 mod response;
-pub mod stream;
 mod streamed_body;
 
 use std::rc::Rc;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -16,8 +16,6 @@
 use crate::discovery::endpoint::Target;
 use crate::upstream::connection::{ConnectionSlot, UpstreamConnection};
 
-pub use crate::upstream::connection::MAX_BUFFERED_BYTES as BUFFER;
-
 /// The part of the upstreams' own idle timeout after which an idle connection is closed here, early enough that a
 /// request rarely meets the upstream's close on its way.
 const IDLE_TIMEOUT_PART: f64 = 0.7;
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -12,7 +12,7 @@
 use zincstand_policy::LoadReport;
 
 use super::*;
-use crate::downstream::framer::{ClientStream, ConnectionProgress};
+use crate::downstream::{ClientStream, ConnectionProgress};
 use crate::upstream::client_connection::ClientConnection;
 use crate::upstream::pool::ConnectError;
 use crate::upstream::response::parse_load_report;
