--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,7 @@
 //! `zincstand`: the command line of the balancer's team.
 
+#![forbid(unsafe_code)]
+
 mod model;
 mod scale;
 
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -3,6 +3,8 @@
 //! [`scenario::Scenario`] describes a run, [`play`] plays it with one [`policy::Kind`]. A scenario and a policy give
 //! the same result to the byte on every machine. `docs/model.md` says what is modelled and how far it holds.
 
+#![forbid(unsafe_code)]
+
 pub mod catalog;
 pub mod depth;
 pub mod experiment;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,6 +58,8 @@
 //! # Ok::<(), zincstand_policy::SettingsError>(())
 //! ```
 
+#![forbid(unsafe_code)]
+
 mod admission;
 mod balancer;
 mod circuit_breaker;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,6 +3,8 @@
 //! The simulator's adapter receives them in the `PowerOn` message, the proxy in its configuration file. Both
 //! deserialize a [`Setup`] and call [`Setup::to_policy_settings`].
 
+#![forbid(unsafe_code)]
+
 mod conversion;
 mod names;
 mod ring_position;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,6 +3,8 @@
 //! One process serves many balancers; they share nothing but the process. Exits at the end of the input, with
 //! status 0 if it lies between two batches.
 
+#![forbid(unsafe_code)]
+
 mod error;
 mod host;
 mod wire;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,7 @@
 //! Stand-ins on loopback sockets around real balancers, and what is measured with them.
 
+#![forbid(unsafe_code)]
+
 pub mod balancer;
 pub mod callers;
 pub mod discovery;
