--- a/crates/proxy/src/downstream/progress/tests.rs
+++ b/crates/proxy/src/downstream/progress/tests.rs
@@ -20,7 +20,7 @@
 fn silence_and_slowness_before_the_first_request_end_within_3_s_together() {
     with_progress(async |progress| {
         let start = Instant::now();
-        let silence = IDLE_TIME - Duration::from_millis(100);
+        let silence = IDLE_TIME.checked_sub(Duration::from_millis(100)).expect("longer than that");
         advance(silence).await;
         for stage in [RequestStage::Head, RequestStage::Body] {
             progress.enter(stage);
@@ -55,7 +55,7 @@
         // What the upstream does not take is not the client's silence.
         progress.want(false);
         progress.body_pace().record_empty();
-        advance(Duration::from_secs(60)).await;
+        advance(Duration::from_mins(1)).await;
         assert!(!late());
         progress.want(true);
         assert!(!late());
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -21,6 +21,7 @@
 impl<T: Transport<Request = UpstreamRequest, Response = UpstreamResponse>> UpstreamTransport for T {}
 
 /// What all clients together may use.
+#[derive(Clone, Copy)]
 pub struct ConnectionLimits {
     /// Connections.
     pub connections: usize,
--- a/crates/proxy/tests/departed.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,4 +1,4 @@
-//! Callers that leave while their request waits: for none of them is anything sent on afterwards.
+//! Clients that disconnect while their request waits: nothing is forwarded for them afterwards.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 /// What a caller has sent beside its request.
 #[derive(Clone, Copy, Debug)]
-enum Behind {
+enum TrailingInput {
     Nothing,
     AnotherRequest,
     /// More than is read ahead.
@@ -19,14 +19,19 @@
     Chunks,
 }
 
-const BEHINDS: [Behind; 4] = [Behind::Nothing, Behind::AnotherRequest, Behind::Much, Behind::Chunks];
+const TRAILING_INPUTS: [TrailingInput; 4] =
+    [TrailingInput::Nothing, TrailingInput::AnotherRequest, TrailingInput::Much, TrailingInput::Chunks];
 
-fn text(id: &str, behind: Behind) -> String {
-    match behind {
-        Behind::Nothing => request("look", id, ""),
-        Behind::AnotherRequest => request("look", id, "") + &request("look", &format!("{id}-next"), ""),
-        Behind::Much => request("look", id, "") + &request("look", &format!("{id}-next"), "").repeat(600),
-        Behind::Chunks => {
+fn text(id: &str, trailing: TrailingInput) -> String {
+    match trailing {
+        TrailingInput::Nothing => request("look", id, ""),
+        TrailingInput::AnotherRequest => {
+            request("look", id, "") + &request("look", &format!("{id}-next"), "")
+        }
+        TrailingInput::Much => {
+            request("look", id, "") + &request("look", &format!("{id}-next"), "").repeat(600)
+        }
+        TrailingInput::Chunks => {
             let head = format!("Host: b\r\nReq-Id: {id}\r\nReq-Kind: pay\r\nTransfer-Encoding: chunked");
             let next = request("look", &format!("{id}-next"), "");
             format!("POST /api HTTP/1.1\r\n{head}\r\n\r\n4\r\nbody\r\n0\r\n\r\n{next}")
@@ -34,29 +39,29 @@
     }
 }
 
-/// An upstream that holds its answers until told, and the ids that reached it.
+/// An upstream that holds its answers until released, and the ids that reached it.
 struct Holding {
-    gate: Arc<(Mutex<bool>, Condvar)>,
+    released: Arc<(Mutex<bool>, Condvar)>,
     seen: Arc<Mutex<Vec<String>>>,
 }
 
 impl Holding {
     fn on(upstream: Peer) -> Holding {
-        let gate = Arc::new((Mutex::new(false), Condvar::new()));
+        let released = Arc::new((Mutex::new(false), Condvar::new()));
         let seen = Arc::new(Mutex::new(Vec::new()));
-        let holding = Holding { gate: gate.clone(), seen: seen.clone() };
+        let holding = Holding { released: released.clone(), seen: seen.clone() };
         std::thread::spawn(move || {
             for stream in upstream.incoming() {
-                let (gate, seen) = (gate.clone(), seen.clone());
-                std::thread::spawn(move || hold(stream, &gate, &seen));
+                let (released, seen) = (released.clone(), seen.clone());
+                std::thread::spawn(move || hold(stream, &released, &seen));
             }
         });
         holding
     }
 
     fn release(&self) {
-        *self.gate.0.lock().expect("a lock") = true;
-        self.gate.1.notify_all();
+        *self.released.0.lock().expect("a lock") = true;
+        self.released.1.notify_all();
     }
 
     /// The ids that came, once there are so many at the least.
@@ -72,14 +77,14 @@
 }
 
 /// Notes each request by its head alone: one that will never be whole has been sent on too.
-fn hold(mut stream: TcpStream, gate: &(Mutex<bool>, Condvar), seen: &Mutex<Vec<String>>) {
+fn hold(mut stream: TcpStream, released: &(Mutex<bool>, Condvar), seen: &Mutex<Vec<String>>) {
     while let Some(mut message) = read_head(&mut stream) {
         seen.lock().expect("a lock").push(message.header("req-id").unwrap_or("none").to_owned());
         if read_body(&mut stream, &mut message).is_none() {
             return;
         }
-        let open = gate.0.lock().expect("a lock");
-        drop(gate.1.wait_while(open, |open| !*open).expect("a lock"));
+        let open = released.0.lock().expect("a lock");
+        drop(released.1.wait_while(open, |open| !*open).expect("a lock"));
         ok(&mut stream);
     }
 }
@@ -114,13 +119,15 @@
         barrier(&balancer);
         assert!(upstream.seen(1).len() < holders.len(), "nothing waits");
         let mut left = Vec::new();
-        for (how, behind) in LEAVINGS.into_iter().flat_map(|how| BEHINDS.map(|behind| (how, behind))) {
+        for (how, trailing) in
+            LEAVINGS.into_iter().flat_map(|how| TRAILING_INPUTS.map(|trailing| (how, trailing)))
+        {
             let mut client = balancer.connect();
             // Half of them on a connection that has carried a request before.
             if round % 2 == 0 {
                 exchange(&mut client, READY);
             }
-            ask(&mut client, &text(&format!("v-{how:?}-{behind:?}"), behind));
+            ask(&mut client, &text(&format!("v-{how:?}-{trailing:?}"), trailing));
             barrier(&balancer);
             left.push(leave(client, how));
         }
@@ -148,9 +155,9 @@
         upstream.seen(3);
         let mut left = Vec::new();
         for how in LEAVINGS {
-            for behind in BEHINDS {
+            for trailing in TRAILING_INPUTS {
                 let mut client = balancer.connect();
-                ask(&mut client, &text(&format!("v-{how:?}-{behind:?}"), behind));
+                ask(&mut client, &text(&format!("v-{how:?}-{trailing:?}"), trailing));
                 left.push(leave(client, how));
             }
         }
--- a/crates/proxy/tests/callers.rs
+++ b/crates/proxy/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Callers: bad input, readiness, and that one caller's trouble is no other's.
+//! Bad input, readiness, and that one client's fault is no other's.
 
 mod common;
 
@@ -50,8 +50,8 @@
     let requests = upstream.serve(|_, stream| ok(stream));
     for deadline in ["", "Req-Deadline-Ms: 99999999\r\n"] {
         assert_eq!(balancer.ask(&request("pay", "r-1", deadline)).status(), 200, "{deadline:?}");
-        let told = requests.recv_timeout(LONG).expect("an attempt");
-        let left: u64 = told.header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("a number");
+        let attempt = requests.recv_timeout(LONG).expect("an attempt");
+        let left: u64 = attempt.header("req-deadline-ms").and_then(|v| v.parse().ok()).expect("a number");
         assert!((10_000..=20_000).contains(&left), "{deadline:?}: {left}");
     }
     // No time at all is no reason for silence.
@@ -142,7 +142,7 @@
         assert_eq!(read(&mut client).expect("an answer").status(), 200);
         assert_eq!(requests.recv_timeout(LONG).expect("an attempt").header("req-id"), Some(id));
     }
-    // After chunks the connection is closed: where they end is told by the sender alone.
+    // After chunks the connection is closed: only the sender knows where they end.
     let chunked = "Host: b\r\nReq-Id: r-4\r\nReq-Kind: pay\r\nTransfer-Encoding: chunked";
     let text = format!("POST /api HTTP/1.1\r\n{chunked}\r\n\r\n2\r\nab\r\n0\r\n\r\n");
     let served = exchange(&mut client, &text);
@@ -179,14 +179,15 @@
 }
 
 #[test]
-fn a_caller_that_sends_far_too_much_gets_a_word_or_an_end() {
+fn a_client_that_sends_far_too_much_gets_an_answer_or_an_end() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
     let head =
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 60000000\r\n\r\n";
     client.write_all(head.as_bytes()).expect("it reads");
-    let (mut sent, chunk) = (0, [7; 65_536]);
+    let chunk = vec![7; 65_536];
+    let mut sent = 0;
     while sent < 60_000_000 && client.write_all(&chunk).is_ok() {
         sent += chunk.len();
     }
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn a_house_that_stays_full_says_so() {
+fn a_proxy_that_stays_full_says_so() {
     // 46 descriptors leave 3 for callers.
     let upstream = Peer::new();
     let balancer = Setup { sockets: 46, ..Setup::knowing(&[upstream.address]) }.start();
--- a/crates/proxy/tests/crowds.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Idle clients that fill every place and the listener's queue while discovery is down: they cost neither the watch
-//! its next connection, nor upstreams theirs, nor a caller its answer.
+//! Idle clients that take every permit and the listener's queue while discovery is down: they cost neither the watch
+//! its next connection, nor upstreams theirs, nor a client its answer.
 
 mod common;
 
@@ -18,14 +18,14 @@
 const IDLE: usize = 300;
 
 /// Clients that connect and say nothing; one whose connection is closed comes again at once.
-struct Crowd {
+struct IdleClients {
     ends: Arc<AtomicBool>,
     task: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
+impl IdleClients {
     /// So many of them, all connected.
-    fn new(address: SocketAddr, clients: usize) -> Crowd {
+    fn new(address: SocketAddr, clients: usize) -> IdleClients {
         let connect = move || {
             let stream = TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok()?;
             stream.set_nonblocking(true).ok().map(|()| stream)
@@ -44,11 +44,11 @@
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
-        Crowd { ends, task: Some(task) }
+        IdleClients { ends, task: Some(task) }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.ends.store(true, Ordering::Relaxed);
         if let Some(task) = self.task.take() {
@@ -58,7 +58,7 @@
 }
 
 /// Discovery: down, each connection is closed unanswered; up, it tells its list once to each watch.
-struct Agent {
+struct DiscoveryAgent {
     address: SocketAddr,
     list: Arc<Mutex<Option<String>>>,
     /// A connection that came while it was down.
@@ -67,8 +67,8 @@
     taken: Receiver<()>,
 }
 
-impl Agent {
-    fn down() -> Agent {
+impl DiscoveryAgent {
+    fn down() -> DiscoveryAgent {
         let peer = Peer::new();
         let (address, list) = (peer.address, Arc::new(Mutex::new(None)));
         let ((sender, refused), (took, taken)) = (channel(), channel());
@@ -91,7 +91,7 @@
                 });
             }
         });
-        Agent { address, list, refused, taken }
+        DiscoveryAgent { address, list, refused, taken }
     }
 
     fn back(&self, entries: &[String]) {
@@ -126,14 +126,14 @@
 /// Requests in a row, each on a connection of its own; all are served.
 fn ask(balancer: &Balancer, ids: std::ops::Range<u32>) {
     for id in ids {
-        let told = balancer.ask(&request("pay", &format!("r-{id}"), ""));
-        assert_eq!(told.status(), 200, "r-{id}: {}", String::from_utf8_lossy(&told.body));
+        let answered = balancer.ask(&request("pay", &format!("r-{id}"), ""));
+        assert_eq!(answered.status(), 200, "r-{id}: {}", String::from_utf8_lossy(&answered.body));
     }
 }
 
 /// Discovery tells so many processes that `old` drains and `new` serves: nothing new goes to `old` then. Few requests:
 /// from a hundred on, their time is known to parts of a millisecond, and a busy machine would break it.
-fn moved(balancer: &Balancer, agent: &Agent, processes: usize, [old, new]: [&Receiver<Message>; 2]) {
+fn moved(balancer: &Balancer, agent: &DiscoveryAgent, processes: usize, [old, new]: [&Receiver<Message>; 2]) {
     for _ in 0..processes {
         agent.taken.recv_timeout(LONG).expect("the list is taken");
     }
@@ -143,10 +143,10 @@
 }
 
 #[test]
-fn a_crowd_costs_neither_the_watch_nor_upstreams_nor_those_that_ask_and_news_is_acted_on() {
-    let (a, b, agent) = (Peer::new(), Peer::new(), Agent::down());
+fn idle_clients_cost_neither_the_watch_nor_upstreams_nor_other_clients_and_updates_apply() {
+    let (a, b, agent) = (Peer::new(), Peer::new(), DiscoveryAgent::down());
     let balancer = setup(a.address, agent.address).start();
-    let _crowd = Crowd::new(balancer.address, IDLE);
+    let _idle_clients = IdleClients::new(balancer.address, IDLE);
     agent.called(2);
     // Each needs a connection of its own to the upstream.
     for (client, stream) in &mut balancer.held(&a, 3) {
@@ -163,31 +163,31 @@
 }
 
 #[test]
-fn discovery_that_moves_under_a_crowd_is_found() {
-    let (a, b, down, up) = (Peer::new(), Peer::new(), Agent::down(), Agent::down());
+fn discovery_that_moves_is_found_despite_idle_clients() {
+    let (a, b, down, up) = (Peer::new(), Peer::new(), DiscoveryAgent::down(), DiscoveryAgent::down());
     up.back(&[entry("s-0", a.address, "DRAINING"), entry("s-1", b.address, "SERVING")]);
     let balancer = setup(a.address, down.address).start();
     let (to_a, to_b) = (a.serve(|_, stream| ok(stream)), b.serve(|_, stream| ok(stream)));
-    let _crowd = Crowd::new(balancer.address, IDLE);
+    let _idle_clients = IdleClients::new(balancer.address, IDLE);
     down.called(2);
     balancer.reload(&setup(nowhere(), up.address).config());
     moved(&balancer, &up, 1, [&to_a, &to_b]);
 }
 
 #[test]
-fn a_successor_under_a_crowd_shares_the_room_and_hears_the_news() {
-    let (a, b, agent) = (Peer::new(), Peer::new(), Agent::down());
+fn a_successor_shares_the_limits_and_the_watch_despite_idle_clients() {
+    let (a, b, agent) = (Peer::new(), Peer::new(), DiscoveryAgent::down());
     let entries = [entry("s-0", a.address, "DRAINING"), entry("s-1", b.address, "SERVING")];
     let a_address = a.address;
     let (to_a, to_b) = (a.serve(|_, stream| ok(stream)), b.serve(|_, stream| ok(stream)));
-    let folder = Folder::new("crowd");
+    let folder = Folder::new("idle-clients");
     let door = TcpListener::bind("127.0.0.1:0").expect("a port");
     let start = || {
         let (folder, door) = (Some(folder.0.clone()), Some(door.try_clone().expect("a descriptor")));
         Setup { folder, door, ..setup(a_address, agent.address) }.start()
     };
     let mut old = start();
-    let _crowd = Crowd::new(old.address, IDLE);
+    let _idle_clients = IdleClients::new(old.address, IDLE);
     agent.called(2);
     let new = start();
     old.logged("2 processes");
@@ -209,16 +209,16 @@
 }
 
 #[test]
-fn a_crowd_in_the_queue_does_not_cost_a_stop_its_answers() {
-    let (upstream, agent) = (Peer::new(), Agent::down());
+fn idle_clients_in_the_accept_queue_do_not_cost_a_stop_its_answers() {
+    let (upstream, agent) = (Peer::new(), DiscoveryAgent::down());
     let mut balancer = setup(upstream.address, agent.address).start();
     let _requests = upstream.serve(|_, stream| ok(stream));
-    let crowd = Crowd::new(balancer.address, IDLE);
+    let idle_clients = IdleClients::new(balancer.address, IDLE);
     agent.called(2);
     balancer.terminate();
     balancer.logged("told to stop");
     let order = Instant::now();
-    drop(crowd);
+    drop(idle_clients);
     let (mut idle, mut asking) = (Vec::new(), Vec::new());
     balancer.frozen(|| {
         idle.extend((0..IDLE).map(|_| balancer.connect()));
@@ -258,13 +258,13 @@
         std::thread::sleep(Duration::from_millis(150));
         let _new = start();
         old.logged("2 processes");
-        let told = Instant::now();
+        let resized = Instant::now();
         let open = |s: &TcpStream| {
             s.set_nonblocking(true).is_ok()
                 && s.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
         };
         let left = || kept.iter().filter(|s| open(s)).count();
-        while left() == 60 && told.elapsed() < Duration::from_secs(1) {}
+        while left() == 60 && resized.elapsed() < Duration::from_secs(1) {}
         let left = left();
         let in_time = since.elapsed() < Duration::from_millis(1900);
         assert!(!in_time || left >= 48, "{left} of 60 are left where there is room for 48");
--- a/crates/proxy/tests/life.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Start, planned stop and restart.
+//! Start, graceful shutdown and restart.
 
 mod common;
 
@@ -155,8 +155,8 @@
     half.write_all(b"GET /api HTTP/1.1\r\nHost:").expect("it reads");
     assert_eq!(balancer.ask(READY).status(), 200);
     balancer.terminate();
-    let told = read(&mut half).expect("a word");
-    assert_eq!((told.status(), closed(&mut half)), (408, true));
+    let answered = read(&mut half).expect("a word");
+    assert_eq!((answered.status(), closed(&mut half)), (408, true));
     assert!(balancer.child.wait().expect("it ends").success());
 }
 
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn those_that_wait_for_a_place_hear_of_the_stop() {
+fn connections_that_wait_for_a_permit_are_answered_at_the_stop() {
     // 46 descriptors leave 3 for callers, and all are taken for as long as the test wants.
     let upstream = Peer::new();
     let setup = Setup { sockets: 46, deadline_ms: 30_000, ..Setup::knowing(&[upstream.address]) };
@@ -291,14 +291,14 @@
         std::thread::sleep(Duration::from_millis(1400).saturating_sub(order.elapsed()));
     });
     for client in &mut waiting {
-        let told = read(client).expect("a word");
+        let answered = read(client).expect("a word");
         // At once, and not after the module has tried.
-        assert_eq!((told.status(), &told.body[..]), (503, &b"no place"[..]));
+        assert_eq!((answered.status(), &answered.body[..]), (503, &b"no place"[..]));
     }
     for (client, stream) in &mut held {
         ok(stream);
         assert_eq!(read(client).expect("an answer").status(), 200);
     }
     assert!(balancer.child.wait().expect("it ends").success());
-    assert!(upstream.quiet(), "one that was told to go was sent on");
+    assert!(upstream.quiet(), "one that was rejected was forwarded");
 }
