--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -51,3 +51,31 @@
         }
     }
 }
+
+/// All source files of the crates, in one text.
+fn sources(folder: &Path, text: &mut String) {
+    for entry in std::fs::read_dir(folder).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            sources(&path, text);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            text.push_str(&std::fs::read_to_string(&path).expect("a source file"));
+        }
+    }
+}
+
+#[test]
+fn every_test_that_the_page_of_crossings_names_exists() {
+    let page = std::fs::read_to_string(root().join("docs/crossings.md")).expect("the page");
+    let mut code = String::new();
+    sources(&root().join("crates"), &mut code);
+    let words = |text: &str| text.split('_').count();
+    let is_test = |text: &&str| {
+        let plain = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'_';
+        text.bytes().all(plain) && words(text) >= 4
+    };
+    let named: Vec<&str> = page.split('`').skip(1).step_by(2).filter(is_test).collect();
+    assert!(named.len() > 40, "the page names {} tests", named.len());
+    let missing: Vec<&&str> = named.iter().filter(|name| !code.contains(&format!("fn {name}("))).collect();
+    assert!(missing.is_empty(), "the page names tests that do not exist: {missing:?}");
+}
