--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,20 +1,82 @@
-//! What the platform tells a balancer: `EDGE_CONFIG` and the variables beside it.
+//! The configuration that the platform gives a balancer: the file that `EDGE_CONFIG` names, and the environment
+//! variables beside it.
 
+use std::io;
 use std::net::SocketAddr;
 
 use serde::Deserialize;
+use thiserror::Error;
 use zincstand_settings::Setup;
 
 use crate::discovery::EndpointList;
 
-/// Descriptors where the configuration names no limit.
-const SOCKETS: usize = 1024;
-/// Memory where it names none, in MB.
-const MEMORY: f64 = 192.0;
+/// Descriptors that the process may hold if the configuration sets no limit.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+/// Memory that the process may use if the configuration sets no limit, in MiB.
+const DEFAULT_MEMORY_MIB: f64 = 192.0;
+/// Bytes in one MiB.
+const BYTES_PER_MIB: f64 = (1 << 20) as f64;
 
-/// The configuration file; unknown keys are passed over.
+/// Why a configuration is rejected. Each message names the variable or the key, what was read and what to do.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// No configuration file is named.
+    #[error("EDGE_CONFIG is not set; set it to the path of the configuration file")]
+    NoFile,
+    /// The configuration file cannot be read.
+    #[error("EDGE_CONFIG must name a readable file, but {path:?} cannot be read")]
+    UnreadableFile {
+        /// The value of `EDGE_CONFIG`.
+        path: String,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The configuration file is not JSON, or a key is missing or has a value of the wrong type.
+    #[error("EDGE_CONFIG {path:?} is not a valid configuration; correct what follows")]
+    InvalidFile {
+        /// The value of `EDGE_CONFIG`.
+        path: String,
+        /// The key, or the line and column.
+        source: serde_json::Error,
+    },
+    /// An address is set neither by its variable nor in the file.
+    #[error(
+        "{variable} is not set; set it, or the key {key:?} in the configuration, to an address with a port"
+    )]
+    NoAddress {
+        /// The environment variable.
+        variable: &'static str,
+        /// The key in the configuration file.
+        key: &'static str,
+    },
+    /// An address cannot be parsed.
+    #[error("{variable}: {text:?} is no address with a port; use the form 127.0.0.1:8000 or [::1]:8000")]
+    InvalidAddress {
+        /// The environment variable of the address, also if the value is from the file.
+        variable: &'static str,
+        /// What was read.
+        text: String,
+    },
+    /// The configuration allows no descriptors.
+    #[error("limits.sockets is 0, so that no client could connect; set at least 1, or leave it out")]
+    NoDescriptors,
+    /// The configuration allows no memory.
+    #[error("limits.memory_mb is {megabytes}, so that no request could be held; set a number above 0")]
+    NoMemory {
+        /// What was read.
+        megabytes: f64,
+    },
+    /// The seed of the random numbers cannot be parsed.
+    #[error("seed: {text:?} is no hexadecimal number; use at most 16 hexadecimal digits")]
+    InvalidSeed {
+        /// What was read.
+        text: String,
+    },
+}
+
+/// The configuration file; unknown keys are ignored.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -22,85 +84,134 @@
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: Limits,
-    known: Option<EndpointList>,
-    settings: Setup,
+    limits: FileLimits,
+    #[serde(rename = "known")]
+    cached_list: Option<EndpointList>,
+    #[serde(rename = "settings")]
+    setup: Setup,
 }
 
+/// The limits on the process as the configuration file names them.
 #[derive(Default, Deserialize)]
-struct Limits {
+struct FileLimits {
     sockets: Option<usize>,
     memory_mb: Option<f64>,
 }
 
-/// All that a balancer is told at its start.
+impl FileLimits {
+    /// How many descriptors the process may hold.
+    fn descriptors(&self) -> Result<usize, ConfigError> {
+        match self.sockets {
+            Some(0) => Err(ConfigError::NoDescriptors),
+            sockets => Ok(sockets.unwrap_or(DEFAULT_DESCRIPTORS)),
+        }
+    }
+
+    /// How much memory the process may use, in bytes.
+    fn memory(&self) -> Result<usize, ConfigError> {
+        let megabytes = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MIB);
+        if megabytes.is_finite() && megabytes > 0.0 {
+            Ok((megabytes * BYTES_PER_MIB) as usize)
+        } else {
+            Err(ConfigError::NoMemory { megabytes })
+        }
+    }
+}
+
+/// The configuration of one balancer.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The balancer's name, the same after a restart; empty if it is not set.
     pub name: String,
-    /// Where callers connect.
-    pub listen: SocketAddr,
+    /// Where clients connect, unless the platform passes a listening socket.
+    pub listen_address: SocketAddr,
     /// Where discovery is.
-    pub discovery: SocketAddr,
-    /// Where operators call; nothing where they have no address.
-    pub management: Option<SocketAddr>,
-    /// For random numbers.
+    pub discovery_address: SocketAddr,
+    /// Where operators' calls are served; none if they are not.
+    pub admin_address: Option<SocketAddr>,
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
-    pub sockets: usize,
-    /// Memory that the process may use, in bytes.
-    pub memory: usize,
-    /// The list of upstreams as last held.
-    pub known: Option<EndpointList>,
-    /// The simulator's start message.
+    /// How many descriptors the process may hold.
+    pub max_descriptors: usize,
+    /// How much memory the process may use, in bytes.
+    pub max_memory: usize,
+    /// The endpoint list as it was last known, if there is one.
+    pub cached_list: Option<EndpointList>,
+    /// The settings of the policy, in the platform's form.
     pub setup: Setup,
 }
 
 impl Config {
-    /// Reads the file that `EDGE_CONFIG` names; a variable wins over the file. The error is one plain line.
-    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        Config::load(&variable, variable("EDGE_DISCOVERY"))
+    /// Reads the file that `EDGE_CONFIG` names. An environment variable takes precedence over the file; `variable`
+    /// returns the value of one.
+    ///
+    /// # Errors
+    /// The file cannot be read, or a value is missing or not valid.
+    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let discovery = variable("EDGE_DISCOVERY");
+        Config::load(&variable, discovery)
     }
 
-    /// Reads the file again. Discovery's address is the file's now: the variable is as old as the process.
-    pub fn read_again(variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
+    /// Reads the file again while the process runs. The address of discovery is now the file's: the variable is as
+    /// old as the process.
+    ///
+    /// # Errors
+    /// The file cannot be read, or a value is missing or not valid.
+    pub fn read_again(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         Config::load(&variable, None)
     }
 
-    fn load(variable: &impl Fn(&str) -> Option<String>, discovery: Option<String>) -> Result<Config, String> {
-        let path = variable("EDGE_CONFIG").ok_or("EDGE_CONFIG is not set")?;
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("EDGE_CONFIG {path}: {e}"))?;
-        let file: File = serde_json::from_str(&text).map_err(|e| format!("EDGE_CONFIG {path}: {e}"))?;
-        let parsed = |name: &str, text: String| {
-            text.parse().map_err(|_| format!("{name}: {text:?} is no address with a port"))
-        };
-        let address = |name: &str, text: Option<String>| {
-            parsed(name, text.ok_or_else(|| format!("{name} is not set"))?)
-        };
-        let limits = &file.limits;
-        let memory = limits.memory_mb.unwrap_or(MEMORY);
-        if limits.sockets == Some(0) {
-            return Err("limits.sockets is 0: nobody could connect".to_owned());
-        }
-        if !(memory.is_finite() && memory > 0.0) {
-            return Err(format!("limits.memory_mb is {memory}: no request could be held"));
-        }
-        let management = variable("EDGE_MANAGEMENT").or(file.management).filter(|text| !text.is_empty());
+    /// Reads the file; `discovery` takes precedence over its address of discovery.
+    fn load(
+        variable: &impl Fn(&str) -> Option<String>,
+        discovery: Option<String>,
+    ) -> Result<Config, ConfigError> {
+        let file = ConfigFile::read(variable("EDGE_CONFIG"))?;
+        let max_descriptors = file.limits.descriptors()?;
+        let max_memory = file.limits.memory()?;
+        let listen = variable("EDGE_LISTEN").or(file.listen);
+        let admin = variable("EDGE_MANAGEMENT").or(file.management).filter(|text| !text.is_empty());
         Ok(Config {
             name: variable("EDGE_NAME").or(file.name).unwrap_or_default(),
-            listen: address("EDGE_LISTEN", variable("EDGE_LISTEN").or(file.listen))?,
-            discovery: address("EDGE_DISCOVERY", discovery.or(file.discovery))?,
-            management: management.map(|text| parsed("EDGE_MANAGEMENT", text)).transpose()?,
-            seed: seed(&file.seed)?,
-            sockets: file.limits.sockets.unwrap_or(SOCKETS),
-            memory: (memory * f64::from(1 << 20)) as usize,
-            known: file.known,
-            setup: file.settings,
+            listen_address: required_address("EDGE_LISTEN", "listen", listen)?,
+            discovery_address: required_address("EDGE_DISCOVERY", "discovery", discovery.or(file.discovery))?,
+            admin_address: admin.map(|text| parse_address("EDGE_MANAGEMENT", text)).transpose()?,
+            seed: parse_seed(file.seed)?,
+            max_descriptors,
+            max_memory,
+            cached_list: file.cached_list,
+            setup: file.setup,
         })
     }
 }
 
-/// Hexadecimal; none is 0.
-fn seed(text: &str) -> Result<u64, String> {
-    let digits = if text.is_empty() { "0" } else { text };
-    u64::from_str_radix(digits, 16).map_err(|_| format!("seed: {text:?} is no hexadecimal number"))
+impl ConfigFile {
+    fn read(path: Option<String>) -> Result<ConfigFile, ConfigError> {
+        let path = path.ok_or(ConfigError::NoFile)?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::UnreadableFile { path, source }),
+        };
+        serde_json::from_str(&text).map_err(|source| ConfigError::InvalidFile { path, source })
+    }
+}
+
+fn required_address(
+    variable: &'static str,
+    key: &'static str,
+    text: Option<String>,
+) -> Result<SocketAddr, ConfigError> {
+    let text = text.ok_or(ConfigError::NoAddress { variable, key })?;
+    parse_address(variable, text)
+}
+
+fn parse_address(variable: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::InvalidAddress { variable, text })
+}
+
+/// Parses a hexadecimal seed; an empty one is 0.
+fn parse_seed(text: String) -> Result<u64, ConfigError> {
+    if text.is_empty() {
+        return Ok(0);
+    }
+    u64::from_str_radix(&text, 16).map_err(|_| ConfigError::InvalidSeed { text })
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,9 +6,12 @@
 pub mod discovery;
 pub mod dispatch;
 mod downstream;
+mod error_chain;
 pub mod lifecycle;
 mod limits;
 mod process;
 mod upstream;
 
-pub use process::start;
+pub use config::ConfigError;
+pub use error_chain::ErrorChain;
+pub use process::{StartError, start};
--- /dev/null
+++ b/crates/proxy/src/process/error.rs
@@ -0,0 +1,62 @@
+//! Why a process cannot start.
+
+use std::error::Error;
+use std::io;
+use std::net::SocketAddr;
+
+use thiserror::Error;
+use zincstand_policy as policy;
+use zincstand_settings::SettingsError;
+
+use crate::config::ConfigError;
+
+/// Why the process cannot start. The sources of an error are not part of its own text:
+/// [`ErrorChain`](crate::ErrorChain) displays both.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// `EDGE_FD` names no listening socket.
+    #[error(transparent)]
+    InheritedListener(Box<dyn Error + Send + Sync>),
+    /// The asynchronous runtime cannot be created.
+    #[error("the asynchronous runtime cannot be created")]
+    Runtime(#[source] io::Error),
+    /// The handler of a signal cannot be installed.
+    #[error("the handler of {signal} cannot be installed")]
+    Signal {
+        /// The name of the signal.
+        signal: &'static str,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The configuration is rejected.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The settings in the configuration are rejected.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The policy rejects the settings.
+    #[error(transparent)]
+    Policy(#[from] policy::SettingsError),
+    /// `TMPDIR` names no folder.
+    #[error(transparent)]
+    StateFolder(Box<dyn Error + Send + Sync>),
+    /// The process cannot make itself known to the other processes of this balancer.
+    #[error("TMPDIR: the process cannot lock a file there to make itself known to its siblings")]
+    ProcessPresence(#[source] io::Error),
+    /// The inherited listener cannot be used by the asynchronous runtime.
+    #[error("EDGE_FD: the listening socket cannot be used")]
+    UnusableListener(#[source] io::Error),
+    /// An address cannot be listened on.
+    #[error("{variable} {address}: cannot listen on this address")]
+    Listen {
+        /// The environment variable of the address.
+        variable: &'static str,
+        /// The address.
+        address: SocketAddr,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The address of a listener is unknown.
+    #[error("the address of the listening socket cannot be read")]
+    LocalAddress(#[source] io::Error),
+}
--- /dev/null
+++ b/crates/proxy/src/process/sibling_watch.rs
@@ -0,0 +1,104 @@
+//! The task that follows what other processes of this balancer do: how many of them there are, and which overrides
+//! operators have set there.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use crate::dispatch::Dispatcher;
+use crate::downstream::Server;
+use crate::lifecycle::Lifecycle;
+use crate::lifecycle::hot_restart::ProcessPresence;
+use crate::process::resource_limits::ResourceBudget;
+use crate::process::transport::SocketTransport;
+use crate::upstream::Upstreams;
+
+/// Time between two checks for other processes of this balancer and for the overrides set there.
+const SIBLING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// What the processes of this balancer share, as seen by this one.
+pub struct Siblings {
+    presence: Option<ProcessPresence>,
+    known_processes: usize,
+}
+
+impl Siblings {
+    /// The siblings of this process; without a presence it has none.
+    pub fn new(presence: Option<ProcessPresence>) -> Siblings {
+        let known_processes = count_processes(presence.as_ref());
+        Siblings { presence, known_processes }
+    }
+
+    /// How many processes of this balancer were running at the last check, this one included.
+    pub fn known_processes(&self) -> usize {
+        self.known_processes
+    }
+
+    /// Whether another process of this balancer was running at the last check.
+    pub fn sibling_running(&self) -> bool {
+        self.known_processes > 1
+    }
+
+    /// Counts the processes again. Returns whether the number has changed.
+    fn check(&mut self) -> bool {
+        let processes = count_processes(self.presence.as_ref());
+        std::mem::replace(&mut self.known_processes, processes) != processes
+    }
+}
+
+fn count_processes(presence: Option<&ProcessPresence>) -> usize {
+    1 + presence.map_or(0, ProcessPresence::others)
+}
+
+/// The parts of this process that follow its siblings.
+pub struct SiblingWatch {
+    /// The balancer's name, for the log.
+    pub name: Rc<str>,
+    /// The siblings.
+    pub siblings: Siblings,
+    /// What all processes share.
+    pub budget: ResourceBudget,
+    /// Follows the evacuation of clients.
+    pub lifecycle: Rc<Lifecycle>,
+    /// Follows the excluded upstreams.
+    pub dispatcher: Rc<Dispatcher<SocketTransport>>,
+    /// Holds this process's share of the upstream connections.
+    pub upstreams: Rc<Upstreams>,
+    /// Holds this process's share of the clients' connections and bodies.
+    pub server: Rc<Server<SocketTransport>>,
+}
+
+impl SiblingWatch {
+    /// Spawns the task.
+    pub fn spawn(self) {
+        spawn_local(self.run());
+    }
+
+    /// Never returns.
+    async fn run(mut self) {
+        loop {
+            sleep(SIBLING_CHECK_INTERVAL).await;
+            self.lifecycle.follow();
+            self.dispatcher.apply_overrides();
+            if self.siblings.check() {
+                self.divide_resources();
+            }
+        }
+    }
+
+    /// Takes this process's share of what the processes divide between them.
+    fn divide_resources(&self) {
+        let name = &self.name;
+        let processes = self.siblings.known_processes();
+        eprintln!(
+            "zincstand-proxy {name}: {processes} processes of this balancer are running and share its descriptors \
+             and memory"
+        );
+        let limits = self.budget.limits_of_one(processes);
+        self.upstreams.resize(limits.upstream_connections);
+        self.server.resize(&limits.client);
+        self.lifecycle.set_sibling_running(self.siblings.sibling_running());
+    }
+}
