--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -132,11 +132,11 @@
             AdminCall::Exclude(name) => known(self.engine.exclude(name)?, "out", name),
             AdminCall::Include(name) => known(self.engine.include(name)?, "in use", name),
             AdminCall::Evacuate => {
-                self.life.evacuate(true)?;
+                self.life.set_evacuated(true)?;
                 (StatusCode::OK, "clients are sent away".to_owned())
             }
             AdminCall::Rejoin => {
-                self.life.evacuate(false)?;
+                self.life.set_evacuated(false)?;
                 (StatusCode::OK, "clients are taken".to_owned())
             }
         })
--- a/crates/proxy/src/dispatch/saved_state.rs
+++ b/crates/proxy/src/dispatch/saved_state.rs
@@ -2,9 +2,9 @@
 
 use zincstand_policy::Micros;
 
-use crate::dispatch::SavedState;
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::dispatch::transport::Transport;
+use crate::lifecycle::hot_restart::SavedState;
 
 /// Saved state older than this is not restored; the policy learns anew.
 pub(super) const MAX_SAVED_AGE: Micros = 5_000_000;
--- a/crates/proxy/src/dispatch/tests.rs
+++ b/crates/proxy/src/dispatch/tests.rs
@@ -8,7 +8,9 @@
 use super::timers::{MIN_PRUNE_LENGTH, TimerKind};
 use super::*;
 use crate::discovery::endpoint::{Endpoint, Target};
-use zincstand_policy::{ListKind, Micros, Outcome};
+use crate::lifecycle::hot_restart::SavedState;
+use zincstand_policy as policy;
+use zincstand_policy::{ListKind, Micros, Outcome, ServerId};
 use zincstand_settings::Names;
 
 use tokio::task::{LocalSet, spawn_local};
--- /dev/null
+++ b/crates/proxy/src/lifecycle/hot_restart/mod.rs
@@ -0,0 +1,13 @@
+//! The replacement of the process while the balancer serves: the listener that the platform holds, the presence of the
+//! other processes of this balancer, and the state that one process saves for the next.
+
+mod inherited_listener;
+mod process_presence;
+mod saved_state;
+
+pub use inherited_listener::{InheritedListenerError, inherit_listener};
+pub use process_presence::{ProcessPresence, ProcessPresenceError};
+pub use saved_state::SavedState;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/proxy/src/lifecycle/overrides/mod.rs
@@ -0,0 +1,12 @@
+//! What operators have overridden by hand. The overrides hold for every process of this balancer and outlive each of
+//! them, so they are kept in one file that all processes read.
+
+mod file_version;
+mod operator_overrides;
+mod override_store;
+
+pub use operator_overrides::OperatorOverrides;
+pub use override_store::OverrideStore;
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/lifecycle/overrides/tests.rs
+++ b/crates/proxy/src/lifecycle/overrides/tests.rs
@@ -1,19 +1,24 @@
+use std::fs;
+use std::path::Path;
+
+use super::override_store::OVERRIDES_FILE;
 use super::*;
 
-/// A folder of the test's own.
-fn with(name: &str, test: impl FnOnce(&Path)) {
-    let folder = std::env::temp_dir().join(format!("zincstand-orders-{}-{name}", std::process::id()));
+/// Runs `test` with a folder of its own.
+fn with_folder(name: &str, test: impl FnOnce(&Path)) {
+    let folder = std::env::temp_dir().join(format!("zincstand-overrides-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     test(&folder);
     fs::remove_dir_all(&folder).expect("a folder");
 }
 
 #[test]
-fn what_one_process_is_told_the_other_sees_and_a_later_one_finds() {
-    with("shared", |folder| {
-        let (one, other) = (OverrideStore::open(Some(folder)), OverrideStore::open(Some(folder)));
-        one.change(|o| o.exclude("s-1")).expect("it is written");
-        other.change(|o| o.exclude("s-2")).expect("it is written");
+fn overrides_are_shared_by_running_processes_and_found_by_later_ones() {
+    with_folder("shared", |folder| {
+        let one = OverrideStore::open(Some(folder));
+        let other = OverrideStore::open(Some(folder));
+        one.change(|overrides| overrides.exclude("s-1")).expect("the file is written");
+        other.change(|overrides| overrides.exclude("s-2")).expect("the file is written");
         let before = one.version();
         one.refresh();
         one.refresh();
@@ -25,28 +30,29 @@
 }
 
 #[test]
-fn orders_are_a_set_and_a_return_is_a_start() {
-    let mut orders = OperatorOverrides::default();
-    orders.include("s-1", 5);
-    assert_eq!(orders, OperatorOverrides::default(), "it was never out");
-    orders.exclude("s-1");
-    orders.exclude("s-1");
-    orders.include("s-1", 7);
-    orders.include("s-1", 9);
-    assert_eq!((orders.excluded.len(), orders.included_at["s-1"]), (0, 7));
+fn exclusions_are_a_set_and_an_inclusion_counts_as_a_start() {
+    let mut overrides = OperatorOverrides::default();
+    overrides.include("s-1", 5);
+    assert_eq!(overrides, OperatorOverrides::default(), "it was never excluded");
+    overrides.exclude("s-1");
+    overrides.exclude("s-1");
+    overrides.include("s-1", 7);
+    overrides.include("s-1", 9);
+    assert_eq!(overrides.excluded.len(), 0);
+    assert_eq!(overrides.included_at["s-1"], 7);
 }
 
 #[test]
-fn a_file_that_is_cut_short_changes_nothing() {
-    with("short", |folder| {
+fn a_truncated_file_changes_nothing() {
+    with_folder("short", |folder| {
         let store = OverrideStore::open(Some(folder));
-        store.change(|o| o.exclude("s-1")).expect("it is written");
-        fs::write(folder.join(FILE), b"{\"out\":[\"s-").expect("a file");
+        store.change(|overrides| overrides.exclude("s-1")).expect("the file is written");
+        fs::write(folder.join(OVERRIDES_FILE), b"{\"out\":[\"s-").expect("a file");
         store.refresh();
         assert!(store.current().excluded.contains("s-1"));
         assert_eq!(*OverrideStore::open(Some(folder)).current(), OperatorOverrides::default());
-        // The next change makes it whole again.
-        store.change(|o| o.exclude("s-2")).expect("it is written");
+        // The next change replaces it by a complete one.
+        store.change(|overrides| overrides.exclude("s-2")).expect("the file is written");
         assert_eq!(OverrideStore::open(Some(folder)).current().excluded.len(), 2);
     });
 }
--- /dev/null
+++ b/crates/proxy/src/lifecycle/state_folder.rs
@@ -0,0 +1,34 @@
+//! The folder for what outlives a process: `TMPDIR`.
+
+use std::fs;
+use std::io::{self, ErrorKind};
+use std::path::{Path, PathBuf};
+
+/// `TMPDIR` names no folder that this process can use.
+#[derive(Debug, thiserror::Error)]
+#[error("TMPDIR {}: {source}; name a folder that this process may write to, or none", path.display())]
+pub struct StateFolderError {
+    path: PathBuf,
+    source: io::Error,
+}
+
+/// The folder that `TMPDIR` names, read through `variable`; `None` if it is not set or empty.
+///
+/// # Errors
+/// `TMPDIR` names something that does not exist, cannot be read or is no folder.
+pub fn from_environment(
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Option<PathBuf>, StateFolderError> {
+    let Some(path) = variable("TMPDIR").filter(|path| !path.is_empty()) else {
+        return Ok(None);
+    };
+    let path = PathBuf::from(path);
+    match check_is_folder(&path) {
+        Ok(()) => Ok(Some(path)),
+        Err(source) => Err(StateFolderError { path, source }),
+    }
+}
+
+fn check_is_folder(path: &Path) -> io::Result<()> {
+    if fs::metadata(path)?.is_dir() { Ok(()) } else { Err(io::Error::from(ErrorKind::NotADirectory)) }
+}
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -19,8 +19,9 @@
 use crate::dispatch::{AttemptCompletion, Dispatcher, HealthCheckResult, Transport};
 use crate::downstream::{ConnectionLimits, Listener, Server};
 use crate::lifecycle::Lifecycle;
-use crate::lifecycle::hot_restart::{self, ProcessPresence};
-use crate::lifecycle::overrides::{self, OverrideStore};
+use crate::lifecycle::hot_restart::{ProcessPresence, SavedState, inherit_listener};
+use crate::lifecycle::overrides::OverrideStore;
+use crate::lifecycle::state_folder;
 use crate::upstream::{Attempt, UpstreamRequest, UpstreamResponse, Upstreams};
 
 /// Descriptors for the runtime, the signals, the listeners, discovery, the locks, operators' calls and standard
@@ -42,7 +43,8 @@
 pub fn start() -> Result<(), String> {
     // Before anything else is opened, which could get its number.
     let inherited = variable("EDGE_FD").filter(|text| !text.is_empty());
-    let inherited = inherited.map(|text| hot_restart::listener(&text)).transpose()?;
+    let inherited = inherited.map(|text| inherit_listener(&text)).transpose();
+    let inherited = inherited.map_err(|error| error.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run(inherited))
@@ -151,7 +153,9 @@
     let settings = config.setup.to_policy_settings(&mut zones).map_err(|error| error.to_string())?;
 
     let shared = inherited.is_some();
-    let folder = if shared || config.management.is_some() { overrides::folder(variable)? } else { None };
+    let needs_folder = shared || config.management.is_some();
+    let folder = if needs_folder { state_folder::from_environment(variable) } else { Ok(None) };
+    let folder = folder.map_err(|error| error.to_string())?;
     let store = Rc::new(OverrideStore::open(folder.as_deref()));
     let presence = folder.as_deref().filter(|_| shared).map(ProcessPresence::enter).transpose();
     let presence = presence.map_err(|e| format!("TMPDIR: {e}"))?;
@@ -181,7 +185,7 @@
         None => engine.start_without_list(),
     }
     let heir = folder.clone().filter(|_| shared);
-    if let Some(legacy) = heir.as_deref().and_then(hot_restart::load) {
+    if let Some(legacy) = heir.as_deref().and_then(SavedState::load) {
         engine.restore(legacy);
     }
     // Real discovery pushes nothing: what the module is to hear unasked is asked for here.
@@ -220,7 +224,7 @@
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
-            life.stop();
+            life.request_shutdown();
         }
     });
     if let Some(folder) = heir {
@@ -228,7 +232,7 @@
         spawn_local(async move {
             // Once told to stop, its successor knows better.
             while life.accepts_connections() {
-                if let Err(e) = hot_restart::save(&folder, &engine.saved_state()) {
+                if let Err(e) = engine.saved_state().save(&folder) {
                     eprintln!("handover: what was learned is not kept: {e}");
                 }
                 sleep(BEQUEATH).await;
@@ -242,7 +246,7 @@
         spawn_local(async move {
             loop {
                 sleep(LOOK).await;
-                life.follow();
+                life.apply_overrides();
                 engine.apply_overrides();
                 let now = processes();
                 if now != known_processes {
