--- /dev/null
+++ b/crates/proxy/src/admin/server.rs
@@ -0,0 +1,143 @@
+//! Accepts operators' connections, and executes the one call that each of them carries.
+
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::convert::Infallible;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use http_body_util::{BodyExt, Limited};
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{AbortHandle, spawn_local};
+use tokio::time::{sleep, timeout};
+
+use crate::admin::call::{AdminCall, RequestError};
+use crate::admin::response::{self, CallResult, TextResponse};
+use crate::dispatch::{Dispatcher, Transport};
+use crate::lifecycle::Lifecycle;
+
+/// Most connections at once. One more closes the oldest, so that idle connections delay no call.
+const MAX_CONNECTIONS: usize = 12;
+/// Time limit of a connection, from its start until the answer was read.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
+/// Largest head of a request, in bytes; the least that the HTTP library takes.
+const MAX_HEAD_SIZE: usize = 8192;
+/// Largest body of a request, in bytes. No call has one, but clients may send one with a POST.
+const MAX_BODY_SIZE: usize = 4096;
+/// Pause after a connection could not be accepted, which fails again at once while descriptors are short.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+
+/// Serves operators' calls.
+pub struct AdminServer<T: Transport> {
+    dispatcher: Rc<Dispatcher<T>>,
+    lifecycle: Rc<Lifecycle>,
+    /// The tasks of open connections, the oldest first.
+    connections: RefCell<VecDeque<AbortHandle>>,
+}
+
+impl<T: Transport> AdminServer<T> {
+    /// A server without connections.
+    pub fn new(dispatcher: Rc<Dispatcher<T>>, lifecycle: Rc<Lifecycle>) -> Rc<Self> {
+        Rc::new(AdminServer { dispatcher, lifecycle, connections: RefCell::default() })
+    }
+
+    /// Accepts connections and answers their calls; never returns.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener) {
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => self.start_connection(stream),
+                Err(_) => sleep(ACCEPT_RETRY_PAUSE).await,
+            }
+        }
+    }
+
+    fn start_connection(self: &Rc<Self>, stream: TcpStream) {
+        // Without it the answer is merely later.
+        let _ = stream.set_nodelay(true);
+        let task = spawn_local(self.clone().serve_connection(stream));
+        let mut connections = self.connections.borrow_mut();
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= MAX_CONNECTIONS
+            && let Some(oldest) = connections.pop_front()
+        {
+            oldest.abort();
+        }
+        connections.push_back(task.abort_handle());
+    }
+
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        let service = service_fn(move |request| {
+            let server = self.clone();
+            async move { Ok::<TextResponse, Infallible>(server.answer(request).await) }
+        });
+        let mut builder = http1::Builder::new();
+        builder.keep_alive(false).max_buf_size(MAX_HEAD_SIZE);
+        let connection = builder.serve_connection(TokioIo::new(stream), service);
+        // Whatever ends the connection, nobody is left to be told.
+        let _ = timeout(CONNECTION_TIMEOUT, connection).await;
+    }
+
+    async fn answer(&self, request: Request<Incoming>) -> TextResponse {
+        let call = AdminCall::parse(request.method(), request.uri());
+        // The body is read first: closing a connection with unread bytes resets it and discards the answer.
+        let body = Limited::new(request.into_body(), MAX_BODY_SIZE).collect().await;
+        if body.is_err() {
+            return response::request_error(&RequestError::UnreadableBody);
+        }
+        let call = match call {
+            Ok(call) => call,
+            Err(error) => return response::request_error(&error),
+        };
+        match self.execute(call) {
+            Ok(result) => result.into_response(),
+            Err(error) => {
+                eprintln!("admin: operator override not saved: {error}");
+                response::not_saved(&error)
+            }
+        }
+    }
+
+    /// Executes a call. What it asks for is in force when this returns.
+    fn execute(&self, call: AdminCall) -> io::Result<CallResult> {
+        match call {
+            AdminCall::Ready if self.is_ready() => Ok(CallResult::Ready),
+            AdminCall::Ready => Ok(CallResult::NotReady),
+            AdminCall::Exclude(upstream) => self.exclude(upstream),
+            AdminCall::Include(upstream) => self.include(upstream),
+            AdminCall::Evacuate => {
+                self.lifecycle.set_evacuated(true)?;
+                Ok(CallResult::Evacuated)
+            }
+            AdminCall::Rejoin => {
+                self.lifecycle.set_evacuated(false)?;
+                Ok(CallResult::Rejoined)
+            }
+        }
+    }
+
+    fn is_ready(&self) -> bool {
+        self.lifecycle.accepts_connections() && self.lifecycle.may_serve(self.dispatcher.has_endpoint_list())
+    }
+
+    fn exclude(&self, upstream: String) -> io::Result<CallResult> {
+        if !self.dispatcher.exclude(&upstream)? {
+            return Ok(CallResult::UnknownUpstream { upstream });
+        }
+        eprintln!("admin: upstream {upstream} excluded by operator");
+        Ok(CallResult::Excluded { upstream })
+    }
+
+    fn include(&self, upstream: String) -> io::Result<CallResult> {
+        if !self.dispatcher.include(&upstream)? {
+            return Ok(CallResult::UnknownUpstream { upstream });
+        }
+        eprintln!("admin: upstream {upstream} included by operator");
+        Ok(CallResult::Included { upstream })
+    }
+}
--- a/crates/proxy/src/admin/tests.rs
+++ b/crates/proxy/src/admin/tests.rs
@@ -1,17 +1,21 @@
-use super::*;
+use hyper::Method;
 
-fn asked(method: &str, path: &str) -> Result<AdminCall, u16> {
+use super::call::{AdminCall, MAX_NAME_LENGTH};
+
+/// The call that a request names, or the status of its rejection.
+fn parse(method: &str, path: &str) -> Result<AdminCall, u16> {
     let method = Method::from_bytes(method.as_bytes()).expect("a method");
-    order(&method, &path.parse().expect("a path")).map_err(|(status, ..)| status.as_u16())
+    let uri = path.parse().expect("a path");
+    AdminCall::parse(&method, &uri).map_err(|error| error.status().as_u16())
 }
 
 #[test]
-fn only_the_calls_of_the_page_are_orders() {
-    assert_eq!(asked("GET", "/api/ready"), Ok(AdminCall::Ready));
-    assert_eq!(asked("POST", "/api/evacuate"), Ok(AdminCall::Evacuate));
-    assert_eq!(asked("POST", "/api/rejoin"), Ok(AdminCall::Rejoin));
-    assert_eq!(asked("POST", "/api/exclude/s-5be2a07c"), Ok(AdminCall::Exclude("s-5be2a07c".to_owned())));
-    assert_eq!(asked("POST", "/api/include/10.0.0.1%3a80"), Ok(AdminCall::Include("10.0.0.1:80".to_owned())));
+fn only_the_documented_calls_are_accepted() {
+    assert_eq!(parse("GET", "/api/ready"), Ok(AdminCall::Ready));
+    assert_eq!(parse("POST", "/api/evacuate"), Ok(AdminCall::Evacuate));
+    assert_eq!(parse("POST", "/api/rejoin"), Ok(AdminCall::Rejoin));
+    assert_eq!(parse("POST", "/api/exclude/s-5be2a07c"), Ok(AdminCall::Exclude("s-5be2a07c".to_owned())));
+    assert_eq!(parse("POST", "/api/include/10.0.0.1%3a80"), Ok(AdminCall::Include("10.0.0.1:80".to_owned())));
     for (method, path, status) in [
         ("POST", "/api/ready", 405),
         ("HEAD", "/api/ready", 405),
@@ -34,7 +38,7 @@
         ("POST", "/api/exclude/s-1?now", 400),
         ("POST", "/api/rejoin?", 400),
     ] {
-        assert_eq!(asked(method, path), Err(status), "{method} {path}");
+        assert_eq!(parse(method, path), Err(status), "{method} {path}");
     }
-    assert_eq!(asked("POST", &format!("/api/exclude/{}", "s".repeat(MOST_NAME + 1))), Err(400));
+    assert_eq!(parse("POST", &format!("/api/exclude/{}", "s".repeat(MAX_NAME_LENGTH + 1))), Err(400));
 }
--- a/crates/proxy/src/lifecycle/hot_restart/inherited_listener.rs
+++ b/crates/proxy/src/lifecycle/hot_restart/inherited_listener.rs
@@ -43,10 +43,10 @@
     #[allow(unsafe_code)]
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     let not_a_socket = |source| InheritedListenerError::NotASocket { value: value.to_owned(), source };
-    if !is_tcp_listener(&borrowed).map_err(not_a_socket)? {
+    if !is_tcp_listener(borrowed).map_err(not_a_socket)? {
         return Err(InheritedListenerError::NotListening { value: value.to_owned() });
     }
-    prepare(&borrowed).map_err(not_a_socket)?;
+    prepare(borrowed).map_err(not_a_socket)?;
     // SAFETY: it is open, as the calls above have shown, and was handed to this process to own.
     #[allow(unsafe_code)]
     let owned = unsafe { OwnedFd::from_raw_fd(descriptor) };
@@ -60,8 +60,8 @@
         .ok_or_else(|| InheritedListenerError::NotADescriptor { value: value.to_owned() })
 }
 
-fn is_tcp_listener(descriptor: &BorrowedFd<'_>) -> io::Result<bool> {
-    let socket = SockRef::from(descriptor);
+fn is_tcp_listener(descriptor: BorrowedFd<'_>) -> io::Result<bool> {
+    let socket = SockRef::from(&descriptor);
     if socket.r#type()? != Type::STREAM {
         return Ok(false);
     }
@@ -73,8 +73,8 @@
 
 /// Makes the socket fit for this process. All processes of the balancer share it, so it is only ever closed here and
 /// never shut down, and no child inherits it by accident.
-fn prepare(descriptor: &BorrowedFd<'_>) -> io::Result<()> {
-    let socket = SockRef::from(descriptor);
+fn prepare(descriptor: BorrowedFd<'_>) -> io::Result<()> {
+    let socket = SockRef::from(&descriptor);
     socket.set_cloexec(true)?;
     socket.set_nonblocking(true)
 }
--- a/crates/proxy/tests/ready.rs
+++ b/crates/proxy/tests/ready.rs
@@ -84,7 +84,7 @@
     };
     let started: Vec<_> = (0..TOGETHER).map(one).collect();
     // All are joined before any trouble is told: each process is ended with what its thread returns.
-    let measured: Vec<_> = started.into_iter().map(|thread| thread.join()).collect();
+    let measured: Vec<_> = started.into_iter().map(std::thread::JoinHandle::join).collect();
     let measured: Vec<_> = measured.into_iter().map(|measured| measured.expect("it was measured")).collect();
     let mut took: Vec<_> = measured.iter().map(|(_, took)| *took).collect();
     took.sort_by_key(|took| took.unwrap_or(Duration::MAX));
