--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -9,51 +9,54 @@
 
 use common::*;
 
-const DESK: Option<&str> = Some("127.0.0.1:0");
+/// The second address, on a free port.
+const ADMIN_ADDRESS: Option<&str> = Some("127.0.0.1:0");
 
-/// An upstream that answers at once and tells what it got.
+/// An upstream that responds at once and reports the requests that it received.
 fn upstream() -> (SocketAddr, Receiver<Message>) {
     let peer = Peer::new();
     (peer.address, peer.serve(|_, stream| ok(stream)))
 }
 
 fn managed(upstreams: &[SocketAddr]) -> Setup {
-    Setup { management: DESK, ..Setup::knowing(upstreams) }
+    Setup { management: ADMIN_ADDRESS, ..Setup::knowing(upstreams) }
 }
 
-/// Requests in a row, each on a connection of its own.
-fn ask(balancer: &Balancer, ids: std::ops::Range<u32>) {
+/// Sends requests one after the other, each on a connection of its own; all must be served.
+fn send_requests(balancer: &Balancer, ids: std::ops::Range<u32>) {
     for id in ids {
         assert_eq!(balancer.ask(&request("pay", &format!("r-{id}"), "")).status(), 200);
     }
 }
 
 #[test]
-fn an_upstream_taken_out_gets_nothing_until_it_is_put_back() {
-    let ((a, to_a), (b, to_b)) = (upstream(), upstream());
+fn an_excluded_upstream_receives_nothing_until_it_is_included_again() {
+    let (first, to_first) = upstream();
+    let (second, to_second) = upstream();
     let folder = Folder::new("out");
-    let balancer = Setup { folder: Some(folder.0.clone()), ..managed(&[a, b]) }.start();
-    ask(&balancer, 0..20);
-    assert!(to_a.try_iter().count() > 0 && to_b.try_iter().count() > 0);
-    // Twice out needs one call back.
+    let balancer = Setup { folder: Some(folder.0.clone()), ..managed(&[first, second]) }.start();
+    send_requests(&balancer, 0..20);
+    assert!(to_first.try_iter().count() > 0);
+    assert!(to_second.try_iter().count() > 0);
+    // One inclusion ends any number of exclusions.
     assert_eq!(balancer.call("POST", "/api/exclude/s-0"), 200);
     assert_eq!(balancer.call("POST", "/api/exclude/s-0"), 200);
-    ask(&balancer, 20..40);
-    assert_eq!((to_a.try_iter().count(), to_b.try_iter().count()), (0, 20));
-    // With all out, what comes is refused at once.
+    send_requests(&balancer, 20..40);
+    assert_eq!((to_first.try_iter().count(), to_second.try_iter().count()), (0, 20));
+    // With every upstream excluded, requests are rejected at once.
     assert_eq!(balancer.call("POST", "/api/exclude/s-1"), 200);
     let start = Instant::now();
     assert_eq!(balancer.ask(&request("pay", "r-40", "")).status(), 503);
-    assert!(start.elapsed() < Duration::from_secs(5), "held for its 20 s");
+    assert!(start.elapsed() < Duration::from_secs(5), "queued for its 20 s");
     assert_eq!(balancer.call("POST", "/api/include/s-0"), 200);
-    ask(&balancer, 41..45);
-    assert_eq!((to_a.try_iter().count(), to_b.try_iter().count()), (4, 0));
+    send_requests(&balancer, 41..45);
+    assert_eq!((to_first.try_iter().count(), to_second.try_iter().count()), (4, 0));
 }
 
 #[test]
-fn what_is_no_call_changes_nothing() {
-    let (a, to_a) = upstream();
-    let balancer = managed(&[a]).start();
+fn invalid_calls_change_nothing() {
+    let (address, received) = upstream();
+    let balancer = managed(&[address]).start();
     for (method, path, status) in [
         ("GET", "/api/exclude/s-0", 405),
         ("POST", "/api/exclude/", 400),
@@ -63,7 +66,7 @@
         ("POST", "/api/drain", 404),
         ("POST", "/api/ready", 405),
         ("GET", "/api/ready", 200),
-        // Put back without having been out: no news, and it is not cold.
+        // Included without having been excluded: nothing changes, and it does not warm up anew.
         ("POST", "/api/include/s-0", 200),
     ] {
         assert_eq!(balancer.call(method, path), status, "{method} {path}");
@@ -76,33 +79,34 @@
         "x".repeat(8000)
     );
     assert_eq!(exchange(&mut stream, &long).status(), 413);
-    ask(&balancer, 0..3);
-    assert_eq!(to_a.try_iter().count(), 3);
+    send_requests(&balancer, 0..3);
+    assert_eq!(received.try_iter().count(), 3);
 }
 
 #[test]
-fn callers_that_finish_no_call_delay_none() {
+fn unfinished_calls_delay_no_other_call() {
     let balancer = managed(&[nowhere()]).start();
     let mut unfinished: Vec<_> = (0..40).map(|_| balancer.desk()).collect();
-    for (n, stream) in unfinished.iter_mut().enumerate() {
+    for (number, stream) in unfinished.iter_mut().enumerate() {
         // Some of them may have been closed already.
-        let _ = stream.write_all(&b"POST /api/evacuate HTTP/1.1\r\nHost"[..n % 30]);
+        let _ = stream.write_all(&b"POST /api/evacuate HTTP/1.1\r\nHost"[..number % 30]);
     }
     let start = Instant::now();
     assert_eq!(balancer.call("GET", "/api/ready"), 200);
-    assert!(start.elapsed() < Duration::from_secs(3), "after the others' time");
+    assert!(start.elapsed() < Duration::from_secs(3), "it waited for the unfinished calls");
     assert_eq!(balancer.ask(READY).status(), 200);
 }
 
 #[test]
-fn clients_are_sent_away_and_taken_again() {
-    let (a, _requests) = upstream();
-    let balancer = managed(&[a]).start();
-    let (mut used, mut idle) = (balancer.connect(), balancer.connect());
+fn an_evacuated_balancer_closes_connections_until_it_rejoins() {
+    let (address, _requests) = upstream();
+    let balancer = managed(&[address]).start();
+    let mut used = balancer.connect();
+    let mut idle = balancer.connect();
     for stream in [&mut used, &mut idle] {
         assert_eq!(exchange(stream, READY).header("connection"), None);
     }
-    // The end of a drain that never began is no error; two begin one.
+    // Ending an evacuation that never began is no error; two calls begin one evacuation.
     assert_eq!(balancer.call("POST", "/api/rejoin"), 200);
     assert_eq!(balancer.call("POST", "/api/evacuate"), 200);
     assert_eq!(balancer.call("POST", "/api/evacuate"), 200);
@@ -111,7 +115,7 @@
     let served = exchange(&mut used, &request("pay", "r-1", ""));
     assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
     assert!(closed(&mut used) && closed(&mut idle));
-    assert!(start.elapsed() < Duration::from_secs(10), "kept in spite of the drain");
+    assert!(start.elapsed() < Duration::from_secs(10), "kept open in spite of the evacuation");
     assert_eq!(balancer.call("GET", "/api/ready"), 200);
     assert_eq!(balancer.call("POST", "/api/rejoin"), 200);
     let mut again = balancer.connect();
@@ -121,7 +125,7 @@
 }
 
 #[test]
-fn the_end_comes_during_a_drain_too() {
+fn an_evacuated_balancer_shuts_down_too() {
     let mut balancer = managed(&[nowhere()]).start();
     assert_eq!(balancer.call("POST", "/api/evacuate"), 200);
     balancer.terminate();
@@ -129,16 +133,19 @@
 }
 
 #[test]
-fn a_process_is_replaced_without_its_clients_noticing() {
-    let ((a, to_a), (b, to_b), (c, to_c)) = (upstream(), upstream(), upstream());
+fn a_hot_restart_goes_unnoticed_by_clients() {
+    let (first, to_first) = upstream();
+    let (second, to_second) = upstream();
+    let (third, to_third) = upstream();
     let folder = Folder::new("replaced");
-    let door = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     let start = || {
-        let (folder, door) = (Some(folder.0.clone()), Some(door.try_clone().expect("a descriptor")));
-        Setup { folder, door, ..managed(&[a, b, c]) }.start()
+        let folder = Some(folder.0.clone());
+        let door = Some(socket.try_clone().expect("a descriptor"));
+        Setup { folder, door, ..managed(&[first, second, third]) }.start()
     };
     let mut old = start();
-    assert_eq!(old.address, door.local_addr().expect("an address"));
+    assert_eq!(old.address, socket.local_addr().expect("an address"));
     assert_eq!(old.call("POST", "/api/exclude/s-0"), 200);
     for round in 0..3 {
         // While there is one process, a connection is surely its own.
@@ -147,21 +154,21 @@
         let new = start();
         assert_eq!(new.call("GET", "/api/ready"), 200);
         old.logged("2 processes");
-        ask(&new, 20 * round..20 * round + 10);
-        to_c.try_iter().count();
-        // What one is told binds the other from the yes on.
+        send_requests(&new, 20 * round..20 * round + 10);
+        to_third.try_iter().for_each(drop);
+        // A call to one process holds for the other as soon as it is answered.
         assert_eq!(new.call("POST", "/api/exclude/s-2"), 200);
         for id in 20 * round + 10..20 * round + 20 {
             assert_eq!(exchange(&mut kept, &request("pay", &format!("r-{id}"), "")).status(), 200);
         }
-        assert_eq!((to_a.try_iter().count(), to_c.try_iter().count()), (0, 0));
-        assert!(to_b.try_iter().count() >= 10);
+        assert_eq!((to_first.try_iter().count(), to_third.try_iter().count()), (0, 0));
+        assert!(to_second.try_iter().count() >= 10);
         assert_eq!(new.call("POST", "/api/include/s-2"), 200);
 
         old.terminate();
         old.logged("told to stop");
         assert_eq!(old.call("GET", "/api/ready"), 503);
-        // Its connections are kept until their next answer, and the address is ready all the while.
+        // Its connections stay open until their next response, and the address is ready all the while.
         let ready = exchange(&mut kept, READY);
         assert_eq!((ready.status(), ready.header("connection")), (200, Some("close")));
         assert!(closed(&mut kept));
@@ -172,13 +179,15 @@
 }
 
 #[test]
-fn a_successor_that_dies_harms_nothing_and_a_reload_changes_no_order() {
-    let ((a, to_a), (b, _to_b)) = (upstream(), upstream());
+fn a_successor_that_dies_harms_nothing_and_a_reload_changes_no_override() {
+    let (first, to_first) = upstream();
+    let (second, _to_second) = upstream();
     let folder = Folder::new("died");
-    let door = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     let setup = || {
-        let (folder, door) = (Some(folder.0.clone()), Some(door.try_clone().expect("a descriptor")));
-        Setup { folder, door, ..managed(&[a, b]) }
+        let folder = Some(folder.0.clone());
+        let door = Some(socket.try_clone().expect("a descriptor"));
+        Setup { folder, door, ..managed(&[first, second]) }
     };
     let old = setup().start();
     assert_eq!(old.call("POST", "/api/exclude/s-0"), 200);
@@ -188,13 +197,13 @@
     old.logged("1 processes");
     old.reload(&setup().config());
     old.logged("configuration read again");
-    ask(&old, 0..10);
-    assert_eq!(to_a.try_iter().count(), 0);
+    send_requests(&old, 0..10);
+    assert_eq!(to_first.try_iter().count(), 0);
     assert_eq!(old.call("GET", "/api/ready"), 200);
 }
 
 #[test]
-fn a_descriptor_that_is_no_listener_is_one_plain_line() {
+fn an_invalid_descriptor_or_address_ends_the_start_with_one_line() {
     for (fd, why) in [("seven", "no descriptor"), ("99", "no open socket"), ("1", "no open socket")] {
         let ended = start_on(Some(&good_config()), &[("EDGE_FD", fd)]);
         let text = String::from_utf8_lossy(&ended.stderr);
--- a/crates/proxy/tests/ready.rs
+++ b/crates/proxy/tests/ready.rs
@@ -1,5 +1,5 @@
-//! How long processes that start together take until they are ready: nine in ten within 10 s, all within 30 s, be
-//! discovery up, down, silent or slow, with and without a known list.
+//! How long processes that start together take until they are ready: nine in ten within 10 s, all within 30 s, with
+//! discovery up, down, silent or slow, and with and without a cached list.
 //!
 //! In the release profile it starts a hundred at a time, and in either it prints what it measured:
 //! `cargo test --release -p zincstand-proxy --test ready -- --nocapture --test-threads 1`.
@@ -13,36 +13,36 @@
 
 use common::*;
 
-/// Processes that start together.
-const TOGETHER: usize = if cfg!(debug_assertions) { 20 } else { 100 };
-/// A look at readiness follows the one before so soon.
-const LOOK: Duration = Duration::from_millis(10);
+/// How many processes start together.
+const PROCESSES: usize = if cfg!(debug_assertions) { 20 } else { 100 };
+/// Pause between two polls of readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, Debug)]
-enum Agent {
+enum DiscoveryState {
     Up,
     Down,
-    /// It accepts and says nothing.
+    /// It accepts connections and never responds.
     Silent,
-    /// Its list comes after a second, in pieces.
+    /// Its list comes after a second, in small pieces.
     Slow,
 }
 
-impl Agent {
-    /// Its address; it names one upstream.
+impl DiscoveryState {
+    /// Starts discovery with one upstream in its list and returns its address.
     fn start(self) -> SocketAddr {
-        if matches!(self, Agent::Down) {
+        if matches!(self, DiscoveryState::Down) {
             return nowhere();
         }
         let peer = Peer::new();
         let address = peer.address;
         let text = list(42, true, &[entry("s-0", nowhere(), "SERVING")]);
         let _calls = peer.serve(move |call, stream| {
-            // A watch waits for news, which never comes.
-            if matches!(self, Agent::Silent) || call.first_line().contains("index=") {
+            // A watch waits for a change, which never comes.
+            if matches!(self, DiscoveryState::Silent) || call.first_line().contains("index=") {
                 return;
             }
-            if let Agent::Up = self {
+            if let DiscoveryState::Up = self {
                 return answer(stream, "200 OK", "", text.as_bytes());
             }
             std::thread::sleep(Duration::from_secs(1));
@@ -58,61 +58,68 @@
     }
 }
 
-/// A process, and how long it took from its start to its readiness; nothing if that is longer than it may.
-fn ready(agent: SocketAddr, known: bool, together: &Barrier) -> (Balancer, Option<Duration>) {
-    let known = if known { vec![entry("s-0", nowhere(), "SERVING")] } else { Vec::new() };
-    let mut setup = Setup { known, discovery: Some(agent), ..Setup::knowing(&[]) };
-    (setup.unasked, setup.drain_grace_ms) = (true, 2500);
-    together.wait();
+/// Starts a process and measures the time from its start to its readiness; `None` if it was not ready in time.
+fn start_and_measure(
+    discovery: SocketAddr,
+    has_cached_list: bool,
+    start_together: &Barrier,
+) -> (Balancer, Option<Duration>) {
+    let known = if has_cached_list { vec![entry("s-0", nowhere(), "SERVING")] } else { Vec::new() };
+    let mut setup = Setup { known, discovery: Some(discovery), ..Setup::knowing(&[]) };
+    setup.unasked = true;
+    setup.drain_grace_ms = 2500;
+    start_together.wait();
     let start = Instant::now();
     let balancer = setup.start();
-    let ready = || balancer.ask(READY).status() == 200;
-    let mut took = ready().then(|| start.elapsed());
+    let is_ready = || balancer.ask(READY).status() == 200;
+    let mut took = is_ready().then(|| start.elapsed());
     while took.is_none() && start.elapsed() < LONG {
-        std::thread::sleep(LOOK);
-        took = ready().then(|| start.elapsed());
+        std::thread::sleep(POLL_INTERVAL);
+        took = is_ready().then(|| start.elapsed());
     }
     (balancer, took)
 }
 
-fn together(agent: Agent, known: bool) {
-    let address = agent.start();
-    let start = Arc::new(Barrier::new(TOGETHER));
+fn check_start_times(discovery: DiscoveryState, has_cached_list: bool) {
+    let address = discovery.start();
+    let start_together = Arc::new(Barrier::new(PROCESSES));
     let one = |_| {
-        let start = start.clone();
-        std::thread::spawn(move || ready(address, known, &start))
+        let start_together = start_together.clone();
+        std::thread::spawn(move || start_and_measure(address, has_cached_list, &start_together))
     };
-    let started: Vec<_> = (0..TOGETHER).map(one).collect();
-    // All are joined before any trouble is told: each process is ended with what its thread returns.
+    let started: Vec<_> = (0..PROCESSES).map(one).collect();
+    // All are joined before any failure is reported: each process ends with the value that its thread returns.
     let measured: Vec<_> = started.into_iter().map(std::thread::JoinHandle::join).collect();
-    let measured: Vec<_> = measured.into_iter().map(|measured| measured.expect("it was measured")).collect();
+    let measured: Vec<_> = measured.into_iter().map(|measured| measured.expect("the measurement")).collect();
     let mut took: Vec<_> = measured.iter().map(|(_, took)| *took).collect();
     took.sort_by_key(|took| took.unwrap_or(Duration::MAX));
     let late = took.iter().filter(|took| took.is_none()).count();
-    let at = |part: usize| took[(TOGETHER * part).div_ceil(100) - 1].unwrap_or(Duration::MAX);
-    let list = if known { "an old list" } else { "no list" };
-    let named = format!("{TOGETHER} together, discovery {agent:?}, {list}");
-    let seconds = |part| at(part).as_secs_f64().min(999.0);
+    let percentile = |percent: usize| took[(PROCESSES * percent).div_ceil(100) - 1].unwrap_or(Duration::MAX);
+    let list = if has_cached_list { "an old list" } else { "no list" };
+    let label = format!("{PROCESSES} together, discovery {discovery:?}, {list}");
+    let seconds = |percent| percentile(percent).as_secs_f64().min(999.0);
     println!(
-        "{named}: median {:.2} s, 90th {:.2} s, worst {:.2} s, {late} not ready after 30 s",
+        "{label}: median {:.2} s, 90th {:.2} s, worst {:.2} s, {late} not ready after 30 s",
         seconds(50),
         seconds(90),
         seconds(100)
     );
-    assert_eq!(late, 0, "{named}: not ready after 30 s");
-    assert!(at(90) <= Duration::from_secs(10), "{named}: nine in ten take {:?}", at(90));
+    assert_eq!(late, 0, "{label}: not ready after 30 s");
+    assert!(percentile(90) <= Duration::from_secs(10), "{label}: nine in ten take {:?}", percentile(90));
 }
 
 #[test]
-fn with_an_old_list_they_are_ready_whatever_discovery_does() {
-    for agent in [Agent::Up, Agent::Down, Agent::Silent, Agent::Slow] {
-        together(agent, true);
+fn processes_with_a_cached_list_become_ready_whatever_discovery_does() {
+    for discovery in [DiscoveryState::Up, DiscoveryState::Down, DiscoveryState::Silent, DiscoveryState::Slow]
+    {
+        check_start_times(discovery, true);
     }
 }
 
 #[test]
-fn without_a_list_they_are_ready_whatever_discovery_does() {
-    for agent in [Agent::Up, Agent::Down, Agent::Silent, Agent::Slow] {
-        together(agent, false);
+fn processes_without_a_list_become_ready_whatever_discovery_does() {
+    for discovery in [DiscoveryState::Up, DiscoveryState::Down, DiscoveryState::Silent, DiscoveryState::Slow]
+    {
+        check_start_times(discovery, false);
     }
 }
--- a/crates/proxy/tests/settings.rs
+++ b/crates/proxy/tests/settings.rs
@@ -13,25 +13,31 @@
     name: String,
     effect: &'static str,
     group: &'static str,
-    /// Aim, deadline and the servers' memory of repeats, in milliseconds.
-    spans: [f64; 3],
+    /// Latency objective, deadline and the servers' deduplication window, in milliseconds.
+    durations_ms: [f64; 3],
     value: f64,
 }
 
 impl Class {
-    fn new(name: &str, effect: &'static str, group: &'static str, spans: [f64; 3], value: f64) -> Class {
-        Class { name: name.to_owned(), effect, group, spans, value }
+    fn new(
+        name: &str,
+        effect: &'static str,
+        group: &'static str,
+        durations_ms: [f64; 3],
+        value: f64,
+    ) -> Class {
+        Class { name: name.to_owned(), effect, group, durations_ms, value }
     }
 
     fn json(&self) -> String {
-        let Class { name, effect, group, spans: [aim, deadline, window], value } = self;
+        let Class { name, effect, group, durations_ms: [objective, deadline, window], value } = self;
         format!(
-            r#"{{"Name":"{name}","Effect":"{effect}","Group":"{group}","TargetMs":{aim:?},"DeadlineMs":{deadline:?},"DedupWindowMs":{window:?},"LateWorth":0.3,"Value":{value:?}}}"#
+            r#"{{"Name":"{name}","Effect":"{effect}","Group":"{group}","TargetMs":{objective:?},"DeadlineMs":{deadline:?},"DedupWindowMs":{window:?},"LateWorth":0.3,"Value":{value:?}}}"#
         )
     }
 
-    /// A request of it.
-    fn text(&self, id: usize, tenant: &str) -> String {
+    /// A request of this class.
+    fn request(&self, id: usize, tenant: &str) -> String {
         let common =
             format!("Host: b\r\nReq-Id: r-{id}\r\nReq-Kind: {}\r\nReq-Owner: {tenant}\r\n", self.name);
         match self.effect {
@@ -72,8 +78,8 @@
     }
 }
 
-/// All times and counts as small as they may be.
-fn short() -> Customer {
+/// All times and counts as small as allowed.
+fn shortest() -> Customer {
     Customer {
         classes: vec![
             Class::new("q", "retryable", "all", [20.0, 40.0, 0.0], 0.001),
@@ -88,18 +94,18 @@
     }
 }
 
-/// All as long and as many as anybody has.
-fn long() -> Customer {
+/// All times and counts as large as any customer has.
+fn longest() -> Customer {
     let hour = 3_600_000.0;
     let effects =
         [("retryable", "all"), ("dedup", "all"), ("dedup", "zone"), ("dedup", "cell"), ("fragile", "all")];
-    let class = |i: usize| {
-        let (effect, group) = effects[i % effects.len()];
-        Class::new(&format!("class {i} of 40"), effect, group, [hour, hour, 24.0 * hour], 1e9)
+    let class = |number: usize| {
+        let (effect, group) = effects[number % effects.len()];
+        Class::new(&format!("class {number} of 40"), effect, group, [hour, hour, 24.0 * hour], 1e9)
     };
     Customer {
         classes: (0..40).map(class).collect(),
-        tenants: (0..200).map(|i| format!("tenant/{i}")).collect(),
+        tenants: (0..200).map(|number| format!("tenant/{number}")).collect(),
         machine: (1_000_000, 1e6),
         limits: r#""MostTries":4000000000,"Cancel":true,"Probing":true,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfterMs":86400000.0,"ConnectTimeoutMs":600000.0,"IdleCloseMs":864000000.0,"MaxOpen":4000000000,"MaxStreams":1000,"CpuUsPerS":1000000000"#,
         rules: r#""ColdFrom":1.0,"WarmAfterMs":86400000.0,"OverloadFactor":1000000.0,"TipAfterMs":86400000.0,"AskWithinMs":86400000.0,"DrainGraceMs":86400000.0,"GraceToAnswerMs":1000.0"#,
@@ -107,8 +113,8 @@
     }
 }
 
-/// All that may be left out is left out or nought, and names are not plain text.
-fn bare() -> Customer {
+/// Everything optional is left out or zero, and names are not plain text.
+fn sparsest() -> Customer {
     Customer {
         classes: vec![
             Class::new("réservation", "fragile", "all", [900.0, 1100.5, 0.0], 0.0),
@@ -124,57 +130,60 @@
 }
 
 #[test]
-fn a_request_of_each_class_passes_under_the_settings_of_any_customer() {
-    for (what, customer) in [("short", short()), ("long", long()), ("bare", bare())] {
+fn a_request_of_each_class_is_served_under_the_settings_of_any_customer() {
+    for (name, customer) in [("shortest", shortest()), ("longest", longest()), ("sparsest", sparsest())] {
         let upstream = Peer::new();
         let config = customer.config(upstream.address);
         let balancer = Setup { config: Some(config), ..Setup::knowing(&[]) }.start();
         let requests = upstream.serve(|_, stream| ok(stream));
-        let mut id = 0;
+        let mut request_id = 0;
         for (class, tenant) in customer.classes.iter().zip(customer.tenants.iter().cycle()) {
-            // With a few milliseconds a busy machine may be late; what never passes is a fault.
-            let passes = (0..500).any(|_| {
-                id += 1;
-                let text = class.text(id, tenant).replace("\\\"", "\"");
+            // A busy machine may miss a deadline of a few milliseconds; a class that is never served is a fault.
+            let served = (0..500).any(|_| {
+                request_id += 1;
+                let text = class.request(request_id, tenant).replace("\\\"", "\"");
                 let mut client = balancer.connect();
-                client.write_all(text.as_bytes()).expect("it reads");
+                client.write_all(text.as_bytes()).expect("the balancer reads");
                 let answer = read(&mut client)
-                    .unwrap_or_else(|| panic!("{what}, {}: no whole answer", class.name))
+                    .unwrap_or_else(|| panic!("{name}, {}: no complete response", class.name))
                     .status();
-                assert!([200, 502, 503, 504].contains(&answer), "{what}, {}: {answer}", class.name);
+                assert!([200, 502, 503, 504].contains(&answer), "{name}, {}: {answer}", class.name);
                 answer == 200
             });
-            assert!(passes, "{what}: no request of {} was served", class.name);
+            assert!(served, "{name}: no request of {} was served", class.name);
         }
         assert!(requests.try_iter().count() >= customer.classes.len());
     }
 }
 
 #[test]
-fn settings_that_contradict_themselves_are_one_line_that_names_the_key() {
+fn invalid_settings_end_the_start_with_one_line_that_names_the_key() {
     let config = |customer: Customer| customer.config(nowhere());
     for (config, key) in [
-        (config(Customer { classes: Vec::new(), ..short() }), "Categories"),
-        (config(short()).replace(r#""Name":"pay""#, r#""Name":"q""#), "Categories[2].Name"),
-        (config(short()).replace(r#""DeadlineMs":60.0"#, r#""DeadlineMs":0.0"#), "Categories[1].DeadlineMs"),
-        (config(short()).replace(r#""TargetMs":20.0"#, r#""TargetMs":-5.0"#), "Categories[0].TargetMs"),
-        (config(short()).replace(r#""Value":9.0"#, r#""Value":-9.0"#), "Categories[2].Value"),
-        (config(short()).replace(r#""Group":"cell""#, r#""Group":"shelf""#), "Categories[1].Group"),
-        (config(short()).replace(r#""MostTries":1"#, r#""MostTries":0"#), "Limits.MostTries"),
-        (config(short()).replace(r#""ColdFrom":0.01"#, r#""ColdFrom":1.5"#), "Rules.ColdFrom"),
+        (config(Customer { classes: Vec::new(), ..shortest() }), "Categories"),
+        (config(shortest()).replace(r#""Name":"pay""#, r#""Name":"q""#), "Categories[2].Name"),
         (
-            config(short()).replace(r#""OverloadFactor":1.0"#, r#""OverloadFactor":-1.0"#),
+            config(shortest()).replace(r#""DeadlineMs":60.0"#, r#""DeadlineMs":0.0"#),
+            "Categories[1].DeadlineMs",
+        ),
+        (config(shortest()).replace(r#""TargetMs":20.0"#, r#""TargetMs":-5.0"#), "Categories[0].TargetMs"),
+        (config(shortest()).replace(r#""Value":9.0"#, r#""Value":-9.0"#), "Categories[2].Value"),
+        (config(shortest()).replace(r#""Group":"cell""#, r#""Group":"shelf""#), "Categories[1].Group"),
+        (config(shortest()).replace(r#""MostTries":1"#, r#""MostTries":0"#), "Limits.MostTries"),
+        (config(shortest()).replace(r#""ColdFrom":0.01"#, r#""ColdFrom":1.5"#), "Rules.ColdFrom"),
+        (
+            config(shortest()).replace(r#""OverloadFactor":1.0"#, r#""OverloadFactor":-1.0"#),
             "Rules.OverloadFactor",
         ),
-        (config(short()).replace(r#""DrainGraceMs":1.0"#, r#""DrainGraceMs":-1.0"#), "Rules.DrainGraceMs"),
-        (config(short()).replace(r#""Balancers":1"#, r#""Balancers":0"#), "Balancers"),
-        (config(short()).replace(r#""GranularityMs":1.0"#, r#""GranularityMs":0.0"#), "GranularityMs"),
-        (config(long()).replace(r#""Stage":7"#, r#""Stage":8"#), "Stage"),
-        (config(long()).replace(r#""Share":0.5"#, r#""Share":-0.5"#), "Realms[0].Share"),
-        (config(long()).replace(r#""Waste":100.0"#, r#""Waste":-100.0"#), "Tariffs.Waste"),
-        (config(short()).replace(r#""sockets":48"#, r#""sockets":0"#), "limits.sockets"),
-        (config(short()).replace(r#""memory_mb":8"#, r#""memory_mb":0"#), "limits.memory_mb"),
-        (config(short()).replace(r#""DeadlineMs":60.0"#, r#""DeadlineMs":"60""#), "EDGE_CONFIG"),
+        (config(shortest()).replace(r#""DrainGraceMs":1.0"#, r#""DrainGraceMs":-1.0"#), "Rules.DrainGraceMs"),
+        (config(shortest()).replace(r#""Balancers":1"#, r#""Balancers":0"#), "Balancers"),
+        (config(shortest()).replace(r#""GranularityMs":1.0"#, r#""GranularityMs":0.0"#), "GranularityMs"),
+        (config(longest()).replace(r#""Stage":7"#, r#""Stage":8"#), "Stage"),
+        (config(longest()).replace(r#""Share":0.5"#, r#""Share":-0.5"#), "Realms[0].Share"),
+        (config(longest()).replace(r#""Waste":100.0"#, r#""Waste":-100.0"#), "Tariffs.Waste"),
+        (config(shortest()).replace(r#""sockets":48"#, r#""sockets":0"#), "limits.sockets"),
+        (config(shortest()).replace(r#""memory_mb":8"#, r#""memory_mb":0"#), "limits.memory_mb"),
+        (config(shortest()).replace(r#""DeadlineMs":60.0"#, r#""DeadlineMs":"60""#), "EDGE_CONFIG"),
     ] {
         let ended = start_on(Some(&config), &[]);
         let text = String::from_utf8_lossy(&ended.stderr);
