--- a/crates/proxy/src/process/error.rs
+++ b/crates/proxy/src/process/error.rs
@@ -1,6 +1,5 @@
 //! Why a process cannot start.
 
-use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 
@@ -9,6 +8,8 @@
 use zincstand_settings::SettingsError;
 
 use crate::config::ConfigError;
+use crate::lifecycle::hot_restart::{InheritedListenerError, ProcessPresenceError};
+use crate::lifecycle::state_folder::StateFolderError;
 
 /// Why the process cannot start. The sources of an error are not part of its own text:
 /// [`ErrorChain`](crate::ErrorChain) displays both.
@@ -16,7 +17,7 @@
 pub enum StartError {
     /// `EDGE_FD` names no listening socket.
     #[error(transparent)]
-    InheritedListener(Box<dyn Error + Send + Sync>),
+    InheritedListener(#[from] InheritedListenerError),
     /// The asynchronous runtime cannot be created.
     #[error("the asynchronous runtime cannot be created")]
     Runtime(#[source] io::Error),
@@ -39,10 +40,10 @@
     Policy(#[from] policy::SettingsError),
     /// `TMPDIR` names no folder.
     #[error(transparent)]
-    StateFolder(Box<dyn Error + Send + Sync>),
+    StateFolder(#[from] StateFolderError),
     /// The process cannot make itself known to the other processes of this balancer.
-    #[error("TMPDIR: the process cannot lock a file there to make itself known to its siblings")]
-    ProcessPresence(#[source] io::Error),
+    #[error(transparent)]
+    ProcessPresence(#[from] ProcessPresenceError),
     /// The inherited listener cannot be used by the asynchronous runtime.
     #[error("EDGE_FD: the listening socket cannot be used")]
     UnusableListener(#[source] io::Error),
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -12,7 +12,7 @@
 
 use tokio::task::LocalSet;
 
-use crate::lifecycle::hot_restart;
+use crate::lifecycle::hot_restart::inherit_listener;
 
 pub use error::StartError;
 
@@ -24,9 +24,8 @@
     // The inherited listener is taken over before anything else is opened, which could get its number.
     let inherited = environment_variable("EDGE_FD")
         .filter(|text| !text.is_empty())
-        .map(|text| hot_restart::listener(&text))
-        .transpose()
-        .map_err(|error| StartError::InheritedListener(error.into()))?;
+        .map(|text| inherit_listener(&text))
+        .transpose()?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     LocalSet::new().block_on(&runtime, startup::run(inherited))
--- a/crates/proxy/src/process/save_task.rs
+++ b/crates/proxy/src/process/save_task.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use crate::dispatch::Dispatcher;
-use crate::lifecycle::{Lifecycle, hot_restart};
+use crate::lifecycle::Lifecycle;
 use crate::process::transport::SocketTransport;
 
 /// Time between two saves. A process may be killed without notice, and its successor restores only state that is a
@@ -36,7 +36,7 @@
     /// Saves until the process begins to stop; from then on its successor has the newer state.
     async fn run(self) {
         while self.lifecycle.accepts_connections() {
-            if let Err(error) = hot_restart::save(&self.folder, &self.dispatcher.saved_state()) {
+            if let Err(error) = self.dispatcher.saved_state().save(&self.folder) {
                 let name = &self.name;
                 eprintln!("zincstand-proxy {name}: hot restart: the learned state cannot be saved: {error}");
             }
--- a/crates/proxy/src/process/signals.rs
+++ b/crates/proxy/src/process/signals.rs
@@ -62,7 +62,7 @@
                 _ = self.terminate.recv() => {}
                 _ = self.interrupt.recv() => {}
             }
-            lifecycle.stop();
+            lifecycle.request_shutdown();
         });
     }
 }
--- a/crates/proxy/src/process/startup.rs
+++ b/crates/proxy/src/process/startup.rs
@@ -17,8 +17,9 @@
 use crate::dispatch::Dispatcher;
 use crate::downstream::{Listener, Server};
 use crate::lifecycle::Lifecycle;
-use crate::lifecycle::hot_restart::{self, ProcessPresence};
-use crate::lifecycle::overrides::{self, OverrideStore};
+use crate::lifecycle::hot_restart::{ProcessPresence, SavedState};
+use crate::lifecycle::overrides::OverrideStore;
+use crate::lifecycle::state_folder;
 use crate::process::environment_variable;
 use crate::process::error::StartError;
 use crate::process::listeners::{admin_listener, client_listener, local_address};
@@ -96,11 +97,7 @@
     /// Opens the folder that `TMPDIR` names, if this process has a use for it.
     fn open(config: &Config, shares_listener: bool) -> Result<StateFolder, StartError> {
         let is_used = shares_listener || config.admin_address.is_some();
-        let folder = if is_used {
-            overrides::folder(environment_variable).map_err(|error| StartError::StateFolder(error.into()))?
-        } else {
-            None
-        };
+        let folder = if is_used { state_folder::from_environment(environment_variable)? } else { None };
         let overrides = Rc::new(OverrideStore::open(folder.as_deref()));
         Ok(StateFolder { folder, overrides, shares_listener })
     }
@@ -112,7 +109,7 @@
 
     /// Makes this process known to the others that share its listener.
     fn register_process(&self) -> Result<Option<ProcessPresence>, StartError> {
-        self.hot_restart_folder().map(ProcessPresence::enter).transpose().map_err(StartError::ProcessPresence)
+        Ok(self.hot_restart_folder().map(ProcessPresence::enter).transpose()?)
     }
 }
 
@@ -154,7 +151,7 @@
             Some(list) => self.dispatcher.update_endpoints(ListKind::CachedSnapshot, list.into_endpoints()),
             None => self.dispatcher.start_without_list(),
         }
-        if let Some(saved) = hot_restart_folder.and_then(hot_restart::load) {
+        if let Some(saved) = hot_restart_folder.and_then(SavedState::load) {
             self.dispatcher.restore(saved);
         }
         // Real discovery pushes nothing: a policy that expects pushes gets them from a watch.
