--- a/crates/proxy/src/dispatch/dispatcher.rs
+++ b/crates/proxy/src/dispatch/dispatcher.rs
@@ -6,24 +6,20 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-use tokio::sync::{Notify, oneshot};
+use tokio::sync::Notify;
 use zincstand_policy as policy;
 use zincstand_policy::{Action, Event, Micros, Outcome, RequestId, ServerId};
 use zincstand_settings::Names;
 
 use crate::discovery::registry::Registry;
-use crate::dispatch::active_requests::{ActiveRequest, ActiveRequests};
+use crate::dispatch::active_requests::ActiveRequests;
 use crate::dispatch::clock::Clock;
 use crate::dispatch::completion::AttemptId;
-use crate::dispatch::messages::{Failure, FinalResponse, HealthCheckResult, IncomingRequest};
-use crate::dispatch::pending_request::PendingRequest;
+use crate::dispatch::messages::{Failure, FinalResponse, HealthCheckResult};
 use crate::dispatch::timers::{TimerKind, TimerQueue};
 use crate::dispatch::transport::Transport;
 use crate::lifecycle::overrides::OverrideStore;
 
-/// The policy is given this much less than the client's time: it allows for the response's way back and the
-/// granularity of timers.
-const POLICY_MARGIN: Micros = 10_000;
 /// A request that the policy has left without a response fails this long before the client's deadline.
 pub(super) const LAST_RESORT_MARGIN: Micros = 5_000;
 
@@ -87,37 +83,7 @@
         self.has_endpoint_list.get()
     }
 
-    /// Takes a request; its final response comes through what is returned.
-    pub fn submit(self: &Rc<Self>, incoming: IncomingRequest<T::Request>) -> PendingRequest<T> {
-        let (sender, response) = oneshot::channel();
-        let now = self.clock.now();
-        let IncomingRequest { class, time_left, tenant, work, retry, upload, call } = incoming;
-        let deadline = (!upload).then_some(now + time_left);
-        let id = self.requests.borrow_mut().insert(ActiveRequest {
-            request: Rc::new(call),
-            responder: Some(sender),
-            deadline,
-            time_left,
-            attempts_started: 0,
-            attempts: Vec::new(),
-            failure: Failure::Time,
-        });
-        if let Some(deadline) = deadline {
-            self.set_last_resort(id, deadline);
-        }
-        self.submit_event(Event::Request {
-            id,
-            class,
-            time_left: time_left.saturating_sub(POLICY_MARGIN),
-            tenant,
-            work,
-            marked_retry: retry,
-            body_pending: upload,
-        });
-        PendingRequest { dispatcher: self.clone(), request: id, response }
-    }
-
-    fn set_last_resort(&self, request: RequestId, deadline: Micros) {
+    pub(super) fn set_last_resort(&self, request: RequestId, deadline: Micros) {
         self.set_timer(deadline.saturating_sub(LAST_RESORT_MARGIN), TimerKind::LastResort(request));
     }
 
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -10,6 +10,7 @@
 mod messages;
 mod pending_request;
 mod saved_state;
+mod timer_task;
 mod timers;
 mod transport;
 
--- a/crates/proxy/src/dispatch/pending_request.rs
+++ b/crates/proxy/src/dispatch/pending_request.rs
@@ -1,20 +1,57 @@
-//! The client's side of a submitted request.
+//! The submission of a request, and the client's side of it.
 
 use std::rc::Rc;
 
 use tokio::sync::oneshot;
-use zincstand_policy::RequestId;
+use zincstand_policy::{Event, Micros, RequestId};
 
+use crate::dispatch::active_requests::ActiveRequest;
 use crate::dispatch::dispatcher::Dispatcher;
-use crate::dispatch::messages::{BodyEnd, Failure, FinalResponse};
+use crate::dispatch::messages::{BodyEnd, Failure, FinalResponse, IncomingRequest};
 use crate::dispatch::transport::Transport;
 
+/// The policy is given this much less than the client's time: it allows for the response's way back and the
+/// granularity of timers.
+const POLICY_MARGIN: Micros = 10_000;
+
+impl<T: Transport> Dispatcher<T> {
+    /// Takes a request; its final response comes through what is returned.
+    pub fn submit(self: &Rc<Self>, incoming: IncomingRequest<T::Request>) -> PendingRequest<T> {
+        let (sender, response) = oneshot::channel();
+        let now = self.clock.now();
+        let IncomingRequest { class, time_left, tenant, work, retry, upload, call } = incoming;
+        let deadline = (!upload).then_some(now + time_left);
+        let id = self.requests.borrow_mut().insert(ActiveRequest {
+            request: Rc::new(call),
+            responder: Some(sender),
+            deadline,
+            time_left,
+            attempts_started: 0,
+            attempts: Vec::new(),
+            failure: Failure::Time,
+        });
+        if let Some(deadline) = deadline {
+            self.set_last_resort(id, deadline);
+        }
+        self.submit_event(Event::Request {
+            id,
+            class,
+            time_left: time_left.saturating_sub(POLICY_MARGIN),
+            tenant,
+            work,
+            marked_retry: retry,
+            body_pending: upload,
+        });
+        PendingRequest { dispatcher: self.clone(), request: id, response }
+    }
+}
+
 /// A submitted request whose final response is awaited. Dropped before the response, it tells the dispatcher that the
 /// client has disconnected.
 pub struct PendingRequest<T: Transport> {
-    pub(super) dispatcher: Rc<Dispatcher<T>>,
+    dispatcher: Rc<Dispatcher<T>>,
     pub(super) request: RequestId,
-    pub(super) response: oneshot::Receiver<FinalResponse<T::Response>>,
+    response: oneshot::Receiver<FinalResponse<T::Response>>,
 }
 
 impl<T: Transport> PendingRequest<T> {
--- a/crates/proxy/src/dispatch/timers.rs
+++ b/crates/proxy/src/dispatch/timers.rs
@@ -1,15 +1,11 @@
-//! The timers of the policy and of requests: a queue, and the task that fires what is due.
+//! The queue of the policy's and the requests' timers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use std::rc::Rc;
 
-use zincstand_policy::{Event, Micros, Outcome, RequestId};
+use zincstand_policy::{Micros, RequestId};
 
 use crate::dispatch::completion::AttemptId;
-use crate::dispatch::dispatcher::Dispatcher;
-use crate::dispatch::messages::{Failure, FinalResponse};
-use crate::dispatch::transport::Transport;
 
 /// A queue of up to this many timers is never pruned.
 pub(super) const MIN_PRUNE_LENGTH: usize = 512;
@@ -47,16 +43,16 @@
     }
 
     /// When the first timer is due.
-    fn next_due(&self) -> Option<Micros> {
+    pub(super) fn next_due(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse(timer)| timer.due)
     }
 
-    fn pop(&mut self) -> Option<TimerKind> {
+    pub(super) fn pop(&mut self) -> Option<TimerKind> {
         self.timers.pop().map(|Reverse(timer)| timer.kind)
     }
 
     /// Adds a timer. Returns whether it is due before all others.
-    fn push(&mut self, due: Micros, kind: TimerKind) -> bool {
+    pub(super) fn push(&mut self, due: Micros, kind: TimerKind) -> bool {
         let is_first = self.next_due().is_none_or(|next_due| due < next_due);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -66,7 +62,7 @@
 
     /// Removes the timers of requests that are no longer active, if the queue has become long. Without this it would
     /// grow with the request rate: a request usually gets its response long before its timers are due.
-    fn prune_if_long(&mut self, is_active: impl Fn(RequestId) -> bool) {
+    pub(super) fn prune_if_long(&mut self, is_active: impl Fn(RequestId) -> bool) {
         if self.timers.len() < self.prune_length {
             return;
         }
@@ -87,57 +83,3 @@
         self.timers.len()
     }
 }
-
-impl<T: Transport> Dispatcher<T> {
-    /// Fires the timers when they are due; never returns.
-    pub async fn run(self: Rc<Self>) {
-        loop {
-            let next_due = self.timers.borrow().next_due();
-            let earlier_timer = self.earlier_timer.notified();
-            match next_due {
-                Some(due) if due > self.clock.now() => tokio::select! {
-                    () = tokio::time::sleep_until(self.clock.instant(due)) => {}
-                    () = earlier_timer => {}
-                },
-                Some(_) => {
-                    let timer = self.timers.borrow_mut().pop();
-                    if let Some(kind) = timer {
-                        self.on_timer(kind);
-                    }
-                }
-                None => earlier_timer.await,
-            }
-        }
-    }
-
-    pub(super) fn set_timer(&self, due: Micros, kind: TimerKind) {
-        let is_first = {
-            let requests = self.requests.borrow();
-            let mut timers = self.timers.borrow_mut();
-            timers.prune_if_long(|request| requests.contains(request));
-            timers.push(due, kind)
-        };
-        if is_first {
-            self.earlier_timer.notify_one();
-        }
-    }
-
-    fn on_timer(self: &Rc<Self>, kind: TimerKind) {
-        match kind {
-            TimerKind::Policy { token } => self.submit_event(Event::Timer { token }),
-            TimerKind::AttemptLimit(attempt) => self.abort_attempt(attempt, Outcome::TimedOut),
-            TimerKind::LastResort(request) => self.fail_unanswered(request),
-        }
-    }
-
-    /// Fails a request that the policy has left without a response until just before the client's deadline.
-    fn fail_unanswered(self: &Rc<Self>, request: RequestId) {
-        let Some(responder) = self.requests.borrow_mut().take_responder(request) else { return };
-        eprintln!(
-            "defect: the policy left request {request} without a response; failed just before its deadline"
-        );
-        let _ = responder.send(FinalResponse::Failed(Failure::Time));
-        self.submit_event(Event::ClientDisconnected { request });
-        self.requests.borrow_mut().forget_if_done(request);
-    }
-}
--- a/crates/proxy/src/downstream/framer.rs
+++ b/crates/proxy/src/downstream/framer.rs
@@ -12,7 +12,8 @@
 
 use crate::downstream::client_stream::{ClientStream, MAX_BUFFERED, READ_CHUNK};
 use crate::downstream::framing::{Framing, parse_request_head};
-use crate::downstream::progress::{ConnectionProgress, ProtocolError, RequestStage};
+use crate::downstream::progress::{ConnectionProgress, ProtocolError};
+use crate::downstream::request_stage::RequestStage;
 
 /// What the next bytes of the connection are.
 enum Expected {
--- a/crates/proxy/src/downstream/idle_connections.rs
+++ b/crates/proxy/src/downstream/idle_connections.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::downstream::client_stream::ClientStream;
-use crate::downstream::progress::RequestStage;
+use crate::downstream::request_stage::RequestStage;
 
 /// A connection that became idle less than this ago is not closed for others: its request may be on its way.
 const IDLE_PROTECTION: Duration = Duration::from_millis(100);
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -13,6 +13,7 @@
 mod listener;
 mod open_request_ids;
 mod progress;
+mod request_stage;
 mod request_validation;
 mod response_body;
 mod responses;
--- a/crates/proxy/src/downstream/progress.rs
+++ b/crates/proxy/src/downstream/progress.rs
@@ -13,6 +13,7 @@
 use crate::downstream::client_stream::ClientStream;
 use crate::downstream::framing::Framing;
 use crate::downstream::idle_connections::{IdleConnection, IdleConnections};
+use crate::downstream::request_stage::RequestStage;
 
 /// How long a connection without an open request is kept.
 pub const IDLE_TIME: Duration = Duration::from_secs(2);
@@ -25,19 +26,6 @@
 /// A client that takes nothing of its answer for this long has stopped reading.
 const WRITE_STALL_TIME: Duration = Duration::from_secs(10);
 
-/// What a connection is doing.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestStage {
-    /// No byte of a request has come.
-    Idle,
-    /// A part of a head has come.
-    Head,
-    /// The head has come, the body is coming.
-    Body,
-    /// The request has come completely and is not answered.
-    Open,
-}
-
 /// Why a request cannot be passed on to hyper; its connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProtocolError {
--- a/crates/proxy/tests/stored_state.rs
+++ b/crates/proxy/tests/stored_state.rs
@@ -49,11 +49,15 @@
         (Value::Array(expected), Value::Array(found)) if path.ends_with("[]") => {
             // A pair: each place has a type of its own.
             assert_eq!(expected.len(), found.len(), "length of {path}");
-            expected.iter().zip(found).for_each(|(a, b)| assert_same_shape(path, a, b));
+            for (expected, found) in expected.iter().zip(found) {
+                assert_same_shape(path, expected, found);
+            }
         }
         (Value::Array(expected), Value::Array(found)) => {
             let Some(example) = expected.first() else { return };
-            found.iter().for_each(|value| assert_same_shape(&format!("{path}[]"), example, value));
+            for value in found {
+                assert_same_shape(&format!("{path}[]"), example, value);
+            }
         }
         (Value::Number(expected), Value::Number(found)) => {
             assert_eq!(expected.is_f64(), found.is_f64(), "type of {path}");
