--- a/crates/proxy/src/dispatch/attempts.rs
+++ b/crates/proxy/src/dispatch/attempts.rs
@@ -147,7 +147,7 @@
         let position = active.attempts.iter().position(|attempt| attempt.number == id.number)?;
         let attempt = active.attempts.swap_remove(position);
         active.failure = match outcome {
-            Outcome::TimedOut | Outcome::Cancelled => Failure::Time,
+            Outcome::TimedOut | Outcome::Cancelled => Failure::DeadlineExceeded,
             _ => Failure::Upstream,
         };
         if let (Outcome::Ok, Some(response)) = (outcome, response)
--- a/crates/proxy/src/dispatch/messages.rs
+++ b/crates/proxy/src/dispatch/messages.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
     /// The client's time ran out.
-    Time,
+    DeadlineExceeded,
     /// An upstream failed.
     Upstream,
 }
@@ -37,21 +37,21 @@
     /// The tenant it belongs to, if it names one.
     pub tenant: Option<policy::TenantId>,
     /// An estimate of its work.
-    pub work: Option<Micros>,
+    pub estimated_work: Option<Micros>,
     /// Its client marked it as a retry.
-    pub retry: bool,
+    pub marked_retry: bool,
     /// Its body is still arriving: its time starts with the body's last byte, which
     /// [`PendingRequest::answer_upload`](crate::dispatch::PendingRequest::answer_upload) waits for.
-    pub upload: bool,
+    pub body_pending: bool,
     /// What is sent to upstreams.
-    pub call: R,
+    pub request: R,
 }
 
 /// How a request's body ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyEnd {
     /// With its last byte.
-    Whole,
+    Complete,
     /// The client left, or what it sent is no valid body.
     Broken,
     /// It exceeds the size that is forwarded.
--- a/crates/proxy/src/dispatch/pending_request.rs
+++ b/crates/proxy/src/dispatch/pending_request.rs
@@ -19,28 +19,28 @@
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest<T::Request>) -> PendingRequest<T> {
         let (sender, response) = oneshot::channel();
         let now = self.clock.now();
-        let IncomingRequest { class, time_left, tenant, work, retry, upload, call } = incoming;
-        let deadline = (!upload).then_some(now + time_left);
+        let time_left = incoming.time_left;
+        let deadline = (!incoming.body_pending).then_some(now + time_left);
         let id = self.requests.borrow_mut().insert(ActiveRequest {
-            request: Rc::new(call),
+            request: Rc::new(incoming.request),
             responder: Some(sender),
             deadline,
             time_left,
             attempts_started: 0,
             attempts: Vec::new(),
-            failure: Failure::Time,
+            failure: Failure::DeadlineExceeded,
         });
         if let Some(deadline) = deadline {
             self.set_last_resort(id, deadline);
         }
         self.submit_event(Event::Request {
             id,
-            class,
+            class: incoming.class,
             time_left: time_left.saturating_sub(POLICY_MARGIN),
-            tenant,
-            work,
-            marked_retry: retry,
-            body_pending: upload,
+            tenant: incoming.tenant,
+            work: incoming.estimated_work,
+            marked_retry: incoming.marked_retry,
+            body_pending: incoming.body_pending,
         });
         PendingRequest { dispatcher: self.clone(), request: id, response }
     }
@@ -56,8 +56,8 @@
 
 impl<T: Transport> PendingRequest<T> {
     /// Waits for the final response.
-    pub async fn answer(mut self) -> FinalResponse<T::Response> {
-        self.final_response().await
+    pub async fn final_response(mut self) -> FinalResponse<T::Response> {
+        self.receive().await
     }
 
     /// Waits for the final response to a request whose body is still arriving. `body_end` resolves when the body
@@ -65,22 +65,22 @@
     ///
     /// # Errors
     /// How the body ended, if it ended before its last byte and before a response.
-    pub async fn answer_upload(
+    pub async fn final_response_after_body(
         mut self,
         body_end: impl Future<Output = BodyEnd>,
     ) -> Result<FinalResponse<T::Response>, BodyEnd> {
         tokio::select! {
             biased;
-            response = self.final_response() => return Ok(response),
+            response = self.receive() => return Ok(response),
             end = body_end => match end {
-                BodyEnd::Whole => self.dispatcher.body_completed(self.request),
+                BodyEnd::Complete => self.dispatcher.body_completed(self.request),
                 end => return Err(end),
             },
         }
-        Ok(self.final_response().await)
+        Ok(self.receive().await)
     }
 
-    async fn final_response(&mut self) -> FinalResponse<T::Response> {
+    async fn receive(&mut self) -> FinalResponse<T::Response> {
         (&mut self.response).await.unwrap_or_else(|_| {
             eprintln!("defect: request {} was dropped without a response", self.request);
             FinalResponse::Failed(Failure::Upstream)
--- a/crates/proxy/src/dispatch/tests.rs
+++ b/crates/proxy/src/dispatch/tests.rs
@@ -93,7 +93,15 @@
 }
 
 fn incoming(time_left: Micros) -> IncomingRequest<()> {
-    IncomingRequest { class: 0, time_left, tenant: None, work: None, retry: false, upload: false, call: () }
+    IncomingRequest {
+        class: 0,
+        time_left,
+        tenant: None,
+        estimated_work: None,
+        marked_retry: false,
+        body_pending: false,
+        request: (),
+    }
 }
 
 /// Runs a test on a paused clock, with the dispatcher's timers running.
@@ -115,7 +123,7 @@
             let pending = dispatcher.submit(incoming(4_000_000));
             tokio::time::sleep(Duration::from_millis(50)).await;
             transport.take().end(Outcome::Ok, None, Some(1));
-            pending.answer().await;
+            pending.final_response().await;
         }
         // The concurrency limit shrinks with a client that disconnects because its response is late.
         let late = dispatcher.submit(incoming(4_000_000));
@@ -157,7 +165,7 @@
         let pending = dispatcher.submit(incoming(1_000_000));
         let late = transport.take();
         let start = Instant::now();
-        assert_eq!(pending.answer().await, FinalResponse::Failed(Failure::Time));
+        assert_eq!(pending.final_response().await, FinalResponse::Failed(Failure::DeadlineExceeded));
         assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
         assert_eq!(transport.aborted.get(), 1);
         late.end(Outcome::Ok, None, Some(7));
@@ -175,7 +183,7 @@
         dispatcher.abort_attempt(AttemptId { request: id, number: 0 }, Outcome::Cancelled);
         tokio::time::sleep(Duration::from_millis(300)).await;
         transport.take().end(Outcome::Ok, None, Some(5));
-        assert_eq!(pending.answer().await, FinalResponse::Forwarded(5));
+        assert_eq!(pending.final_response().await, FinalResponse::Forwarded(5));
     });
 }
 
@@ -184,7 +192,7 @@
     with_dispatcher(async |transport, dispatcher| {
         let pending = dispatcher.submit(incoming(1_000_000));
         drop(transport.take());
-        assert_eq!(pending.answer().await, FinalResponse::Failed(Failure::Upstream));
+        assert_eq!(pending.final_response().await, FinalResponse::Failed(Failure::Upstream));
         assert!(dispatcher.requests.borrow().len() == 0 && transport.sent.borrow().is_empty());
     });
 }
@@ -197,7 +205,7 @@
         // Without its timers the policy never sweeps its queue.
         dispatcher.timers.borrow_mut().retain(|kind| !matches!(kind, TimerKind::Policy { .. }));
         let start = Instant::now();
-        assert_eq!(pending.answer().await, FinalResponse::Failed(Failure::Time));
+        assert_eq!(pending.final_response().await, FinalResponse::Failed(Failure::DeadlineExceeded));
         assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
         assert!(dispatcher.requests.borrow().len() == 0 && transport.sent.borrow().is_empty());
     });
@@ -212,7 +220,7 @@
         assert_eq!(transport.sent.borrow().len(), 1);
         transport.take().end(Outcome::Ok, None, Some(5));
         dispatcher.start_attempt(dispatcher.clock.now(), id, 0, 0);
-        assert_eq!(pending.answer().await, FinalResponse::Forwarded(5));
+        assert_eq!(pending.final_response().await, FinalResponse::Forwarded(5));
         assert!(transport.sent.borrow().is_empty() && dispatcher.requests.borrow().len() == 0);
     });
 }
@@ -223,7 +231,7 @@
         for _ in 0..10 * MIN_PRUNE_LENGTH {
             let pending = dispatcher.submit(incoming(4_000_000));
             transport.take().end(Outcome::Ok, None, Some(5));
-            assert_eq!(pending.answer().await, FinalResponse::Forwarded(5));
+            assert_eq!(pending.final_response().await, FinalResponse::Forwarded(5));
         }
         assert!(dispatcher.timers.borrow().len() <= MIN_PRUNE_LENGTH);
     });
--- a/crates/proxy/src/dispatch/timer_task.rs
+++ b/crates/proxy/src/dispatch/timer_task.rs
@@ -57,7 +57,7 @@
         eprintln!(
             "defect: the policy left request {request} without a response; failed just before its deadline"
         );
-        let _ = responder.send(FinalResponse::Failed(Failure::Time));
+        let _ = responder.send(FinalResponse::Failed(Failure::DeadlineExceeded));
         self.submit_event(Event::ClientDisconnected { request });
         self.requests.borrow_mut().forget_if_done(request);
     }
--- a/crates/proxy/src/downstream/client_connection.rs
+++ b/crates/proxy/src/downstream/client_connection.rs
@@ -5,10 +5,10 @@
 
 impl ClientConnection for ConnectionProgress {
     fn is_disconnected(&self) -> bool {
-        self.departed()
+        self.client_disconnected()
     }
 
     fn want_body(&self, wanted: bool) {
-        self.want(wanted);
+        self.set_body_wanted(wanted);
     }
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -74,7 +74,7 @@
     /// Waits until no more connections are to be accepted.
     async fn accepting_ends(&self, mut phases: watch::Receiver<Phase>, shared: bool) {
         let _ = phases.wait_for(|phase| phase.ends()).await;
-        eprintln!("zincstand-proxy: told to stop");
+        eprintln!("zincstand-proxy: shutdown requested");
         if !shared {
             let stop_requested = self.lifecycle.ordered.get().unwrap_or_else(Instant::now);
             sleep_until(stop_requested + self.shutdown.accepting_time()).await;
--- a/crates/proxy/src/downstream/progress.rs
+++ b/crates/proxy/src/downstream/progress.rs
@@ -122,14 +122,14 @@
     }
 
     /// The request has come completely.
-    pub fn taken(&self) {
+    pub fn request_complete(&self) {
         self.unread.set(false);
         self.first_request_deadline.set(None);
         self.enter(RequestStage::Open);
     }
 
     /// The request has its answer: once that is written, the next request may pass.
-    pub fn answered(&self) {
+    pub fn response_complete(&self) {
         self.answered.set(true);
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Whether more of the body is wanted now. What the upstream does not take yet is not.
-    pub fn want(&self, wanted: bool) {
+    pub fn set_body_wanted(&self, wanted: bool) {
         self.body_pace.set_wanted(wanted);
     }
 
@@ -199,7 +199,7 @@
     /// Whether the client has disconnected, for any other task. To be asked before the first byte of each attempt:
     /// however long the connection's own task waits for its turn, this asks the kernel, unless it was asked just
     /// now. A connection that was dropped has no client.
-    pub fn departed(&self) -> bool {
+    pub fn client_disconnected(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else { return true };
         let mut stream = stream.borrow_mut();
         match self.stage() {
--- a/crates/proxy/src/downstream/progress/tests.rs
+++ b/crates/proxy/src/downstream/progress/tests.rs
@@ -29,8 +29,8 @@
             assert!(deadline < start + Duration::from_secs(3), "{stage:?}");
         }
         // Once a request has come, the next ones have their own time.
-        progress.taken();
-        progress.answered();
+        progress.request_complete();
+        progress.response_complete();
         progress.flushed();
         advance(silence).await;
         progress.enter(RequestStage::Head);
@@ -53,11 +53,11 @@
             progress.body_pace().record_bytes(32_000);
         }
         // What the upstream does not take is not the client's silence.
-        progress.want(false);
+        progress.set_body_wanted(false);
         progress.body_pace().record_empty();
         advance(Duration::from_mins(1)).await;
         assert!(!late());
-        progress.want(true);
+        progress.set_body_wanted(true);
         assert!(!late());
         advance(MAX_CREDIT).await;
         assert!(late(), "stopped, not slow");
@@ -67,8 +67,8 @@
 #[test]
 fn an_answer_is_written_before_its_connection_is_idle() {
     with_progress(async |progress| {
-        progress.taken();
-        progress.answered();
+        progress.request_complete();
+        progress.response_complete();
         progress.write_blocked();
         advance(2 * IDLE_TIME).await;
         let deadline = progress.deadline(IDLE_TIME).expect("a deadline");
--- a/crates/proxy/src/downstream/request_validation.rs
+++ b/crates/proxy/src/downstream/request_validation.rs
@@ -55,7 +55,7 @@
     pub fn incomplete_body(end: BodyEnd) -> RequestError {
         match end {
             BodyEnd::TooLong => RequestError::BODY_TOO_LARGE,
-            BodyEnd::Broken | BodyEnd::Whole => RequestError::BROKEN_BODY,
+            BodyEnd::Broken | BodyEnd::Complete => RequestError::BROKEN_BODY,
         }
     }
 }
@@ -103,17 +103,25 @@
         check_method(&head.method, &head.headers, class.idempotency)?;
         let time_left = self.time_left(&head.headers, class, stop_requested)?;
         let tenant = head.headers.get(REQ_OWNER).and_then(|name| self.tenants.get(name.as_bytes()).copied());
-        let work = text_header(&head.headers, REQ_COST).and_then(parse_digits);
-        let retry = text_header(&head.headers, REQ_RETRY) == Some("1");
+        let estimated_work = text_header(&head.headers, REQ_COST).and_then(parse_digits);
+        let marked_retry = text_header(&head.headers, REQ_RETRY) == Some("1");
         let headers = end_to_end_headers(&head.headers);
         let body = read_body(body, class.idempotency, progress).await?;
         // A request that names the whole address is for this path all the same.
         let path = head.uri.path_and_query().cloned().ok_or(RequestError::bad_request("no path"))?;
-        let upload = matches!(body, RequestBody::Streamed(_));
+        let body_pending = matches!(body, RequestBody::Streamed(_));
         let client: Weak<dyn ClientConnection> = Rc::<ConnectionProgress>::downgrade(progress);
-        let call =
+        let upstream_request =
             UpstreamRequest { method: head.method, uri: path.into(), headers, body, client: Some(client) };
-        Ok(IncomingRequest { class: *class_id, time_left, tenant, work, retry, upload, call })
+        Ok(IncomingRequest {
+            class: *class_id,
+            time_left,
+            tenant,
+            estimated_work,
+            marked_retry,
+            body_pending,
+            request: upstream_request,
+        })
     }
 
     fn class(&self, headers: &HeaderMap) -> Result<&RequestClass, RequestError> {
@@ -182,11 +190,11 @@
 ) -> Result<RequestBody, RequestError> {
     let takes_body = idempotency != Idempotency::Idempotent;
     match read_prefix(body, None).await {
-        BodyPrefix::Whole(body) if takes_body || body.is_empty() => Ok(RequestBody::Whole(body)),
+        BodyPrefix::Complete(body) if takes_body || body.is_empty() => Ok(RequestBody::Complete(body)),
         BodyPrefix::More(prefix, rest) if takes_body => {
             Ok(RequestBody::Streamed(RequestBodyStream::new(prefix, rest, progress.clone())))
         }
-        BodyPrefix::Whole(_) | BodyPrefix::More(..) => Err(RequestError::UNEXPECTED_BODY),
+        BodyPrefix::Complete(_) | BodyPrefix::More(..) => Err(RequestError::UNEXPECTED_BODY),
         BodyPrefix::TooLong => Err(RequestError::BODY_TOO_LARGE),
         BodyPrefix::Broken => Err(RequestError::BROKEN_BODY),
     }
--- a/crates/proxy/src/downstream/response_body.rs
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -56,7 +56,7 @@
             Source::Streamed { body, progress } => {
                 let polled = body.poll_frame(context);
                 if body.is_complete() {
-                    progress.answered();
+                    progress.response_complete();
                 }
                 polled
             }
--- a/crates/proxy/src/downstream/responses.rs
+++ b/crates/proxy/src/downstream/responses.rs
@@ -36,7 +36,7 @@
 /// The answer to a request that failed after it was admitted.
 pub fn failed(failure: Failure) -> Response<ResponseBody> {
     match failure {
-        Failure::Time => plain_text(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+        Failure::DeadlineExceeded => plain_text(StatusCode::GATEWAY_TIMEOUT, "out of time"),
         Failure::Upstream => plain_text(StatusCode::BAD_GATEWAY, "upstream failed"),
     }
 }
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -26,7 +26,7 @@
     /// Connections.
     pub connections: usize,
     /// Bytes of the bodies of open requests and of their answers.
-    pub bodies: usize,
+    pub body_bytes: usize,
 }
 
 /// Serves the clients' connections.
@@ -60,7 +60,7 @@
             validator: RequestValidator::new(classes, tenants, shutdown),
             permits: ConnectionPermits::new(limits.connections, idle_connections.clone()),
             idle_connections,
-            body_memory: ResizableLimit::new(limits.bodies),
+            body_memory: ResizableLimit::new(limits.body_bytes),
             open_request_ids: OpenRequestIds::default(),
             shutdown,
         })
@@ -68,7 +68,7 @@
 
     /// Changes the limits. What exceeds the new ones is released as connections become idle.
     pub fn resize(&self, limits: &ConnectionLimits) {
-        self.body_memory.resize(limits.bodies);
+        self.body_memory.resize(limits.body_bytes);
         self.permits.resize(limits.connections);
     }
 }
--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -42,7 +42,7 @@
         if last_request {
             progress.last_answer();
         } else if !response.body().is_streamed() {
-            progress.answered();
+            progress.response_complete();
         }
         let phase_closes = || self.lifecycle.phases.borrow().parts();
         if last_request || overflow || self.permits.is_nearly_full() || phase_closes() {
@@ -76,17 +76,17 @@
         let stop_requested = self.lifecycle.ordered.get();
         let incoming = self.validator.read(request, progress, stop_requested).await?;
         let _open_id = incoming
-            .call
+            .request
             .headers
             .get(REQ_ID)
             .and_then(|id| self.open_request_ids.open(id))
             .ok_or(RequestError::bad_request("this Req-Id is open"))?;
-        let upload = match &incoming.call.body {
-            RequestBody::Whole(_) => None,
+        let upload = match &incoming.request.body {
+            RequestBody::Complete(_) => None,
             RequestBody::Streamed(upload) => Some(upload.clone()),
         };
         if upload.is_none() {
-            progress.taken();
+            progress.request_complete();
             // The client may have left while its connection waited, or before its request was read.
             if progress.disconnected_now().await {
                 return Err(RequestError::bad_request("the caller has left"));
@@ -94,7 +94,7 @@
         }
         let pending = self.dispatcher.submit(incoming);
         let answer = match upload {
-            None => pending.answer().await,
+            None => pending.final_response().await,
             Some(upload) => answer_upload(pending, upload, progress).await?,
         };
         Ok(final_response(answer, body_memory, progress))
@@ -117,12 +117,12 @@
 ) -> Result<FinalResponse<T::Response>, RequestError> {
     let body_end = async {
         let end = upload.wait_for_end().await;
-        if end == BodyEnd::Whole {
-            progress.taken();
+        if end == BodyEnd::Complete {
+            progress.request_complete();
         }
         end
     };
-    pending.answer_upload(body_end).await.map_err(RequestError::incomplete_body)
+    pending.final_response_after_body(body_end).await.map_err(RequestError::incomplete_body)
 }
 
 /// The answer to the client. The body's memory is released once it was written or the client is gone.
@@ -134,7 +134,7 @@
     match answer {
         FinalResponse::Forwarded(upstream) => {
             let mut body = match upstream.body {
-                UpstreamBody::Whole(body) => ResponseBody::complete(body),
+                UpstreamBody::Complete(body) => ResponseBody::complete(body),
                 UpstreamBody::Streamed(streamed) => ResponseBody::streamed(streamed, progress.clone()),
             };
             body.memory = Some(body_memory);
--- a/crates/proxy/src/process/resource_limits.rs
+++ b/crates/proxy/src/process/resource_limits.rs
@@ -47,7 +47,7 @@
         let body_bytes = (self.memory as f64 * BODY_MEMORY_SHARE) as usize / processes;
         ResourceLimits {
             upstream_connections: connections - client_connections,
-            client: ConnectionLimits { connections: client_connections, bodies: body_bytes },
+            client: ConnectionLimits { connections: client_connections, body_bytes },
         }
     }
 }
--- a/crates/proxy/src/process/resource_limits/tests.rs
+++ b/crates/proxy/src/process/resource_limits/tests.rs
@@ -7,7 +7,7 @@
     let limits = ResourceBudget { descriptors: 256, memory: 32 * MIB }.limits_of_one(1);
     assert_eq!(limits.client.connections, 118);
     assert_eq!(limits.upstream_connections, 98);
-    assert_eq!(limits.client.bodies, 13_421_772);
+    assert_eq!(limits.client.body_bytes, 13_421_772);
 }
 
 #[test]
@@ -15,7 +15,7 @@
     let limits = ResourceBudget { descriptors: 256, memory: 32 * MIB }.limits_of_one(2);
     assert_eq!(limits.client.connections, 48);
     assert_eq!(limits.upstream_connections, 40);
-    assert_eq!(limits.client.bodies, 6_710_886);
+    assert_eq!(limits.client.body_bytes, 6_710_886);
 }
 
 #[test]
--- a/crates/proxy/src/upstream/body_prefix.rs
+++ b/crates/proxy/src/upstream/body_prefix.rs
@@ -18,7 +18,7 @@
 /// The beginning of a body.
 pub enum BodyPrefix {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// What has come, and the source of the rest.
     More(Bytes, Incoming),
     /// The peer broke it off, or its framing is invalid.
@@ -46,7 +46,7 @@
             },
         };
         match frame {
-            None => return BodyPrefix::Whole(buffered.freeze()),
+            None => return BodyPrefix::Complete(buffered.freeze()),
             Some(Err(_)) => return BodyPrefix::Broken,
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -32,7 +32,7 @@
 /// A request's body.
 pub enum RequestBody {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// A body that is still coming.
     Streamed(Rc<RequestBodyStream>),
 }
@@ -41,7 +41,7 @@
     /// The length in bytes, if it is known.
     pub fn declared_length(&self) -> Option<u64> {
         match self {
-            RequestBody::Whole(body) => Some(body.len() as u64),
+            RequestBody::Complete(body) => Some(body.len() as u64),
             RequestBody::Streamed(stream) => stream.declared_length(),
         }
     }
@@ -49,8 +49,8 @@
     /// The length in bytes once the last byte has come; none before.
     pub fn complete_length(&self) -> Option<u64> {
         match self {
-            RequestBody::Whole(body) => Some(body.len() as u64),
-            RequestBody::Streamed(stream) if stream.end() == Some(BodyEnd::Whole) => {
+            RequestBody::Complete(body) => Some(body.len() as u64),
+            RequestBody::Streamed(stream) if stream.end() == Some(BodyEnd::Complete) => {
                 Some(stream.length_so_far())
             }
             RequestBody::Streamed(_) => None,
@@ -60,14 +60,14 @@
     /// Whether the client has broken the body off or exceeded the limit: it will never be complete.
     pub fn is_broken_off(&self) -> bool {
         match self {
-            RequestBody::Whole(_) => false,
-            RequestBody::Streamed(stream) => stream.end().is_some_and(|end| end != BodyEnd::Whole),
+            RequestBody::Complete(_) => false,
+            RequestBody::Streamed(stream) => stream.end().is_some_and(|end| end != BodyEnd::Complete),
         }
     }
 
     fn outgoing(&self) -> OutgoingBody {
         match self {
-            RequestBody::Whole(body) => OutgoingBody::complete(body.clone()),
+            RequestBody::Complete(body) => OutgoingBody::complete(body.clone()),
             RequestBody::Streamed(stream) => OutgoingBody::streamed(stream),
         }
     }
@@ -80,7 +80,7 @@
             method: Method::GET,
             uri: Uri::from_static("/health/live"),
             headers: HeaderMap::new(),
-            body: RequestBody::Whole(Bytes::new()),
+            body: RequestBody::Complete(Bytes::new()),
             client: None,
         }
     }
--- a/crates/proxy/src/upstream/request_body_stream.rs
+++ b/crates/proxy/src/upstream/request_body_stream.rs
@@ -84,7 +84,7 @@
     /// The next part of the rest.
     fn poll_rest(&self, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.end.get() {
-            Some(BodyEnd::Whole) => return Poll::Ready(None),
+            Some(BodyEnd::Complete) => return Poll::Ready(None),
             Some(_) => return Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
             None => self.rest_consumed.set(true),
         }
@@ -94,7 +94,7 @@
             self.client.want_body(polled.is_pending());
             let frame = match ready!(polled) {
                 None => {
-                    self.set_end(BodyEnd::Whole);
+                    self.set_end(BodyEnd::Complete);
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => {
@@ -112,7 +112,7 @@
             }
             // With a declared length hyper may not poll again after the last byte, so the end is noted here.
             if rest.is_end_stream() {
-                self.set_end(BodyEnd::Whole);
+                self.set_end(BodyEnd::Complete);
             }
             return Poll::Ready(Some(Ok(frame)));
         }
@@ -166,7 +166,7 @@
         match self {
             OutgoingBody::Complete(body) => body.is_end_stream(),
             OutgoingBody::Streamed { prefix, stream } => {
-                prefix.is_none() && stream.end() == Some(BodyEnd::Whole)
+                prefix.is_none() && stream.end() == Some(BodyEnd::Complete)
             }
         }
     }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub enum UpstreamBody {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// A body that is still coming.
     Streamed(StreamedBody),
 }
@@ -68,8 +68,8 @@
 
 async fn read_success(headers: HeaderMap, body: Incoming, lease: ConnectionLease) -> ExchangeResult {
     match read_response_prefix(body).await {
-        BodyPrefix::Whole(body) => ExchangeResult {
-            response: Some(UpstreamResponse { headers, body: UpstreamBody::Whole(body) }),
+        BodyPrefix::Complete(body) => ExchangeResult {
+            response: Some(UpstreamResponse { headers, body: UpstreamBody::Complete(body) }),
             connection: Some(lease.into_connection()),
             ..Outcome::Ok.into()
         },
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -42,7 +42,7 @@
         method,
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
-        body: RequestBody::Whole(body),
+        body: RequestBody::Complete(body),
         client: None,
     })
 }
@@ -184,13 +184,13 @@
     let socket = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it listens");
     let stream = ClientStream::new(listener.accept().await.expect("a connection").0);
     let connection = ConnectionProgress::new(Rc::default(), &stream);
-    connection.taken();
+    connection.request_complete();
     let client: Weak<dyn ClientConnection> = Rc::<ConnectionProgress>::downgrade(&connection);
     let request = UpstreamRequest {
         method: Method::GET,
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
-        body: RequestBody::Whole(Bytes::new()),
+        body: RequestBody::Complete(Bytes::new()),
         client: Some(client),
     };
     let progress = AttemptProgress::new(&Rc::new(request));
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -216,7 +216,7 @@
     let idle_clients = IdleClients::new(balancer.address, IDLE);
     agent.called(2);
     balancer.terminate();
-    balancer.logged("told to stop");
+    balancer.logged("shutdown requested");
     let order = Instant::now();
     drop(idle_clients);
     let (mut idle, mut asking) = (Vec::new(), Vec::new());
--- a/crates/proxy/tests/operators.rs
+++ b/crates/proxy/tests/operators.rs
@@ -166,7 +166,7 @@
         assert_eq!(new.call("POST", "/api/include/s-2"), 200);
 
         old.terminate();
-        old.logged("told to stop");
+        old.logged("shutdown requested");
         assert_eq!(old.call("GET", "/api/ready"), 503);
         // Its connections stay open until their next response, and the address is ready all the while.
         let ready = exchange(&mut kept, READY);
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -63,7 +63,7 @@
     read(&mut stream).expect("an attempt");
 
     balancer.terminate();
-    balancer.logged("told to stop");
+    balancer.logged("shutdown requested");
     let order = Instant::now();
     // Neither is closed, and new ones still come: their callers may have no other balancer yet.
     let ask = |mut client: TcpStream, id: &str| {
@@ -110,7 +110,7 @@
         let mut client = balancer.connect();
         assert_eq!(exchange(&mut client, READY).status(), 200);
         balancer.terminate();
-        balancer.logged("told to stop");
+        balancer.logged("shutdown requested");
         let order = Instant::now();
         std::thread::sleep(Duration::from_millis(800));
         let sent = client.write_all(request("pay", "r-1", "").as_bytes());
@@ -175,7 +175,7 @@
     half.write_all(first.as_bytes()).expect("it reads");
     assert_eq!(balancer.ask(READY).status(), 200);
     balancer.terminate();
-    balancer.logged("told to stop");
+    balancer.logged("shutdown requested");
     let order = Instant::now();
     let mut clients = vec![kept, unused];
     balancer.frozen(|| {
@@ -204,7 +204,7 @@
         let mut balancer = setup.start();
         let _requests = upstream.serve(|_, stream| ok(stream));
         balancer.terminate();
-        balancer.logged("told to stop");
+        balancer.logged("shutdown requested");
         let order = Instant::now();
         std::thread::sleep(Duration::from_millis(400));
         let client = TcpStream::connect(balancer.address);
@@ -254,7 +254,7 @@
     from.write_all(&body[..120_000]).expect("it reads");
     let mut answered = read_head(&mut down).expect("an answer");
     balancer.terminate();
-    balancer.logged("told to stop");
+    balancer.logged("shutdown requested");
     // Both go on when its listener is closed.
     while TcpStream::connect(balancer.address).is_ok() {
         std::thread::sleep(Duration::from_millis(20));
@@ -279,7 +279,7 @@
     let mut held = balancer.held(&upstream, 3);
     let mut waiting = Vec::new();
     balancer.terminate();
-    balancer.logged("told to stop");
+    balancer.logged("shutdown requested");
     let order = Instant::now();
     balancer.frozen(|| {
         for id in 3..12 {
