--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -87,7 +87,7 @@
         S: Service<Request<Incoming>, Response = Response<ResponseBody>, Error = Infallible> + Unpin,
         S::Future: Unpin,
     {
-        let mut phases = self.lifecycle.phases.subscribe();
+        let mut phases = self.lifecycle.subscribe();
         let mut timer = Box::pin(sleep(Duration::ZERO));
         loop {
             let phase = *phases.borrow_and_update();
@@ -133,7 +133,7 @@
         phase_seen: Instant,
     ) -> Option<Instant> {
         // Not shorter before: clients that find their connections closed may have no other balancer yet.
-        let idle_time = if phase.parts() { CLOSING_IDLE_TIME } else { IDLE_TIME };
+        let idle_time = if phase.closes_connections() { CLOSING_IDLE_TIME } else { IDLE_TIME };
         let deadline = progress.deadline(idle_time)?;
         if phase != Phase::ClosingListener {
             return Some(deadline);
@@ -142,7 +142,7 @@
         let stop_deadline = match progress.stage() {
             RequestStage::Idle => phase_seen + UNUSED_CONNECTION_GRACE,
             RequestStage::Head | RequestStage::Body | RequestStage::Open => {
-                self.lifecycle.ordered.get().unwrap_or(phase_seen) + self.shutdown.total()
+                self.lifecycle.shutdown_requested_at().unwrap_or(phase_seen) + self.shutdown.total()
             }
         };
         Some(deadline.min(stop_deadline))
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -42,14 +42,13 @@
             self.close_listener(listener.socket).await;
         }
         let phase = if shared { Phase::HandingOver } else { Phase::ClosingListener };
-        self.lifecycle.phases.send_replace(phase);
+        self.lifecycle.enter(phase);
         self.permits.all_released().await;
     }
 
     /// Accepts connections until that is to end.
     async fn accept_connections(self: &Rc<Self>, listener: &Listener) {
-        let mut accepting_ends =
-            pin!(self.accepting_ends(self.lifecycle.phases.subscribe(), listener.shared));
+        let mut accepting_ends = pin!(self.accepting_ends(self.lifecycle.subscribe(), listener.shared));
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -73,10 +72,10 @@
 
     /// Waits until no more connections are to be accepted.
     async fn accepting_ends(&self, mut phases: watch::Receiver<Phase>, shared: bool) {
-        let _ = phases.wait_for(|phase| phase.ends()).await;
+        let _ = phases.wait_for(|phase| phase.is_shutting_down()).await;
         eprintln!("zincstand-proxy: shutdown requested");
         if !shared {
-            let stop_requested = self.lifecycle.ordered.get().unwrap_or_else(Instant::now);
+            let stop_requested = self.lifecycle.shutdown_requested_at().unwrap_or_else(Instant::now);
             sleep_until(stop_requested + self.shutdown.accepting_time()).await;
         }
     }
@@ -86,8 +85,8 @@
     async fn close_listener(self: &Rc<Self>, socket: TcpListener) {
         let Ok(socket) = socket.into_std() else { return };
         // From here on connections that have carried nothing are soon closed, and leave room.
-        self.lifecycle.phases.send_replace(Phase::ClosingListener);
-        let stop_requested = self.lifecycle.ordered.get().unwrap_or_else(Instant::now);
+        self.lifecycle.enter(Phase::ClosingListener);
+        let stop_requested = self.lifecycle.shutdown_requested_at().unwrap_or_else(Instant::now);
         let deadline = stop_requested + self.shutdown.total() - UNUSED_CONNECTION_GRACE / 2;
         let _ = timeout_at(deadline, self.drain_accept_queue(&socket)).await;
     }
--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -44,7 +44,7 @@
         } else if !response.body().is_streamed() {
             progress.response_complete();
         }
-        let phase_closes = || self.lifecycle.phases.borrow().parts();
+        let phase_closes = || self.lifecycle.phase().closes_connections();
         if last_request || overflow || self.permits.is_nearly_full() || phase_closes() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -54,9 +54,9 @@
     /// Whether clients may send requests to this address.
     fn readiness(&self) -> Response<ResponseBody> {
         // A successor answers for both: the address goes on accepting clients.
-        let accepting = match self.lifecycle.follow() {
+        let accepting = match self.lifecycle.apply_overrides() {
             Phase::Running => true,
-            Phase::Draining | Phase::HandingOver => self.lifecycle.sibling_running.get(),
+            Phase::Draining | Phase::HandingOver => self.lifecycle.is_sibling_running(),
             Phase::Evacuated | Phase::ClosingListener => false,
         };
         if accepting && self.lifecycle.may_serve(self.dispatcher.has_endpoint_list()) {
@@ -73,7 +73,7 @@
         progress: &Rc<ConnectionProgress>,
     ) -> Result<Response<ResponseBody>, RequestError> {
         let body_memory = self.acquire_body_memory(&request)?;
-        let stop_requested = self.lifecycle.ordered.get();
+        let stop_requested = self.lifecycle.shutdown_requested_at();
         let incoming = self.validator.read(request, progress, stop_requested).await?;
         let _open_id = incoming
             .request
--- a/crates/proxy/src/lifecycle/phase.rs
+++ b/crates/proxy/src/lifecycle/phase.rs
@@ -32,14 +32,4 @@
             Phase::Evacuated | Phase::ClosingListener | Phase::HandingOver => true,
         }
     }
-
-    /// The former name of [`Phase::is_shutting_down`], for the callers in `downstream`.
-    pub(crate) fn ends(self) -> bool {
-        self.is_shutting_down()
-    }
-
-    /// The former name of [`Phase::closes_connections`], for the callers in `downstream`.
-    pub(crate) fn parts(self) -> bool {
-        self.closes_connections()
-    }
 }
--- a/crates/proxy/src/lifecycle/process_lifecycle.rs
+++ b/crates/proxy/src/lifecycle/process_lifecycle.rs
@@ -17,11 +17,11 @@
 
 /// The phase of this process, with what determines it.
 pub struct Lifecycle {
-    pub(crate) phases: watch::Sender<Phase>,
+    phases: watch::Sender<Phase>,
     overrides: Rc<OverrideStore>,
-    pub(crate) sibling_running: Cell<bool>,
+    sibling_running: Cell<bool>,
     /// When shutdown was requested.
-    pub(crate) ordered: Cell<Option<Instant>>,
+    shutdown_requested_at: Cell<Option<Instant>>,
     started_at: Instant,
 }
 
@@ -32,7 +32,7 @@
             phases: watch::Sender::new(Phase::Running),
             overrides,
             sibling_running: Cell::default(),
-            ordered: Cell::default(),
+            shutdown_requested_at: Cell::default(),
             started_at: Instant::now(),
         };
         lifecycle.apply_overrides();
@@ -92,7 +92,7 @@
             if phase.is_shutting_down() {
                 return false;
             }
-            self.ordered.set(Some(Instant::now()));
+            self.shutdown_requested_at.set(Some(Instant::now()));
             *phase = Phase::Draining;
             true
         });
@@ -100,7 +100,7 @@
 
     /// When shutdown was first requested.
     pub fn shutdown_requested_at(&self) -> Option<Instant> {
-        self.ordered.get()
+        self.shutdown_requested_at.get()
     }
 
     /// Records whether another process of this balancer is running.
@@ -122,9 +122,4 @@
     pub fn accepts_connections(&self) -> bool {
         !self.phase().is_shutting_down()
     }
-
-    /// The former name of [`Lifecycle::apply_overrides`], for the callers in `downstream`.
-    pub(crate) fn follow(&self) -> Phase {
-        self.apply_overrides()
-    }
 }
--- a/crates/proxy/src/process/sibling_watch.rs
+++ b/crates/proxy/src/process/sibling_watch.rs
@@ -80,7 +80,7 @@
     async fn run(mut self) {
         loop {
             sleep(SIBLING_CHECK_INTERVAL).await;
-            self.lifecycle.follow();
+            self.lifecycle.apply_overrides();
             self.dispatcher.apply_overrides();
             if self.siblings.check() {
                 self.divide_resources();
