--- a/crates/cli/tests/docs.rs
+++ b/crates/cli/tests/docs.rs
@@ -16,6 +16,15 @@
         .collect()
 }
 
+/// The quoted modules of the proxy, as the page of the architecture names them: `dispatch/timers.rs`.
+fn proxy_modules(page: &str) -> Vec<String> {
+    let folders =
+        ["process", "admin", "downstream", "upstream", "dispatch", "discovery", "lifecycle", "limits"];
+    let quoted = page.split('`').skip(1).step_by(2);
+    let is_module = |text: &&str| folders.iter().any(|folder| text.starts_with(&format!("{folder}/")));
+    quoted.filter(is_module).map(str::to_owned).collect()
+}
+
 #[test]
 fn every_path_that_a_page_names_exists() {
     let mut missing = Vec::new();
@@ -31,6 +40,10 @@
             std::fs::read_to_string(root().join(page)).unwrap_or_else(|error| panic!("{page}: {error}"));
         let named = paths(&text);
         missing.extend(named.into_iter().filter(|path| !root().join(path).exists()).map(|path| (page, path)));
+        let modules = proxy_modules(&text);
+        let proxy = root().join("crates/proxy/src");
+        missing
+            .extend(modules.into_iter().filter(|path| !proxy.join(path).exists()).map(|path| (page, path)));
     }
     assert!(missing.is_empty(), "pages name files that do not exist: {missing:?}");
 }
--- a/crates/fleet-model/src/policy/baseline.rs
+++ b/crates/fleet-model/src/policy/baseline.rs
@@ -10,6 +10,7 @@
 
 use super::Policy;
 use super::full_knowledge::FullKnowledge;
+use super::known_state::{KnownServer, OpenRequest, PossibleRun};
 use super::selection::{Selector, Strategy};
 use crate::server::Truth;
 
@@ -21,31 +22,6 @@
 /// A held request's timer has the request's id and this as its token: token 0 is left free.
 const HOLD_TOKEN_OFFSET: u64 = 1;
 
-/// A server on the list.
-pub(super) struct KnownServer {
-    pub entry: ServerEntry,
-    /// The balancer's own attempts.
-    pub in_flight: u32,
-}
-
-/// A request without a final answer.
-pub(super) struct OpenRequest {
-    pub class: usize,
-    pub arrived: Micros,
-    pub deadline: Micros,
-    pub attempts_sent: u32,
-    /// The first attempt that may have run.
-    possible_run: Option<PossibleRun>,
-    last_server: Option<ServerId>,
-}
-
-/// An attempt that a server may have executed.
-#[derive(Clone, Copy)]
-struct PossibleRun {
-    sent_at: Micros,
-    cell: u32,
-}
-
 /// An attempt that ended without an answer to its request.
 struct FailedAttempt {
     server: ServerId,
--- a/crates/fleet-model/src/policy/full_knowledge.rs
+++ b/crates/fleet-model/src/policy/full_knowledge.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy::{Micros, ServerId, Settings};
 
-use super::baseline::{KnownServer, OpenRequest};
+use super::known_state::{KnownServer, OpenRequest};
 use crate::server::{TrueState, Truth};
 
 /// Longest queue that a request of the class with the shortest latency objective is put into, in shortest objectives.
--- a/crates/fleet-model/src/policy/mod.rs
+++ b/crates/fleet-model/src/policy/mod.rs
@@ -2,6 +2,7 @@
 
 mod baseline;
 mod full_knowledge;
+mod known_state;
 mod selection;
 
 use std::str::FromStr;
--- a/crates/fleet-model/src/policy/selection.rs
+++ b/crates/fleet-model/src/policy/selection.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy::ServerId;
 
-use super::baseline::KnownServer;
+use super::known_state::KnownServer;
 
 /// A baseline's strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet of hollow balancers and the threads that run them.
 
-use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
-use std::sync::{Arc, RwLock, mpsc};
+use std::sync::atomic::Ordering::Relaxed;
+use std::sync::{Arc, mpsc};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
@@ -10,28 +10,11 @@
 use zincstand_policy::ServerState;
 use zincstand_settings::{Names, Setup};
 
+use super::control::{FleetControl, MarkedEntry};
 use super::group::{BalancerGroup, GroupCommand};
 use super::settings::platform_settings;
 use super::{FleetError, FleetOptions, ListApplied, SlowBalancers};
 
-/// An entry of the list to look for.
-#[derive(Clone, Debug, PartialEq)]
-pub struct MarkedEntry {
-    /// The instance's name.
-    pub instance: String,
-    /// The state in which the entry must be.
-    pub state: ServerState,
-}
-
-/// What the owner of a fleet and its threads share.
-#[derive(Default)]
-pub struct FleetControl {
-    /// Lists that hold this entry are marked.
-    pub mark: RwLock<Option<MarkedEntry>>,
-    /// Whether slow balancers are slow now.
-    pub is_stalling: AtomicBool,
-}
-
 /// Hollow balancers at work. They end when dropped.
 pub struct HollowFleet {
     workers: Vec<Worker>,
--- a/crates/testbed/src/hollow/group.rs
+++ b/crates/testbed/src/hollow/group.rs
@@ -13,7 +13,7 @@
 use zincstand_proxy::dispatch::{AttemptCompletion, Dispatcher, HealthCheckResult, Transport};
 use zincstand_settings::Names;
 
-use super::fleet::FleetControl;
+use super::control::FleetControl;
 use super::{FleetOptions, ListApplied, SlowBalancers, UpdateMode};
 use crate::discovery::thread_processor_time;
 
--- a/crates/testbed/src/hollow/mod.rs
+++ b/crates/testbed/src/hollow/mod.rs
@@ -1,6 +1,7 @@
 //! Hollow balancers: the real discovery client and the real policy in the real dispatcher, many in one process, with
 //! no requests to forward. What discovery notifies them of reaches the policy as in a process of its own.
 
+mod control;
 mod fleet;
 mod group;
 mod settings;
