--- a/crates/fleet-model/src/world/actions.rs
+++ b/crates/fleet-model/src/world/actions.rs
@@ -4,7 +4,8 @@
 
 use super::World;
 use super::event::{Message, Reply, WorldEvent};
-use super::state::{AttemptIndex, PossibleRun, ProcessIndex, RecentEvent, RequestIndex, ServerIndex};
+use super::index::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
+use super::state::{PossibleRun, RecentEvent};
 use crate::scenario::{Class, Effect};
 use crate::scoring::Rule;
 
--- a/crates/fleet-model/src/world/attempts.rs
+++ b/crates/fleet-model/src/world/attempts.rs
@@ -5,10 +5,8 @@
 
 use super::World;
 use super::event::{Message, WorldEvent};
-use super::state::{
-    Attempt, AttemptConnection, AttemptIndex, Caller, Job, JobPhase, ProcessIndex, Request, RequestIndex,
-    ServerIndex,
-};
+use super::index::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
+use super::state::{Attempt, AttemptConnection, Caller, Job, JobPhase, Request};
 use crate::random::{self, Purpose};
 use crate::scenario::Spread;
 use crate::scoring::{Cause, Rule};
--- a/crates/fleet-model/src/world/attribution.rs
+++ b/crates/fleet-model/src/world/attribution.rs
@@ -1,7 +1,8 @@
 //! Which cause the time of a request is charged to.
 
 use super::World;
-use super::state::{Attempt, AttemptIndex, Job, JobPhase, RequestIndex, ServerIndex};
+use super::index::{AttemptIndex, RequestIndex, ServerIndex};
+use super::state::{Attempt, Job, JobPhase};
 use crate::scoring::Cause;
 use crate::server::Condition;
 
--- a/crates/fleet-model/src/world/connections.rs
+++ b/crates/fleet-model/src/world/connections.rs
@@ -2,7 +2,8 @@
 
 use super::World;
 use super::event::WorldEvent;
-use super::state::{IdleConnection, ProcessIndex, ServerIndex};
+use super::index::{ProcessIndex, ServerIndex};
+use super::state::IdleConnection;
 
 impl World<'_> {
     /// Takes the most recently used idle connection to a server, if one is left. Connections that have become too old
--- a/crates/fleet-model/src/world/discovery.rs
+++ b/crates/fleet-model/src/world/discovery.rs
@@ -5,8 +5,9 @@
 use zincstand_policy::{Event, ListKind, Micros, ServerEntry, ServerState};
 
 use super::World;
-use super::event::{UpdateScope, WorldEvent};
-use super::state::{ProcessIndex, RecentEvent, ServerIndex};
+use super::event::{ListedState, UpdateScope, WorldEvent};
+use super::index::{ProcessIndex, ServerIndex};
+use super::state::RecentEvent;
 use crate::random::{self, Purpose};
 use crate::scenario::Asking;
 
@@ -19,15 +20,6 @@
 /// Second half of the pair from which a ring position is made; the first is the address.
 const RING_SALT: u64 = 0x9e37_79b9;
 
-/// What discovery says of a server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ListedState {
-    /// With the time of its start, if that lies within the day.
-    Ready(Option<Micros>),
-    Draining,
-    Removed,
-}
-
 /// How discovery learns of a server's change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChangeVisibility {
--- a/crates/fleet-model/src/world/event.rs
+++ b/crates/fleet-model/src/world/event.rs
@@ -5,9 +5,7 @@
 
 use zincstand_policy::{Micros, Outcome};
 
-use super::discovery::ListedState;
-use super::faults::FaultStage;
-use super::state::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
+use super::index::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
 use crate::server::JobIndex;
 
 /// One thing that happens at an instant of virtual time.
@@ -134,3 +132,31 @@
         Some((next.at, next.event))
     }
 }
+
+/// What discovery says of a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ListedState {
+    /// With the time of its start, if that lies within the day.
+    Ready(Option<Micros>),
+    Draining,
+    Removed,
+}
+
+/// A stage of a fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FaultStage {
+    /// The whole fault begins.
+    Begin,
+    /// The whole fault ends.
+    End,
+    /// One target takes a step.
+    Target { target: u32, step: TargetStep },
+}
+
+/// What happens to one target of a fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum TargetStep {
+    Drain,
+    Stop,
+    Start,
+}
--- a/crates/fleet-model/src/world/faults/balancers.rs
+++ b/crates/fleet-model/src/world/faults/balancers.rs
@@ -2,13 +2,13 @@
 
 use zincstand_policy::LearnedState;
 
-use super::schedule::TargetStep;
 use super::{FRONT_NOTICE, READY_DELAY};
 use crate::scenario::{Fault, FaultKind};
 use crate::world::World;
+use crate::world::event::TargetStep;
 use crate::world::event::WorldEvent;
+use crate::world::index::ProcessIndex;
 use crate::world::processes::ProcessEnd;
-use crate::world::state::ProcessIndex;
 
 impl World<'_> {
     /// A balancer is killed, restarted or replaced, step by step.
--- a/crates/fleet-model/src/world/faults/mod.rs
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -7,11 +7,10 @@
 
 use zincstand_policy::Micros;
 
-use self::schedule::TargetStep;
+use super::event::TargetStep;
 
-pub(super) use self::schedule::FaultStage;
 use super::World;
-use super::event::WorldEvent;
+use super::event::{FaultStage, WorldEvent};
 use super::state::HeavyTail;
 use crate::scenario::{Fault, FaultKind};
 
--- a/crates/fleet-model/src/world/faults/schedule.rs
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -5,26 +5,7 @@
 use super::{RESTART_DELAY, SHUTDOWN_GRACE};
 use crate::scenario::{Fault, FaultKind};
 use crate::world::World;
-use crate::world::event::WorldEvent;
-
-/// What happens to one target of a fault.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::world) enum TargetStep {
-    Drain,
-    Stop,
-    Start,
-}
-
-/// A stage of a fault.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::world) enum FaultStage {
-    /// The whole fault begins.
-    Begin,
-    /// The whole fault ends.
-    End,
-    /// One target takes a step.
-    Target { target: u32, step: TargetStep },
-}
+use crate::world::event::{FaultStage, TargetStep, WorldEvent};
 
 /// When a balancer's process drains, ends, and when its next one starts.
 struct BalancerTimes {
--- a/crates/fleet-model/src/world/faults/servers.rs
+++ b/crates/fleet-model/src/world/faults/servers.rs
@@ -1,13 +1,14 @@
 //! Faults of single servers: deploys, replacements, vanished machines, exclusion by operators, and slow or failing ones.
 
 use super::FaultStatus;
-use super::schedule::TargetStep;
 use crate::scenario::{Fault, FaultKind};
 use crate::server::{Server, Slowdown};
 use crate::world::World;
-use crate::world::discovery::{ChangeVisibility, ListedState};
+use crate::world::discovery::ChangeVisibility;
+use crate::world::event::ListedState;
+use crate::world::event::TargetStep;
+use crate::world::index::{ProcessIndex, ServerIndex};
 use crate::world::processes::ProcessEnd;
-use crate::world::state::{ProcessIndex, ServerIndex};
 
 impl World<'_> {
     /// A server drains, stops or starts again.
--- a/crates/fleet-model/src/world/faults/zones.rs
+++ b/crates/fleet-model/src/world/faults/zones.rs
@@ -3,10 +3,11 @@
 use super::{FaultStatus, READY_DELAY};
 use crate::scenario::Fault;
 use crate::world::World;
-use crate::world::discovery::{ChangeVisibility, ListedState};
+use crate::world::discovery::ChangeVisibility;
+use crate::world::event::ListedState;
 use crate::world::event::{UpdateScope, WorldEvent};
+use crate::world::index::{ProcessIndex, ServerIndex};
 use crate::world::processes::ProcessEnd;
-use crate::world::state::{ProcessIndex, ServerIndex};
 
 impl World<'_> {
     /// A zone's servers and balancers vanish, or are back.
--- a/crates/fleet-model/src/world/jobs.rs
+++ b/crates/fleet-model/src/world/jobs.rs
@@ -4,7 +4,8 @@
 
 use super::World;
 use super::event::{Message, WorldEvent};
-use super::state::{Caller, Job, JobPhase, ServerIndex};
+use super::index::ServerIndex;
+use super::state::{Caller, Job, JobPhase};
 use crate::scoring::Cause;
 use crate::server::JobIndex;
 
--- a/crates/fleet-model/src/world/messages.rs
+++ b/crates/fleet-model/src/world/messages.rs
@@ -4,7 +4,8 @@
 
 use super::World;
 use super::event::{Message, Reply, WorldEvent};
-use super::state::{AttemptIndex, Caller, ProcessIndex, RecentEvent, RequestIndex};
+use super::index::{AttemptIndex, ProcessIndex, RequestIndex};
+use super::state::{Caller, RecentEvent};
 use crate::server::Truth;
 
 /// Processor time of a timer as a share of that of any other message.
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -12,6 +12,7 @@
 mod discovery;
 mod event;
 mod faults;
+mod index;
 mod jobs;
 mod messages;
 mod processes;
@@ -25,9 +26,8 @@
 
 use self::discovery::Change;
 use self::event::{EventQueue, WorldEvent};
-use self::state::{
-    Attempt, ClientTry, FrontBalancer, HeavyTail, Job, Process, ProcessIndex, Request, ServerIndex,
-};
+use self::index::{ProcessIndex, ServerIndex};
+use self::state::{Attempt, ClientTry, FrontBalancer, HeavyTail, Job, Process, Request};
 use crate::policy::{Kind, Policy};
 use crate::random::{self, Purpose};
 use crate::scenario::{Scenario, ScenarioError};
--- a/crates/fleet-model/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -7,7 +7,8 @@
 
 use super::World;
 use super::event::{Reply, UpdateScope, WorldEvent};
-use super::state::{Caller, FrontBalancer, Process, ProcessIndex, ServerIndex};
+use super::index::{ProcessIndex, ServerIndex};
+use super::state::{Caller, FrontBalancer, Process};
 use crate::random::{self, Purpose};
 use crate::scenario::Asking;
 
--- a/crates/fleet-model/src/world/sampling.rs
+++ b/crates/fleet-model/src/world/sampling.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use super::event::WorldEvent;
-use super::state::{ProcessIndex, RecentEvent, ServerIndex};
+use super::index::{ProcessIndex, ServerIndex};
+use super::state::RecentEvent;
 use super::{MICROS_PER_SECOND, World};
 use crate::scoring::{Breach, NewsCount, Rule, Sample, TierCount};
 use crate::server::AnsweredAttempts;
--- a/crates/fleet-model/src/world/servers.rs
+++ b/crates/fleet-model/src/world/servers.rs
@@ -3,11 +3,12 @@
 use zincstand_policy::{Micros, Outcome};
 
 use super::event::{Message, WorldEvent};
+use super::index::{ProcessIndex, ServerIndex};
 use super::processes::ProcessEnd;
-use super::state::{ProcessIndex, ServerIndex};
 use super::{ServerStart, World};
 use crate::random::{self, Purpose};
-use crate::world::discovery::{ChangeVisibility, ListedState};
+use crate::world::discovery::ChangeVisibility;
+use crate::world::event::ListedState;
 
 impl World<'_> {
     /// Ends a server's process; the balancers of its jobs see their connections break. Its sidecar ends with it.
--- a/crates/fleet-model/src/world/setup.rs
+++ b/crates/fleet-model/src/world/setup.rs
@@ -1,7 +1,8 @@
 //! The world as a day begins: servers, balancers, traffic and the schedule of faults.
 
 use super::event::{EventQueue, WorldEvent};
-use super::state::{ClientTry, FrontBalancer, ServerIndex};
+use super::index::ServerIndex;
+use super::state::{ClientTry, FrontBalancer};
 use super::{MICROS_PER_SECOND, Start, World, arrivals};
 use crate::scenario::Scenario;
 use crate::scoring::Metrics;
--- a/crates/fleet-model/src/world/state.rs
+++ b/crates/fleet-model/src/world/state.rs
@@ -1,18 +1,14 @@
-//! Records of the world's state: requests, attempts, jobs and balancer processes, and the indexes that refer to them.
+//! Records of the world's state: requests, attempts, jobs and balancer processes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use zincstand_policy::{Micros, Outcome, ServerState};
 
 use super::event::Message;
+use super::index::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
 use crate::policy::Policy;
 use crate::server::JobIndex;
 
-pub(super) type ServerIndex = u32;
-pub(super) type ProcessIndex = u32;
-pub(super) type RequestIndex = u32;
-pub(super) type AttemptIndex = u32;
-
 /// The latest try of a client.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClientTry {
