--- a/crates/cli/src/model/tables.rs
+++ b/crates/cli/src/model/tables.rs
@@ -21,7 +21,7 @@
     /// Name of the policy.
     pub policy: &'a str,
     /// Its result.
-    pub result: scoring::Result,
+    pub result: scoring::Score,
 }
 
 /// A table without lines whose columns are aligned to the right, but for the first `text_columns`.
@@ -82,7 +82,7 @@
     )
 }
 
-fn result_cells(policy: &str, result: &scoring::Result) -> Vec<String> {
+fn result_cells(policy: &str, result: &scoring::Score) -> Vec<String> {
     let attempts = result.requests + result.client_retries;
     let attempts_per_request = attempts as f64 / result.requests.max(1) as f64;
     vec![
@@ -104,7 +104,7 @@
 }
 
 /// The first broken rule with the events before it; empty where none was broken.
-fn first_breach(policy: &str, result: &scoring::Result) -> String {
+fn first_breach(policy: &str, result: &scoring::Score) -> String {
     let Some(breach) = result.breaches.first() else {
         return String::new();
     };
--- a/crates/fleet-model/src/scoring/arrival.rs
+++ b/crates/fleet-model/src/scoring/arrival.rs
@@ -6,7 +6,7 @@
 
 /// How a request of a client, with its retries, ended, and when in microseconds of the scenario.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
     #[default]
     Open,
     Served(Micros),
@@ -25,7 +25,7 @@
     pub within: bool,
     /// Work of one call of each tier, before the tier's part.
     pub work: f64,
-    pub end: End,
+    pub end: RequestEnd,
     pub attempts: u32,
     charges: [u32; Cause::ALL.len()],
     /// The server that cost the most time, and how much in microseconds.
@@ -41,7 +41,7 @@
             tenant,
             within: true,
             work,
-            end: End::Open,
+            end: RequestEnd::Open,
             attempts: 0,
             charges: [0; Cause::ALL.len()],
             worst: None,
@@ -68,7 +68,7 @@
 
     /// The cause that most of the request's time was charged to; the first of equal ones.
     pub fn main_cause(&self) -> Cause {
-        if self.attempts == 0 && matches!(self.end, End::Refused(_)) {
+        if self.attempts == 0 && matches!(self.end, RequestEnd::Refused(_)) {
             return Cause::Refused;
         }
         let longest = Cause::ALL
--- a/crates/fleet-model/src/scoring/ledger.rs
+++ b/crates/fleet-model/src/scoring/ledger.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy::Micros;
 
-use super::arrival::{Arrival, End};
+use super::arrival::{Arrival, RequestEnd};
 use super::{Cause, Detail, Loss, MIN_WORTH, NewsCount, Second, TierCount};
 use crate::scenario::{Class, Scenario};
 
@@ -52,10 +52,10 @@
 impl Outcome {
     fn of(arrival: &Arrival, class: &Class) -> Outcome {
         match arrival.end {
-            End::Served(time) if time <= arrival.at + class.aim.0 => Outcome::OnTime,
-            End::Served(_) => Outcome::Late,
-            End::Refused(_) => Outcome::Rejected,
-            End::Failed(_) | End::Open => Outcome::Failed,
+            RequestEnd::Served(time) if time <= arrival.at + class.aim.0 => Outcome::OnTime,
+            RequestEnd::Served(_) => Outcome::Late,
+            RequestEnd::Refused(_) => Outcome::Rejected,
+            RequestEnd::Failed(_) | RequestEnd::Open => Outcome::Failed,
         }
     }
 }
@@ -118,7 +118,7 @@
         let outcome = Outcome::of(arrival, class);
         self.ends.count(outcome);
         self.ends_by_second[second].count(outcome);
-        if matches!(arrival.end, End::Served(_)) {
+        if matches!(arrival.end, RequestEnd::Served(_)) {
             self.served_work[second] += arrival.work;
         }
         let worth = worth_of(scenario, class, arrival);
@@ -128,7 +128,7 @@
         if let Some(tenant) = arrival.tenant.filter(|_| arrival.within) {
             self.by_tenant[tenant].add(worth);
         }
-        if let End::Refused(time) | End::Failed(time) = arrival.end
+        if let RequestEnd::Refused(time) | RequestEnd::Failed(time) = arrival.end
             && time > arrival.at + class.aim.0
         {
             self.failed_late += worth.asked;
@@ -194,8 +194,8 @@
 fn worth_of(scenario: &Scenario, class: &Class, arrival: &Arrival) -> Worth {
     let asked = class.worth * if arrival.within { 1.0 } else { scenario.load.over_share_worth };
     let earned = match arrival.end {
-        End::Served(time) if time <= arrival.at + class.aim.0 => asked,
-        End::Served(time) if time <= arrival.at + class.deadline.0 => asked * class.late_worth,
+        RequestEnd::Served(time) if time <= arrival.at + class.aim.0 => asked,
+        RequestEnd::Served(time) if time <= arrival.at + class.deadline.0 => asked * class.late_worth,
         _ => 0.0,
     };
     Worth { earned, asked }
--- a/crates/fleet-model/src/scoring/mod.rs
+++ b/crates/fleet-model/src/scoring/mod.rs
@@ -10,9 +10,9 @@
 pub use breach::{Breach, Rule};
 pub use cause::Cause;
 pub use metrics::{NewsCount, TierCount};
-pub use result::{Detail, Loss, Result, Sample, Second};
+pub use result::{Detail, Loss, Sample, Score, Second};
 
-pub(crate) use arrival::{Arrival, End};
+pub(crate) use arrival::{Arrival, RequestEnd};
 pub(crate) use metrics::Metrics;
 
 use crate::scenario::{Goal, Scenario};
@@ -37,7 +37,7 @@
     arrivals: &[Arrival],
     tally: Metrics,
     servers: &ServerOutcome,
-) -> (Result, Detail) {
+) -> (Score, Detail) {
     let mut ledger = Ledger::new(scenario);
     for arrival in arrivals {
         ledger.record(scenario, arrival);
@@ -53,7 +53,7 @@
         + goal.worst_class * worst_class
         + goal.worst_tenant * worst_tenant;
     let value = weighted / total_weight(goal) - prices;
-    let result = Result {
+    let result = Score {
         g: value,
         counted: if tally.broken > 0 { 0.0 } else { value.max(0.0) },
         whole: ledger.whole.share(),
--- a/crates/fleet-model/src/scoring/result.rs
+++ b/crates/fleet-model/src/scoring/result.rs
@@ -32,7 +32,7 @@
 
 /// A day's result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Result {
+pub struct Score {
     /// The goal's weighted parts less the prices: 1 at most, below zero where prices outweigh what was served.
     pub g: f64,
     /// `g`, or zero where a rule was broken.
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -9,7 +9,7 @@
 use super::state::{Caller, ClientTry, FrontBalancer, Request};
 use crate::random::{self, Purpose};
 use crate::scenario::Effect;
-use crate::scoring::{Cause, End, Rule};
+use crate::scoring::{Cause, RequestEnd, Rule};
 
 /// A client with less time left than this does not send a try.
 const MIN_TRY_TIME: Micros = 1_000;
@@ -167,7 +167,7 @@
         if let Reply::Served = reply {
             self.client_tries[arrival as usize].pending = false;
             self.metrics.useful += useful;
-            self.arrivals[arrival as usize].end = End::Served(self.now);
+            self.arrivals[arrival as usize].end = RequestEnd::Served(self.now);
             return;
         }
         self.client_try_failed(arrival, number, reply);
@@ -209,8 +209,8 @@
     fn end_arrival(&mut self, arrival: u32, reply: Reply) {
         let arrival = &mut self.arrivals[arrival as usize];
         arrival.end = match reply {
-            Reply::Rejected { .. } => End::Refused(self.now),
-            _ => End::Failed(self.now),
+            Reply::Rejected { .. } => RequestEnd::Refused(self.now),
+            _ => RequestEnd::Failed(self.now),
         };
         if let Reply::Unreachable = reply {
             arrival.charge(Cause::Unreachable, None, 1);
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub struct Played {
     /// Figures of the whole day.
-    pub result: scoring::Result,
+    pub result: scoring::Score,
     /// Figures by second, losses and, where asked for, samples of servers.
     pub detail: Detail,
 }
--- a/crates/fleet-model/tests/stored.rs
+++ b/crates/fleet-model/tests/stored.rs
@@ -1,6 +1,6 @@
 //! Fixed days play to stored results, and the days' page knows every key.
 //!
-//! A change of the module changes these on purpose: `STORE=1 cargo test -p zincstand-fleet --test stored` writes
+//! A change of the module changes these on purpose: `STORE=1 cargo test -p zincstand-fleet-model --test stored` writes
 //! them anew, and the commit shows what moved.
 
 use std::collections::BTreeSet;
