--- a/crates/proxy/src/dispatch/messages.rs
+++ b/crates/proxy/src/dispatch/messages.rs
@@ -41,7 +41,7 @@
     /// Its client marked it as a retry.
     pub marked_retry: bool,
     /// Its body is still arriving: its time starts with the body's last byte, which
-    /// [`PendingRequest::answer_upload`](crate::dispatch::PendingRequest::answer_upload) waits for.
+    /// [`PendingRequest::final_response_after_body`](crate::dispatch::PendingRequest::final_response_after_body) waits for.
     pub body_pending: bool,
     /// What is sent to upstreams.
     pub request: R,
