--- a/zincstand/src/model/at_size.rs
+++ b/crates/cli/src/model/at_size.rs
@@ -6,8 +6,8 @@
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
 use serde::Serialize;
-use zincstand_fleet::depth::{self, Depth, Fit, Mean};
-use zincstand_fleet::failures::{self, Failures};
+use zincstand_fleet_model::depth::{self, Depth, Fit, Mean};
+use zincstand_fleet_model::failures::{self, Failures};
 
 use crate::model::{print, tables::table};
 
--- a/zincstand/src/model/compare.rs
+++ b/crates/cli/src/model/compare.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Result, anyhow, bail};
 use clap::Args;
-use zincstand_fleet::experiment::{Comparison, Estimate, Row};
+use zincstand_fleet_model::experiment::{Comparison, Estimate, Row};
 
 use super::{rows, tables};
 
--- a/zincstand/src/model/explain.rs
+++ b/crates/cli/src/model/explain.rs
@@ -4,9 +4,9 @@
 
 use anyhow::Result;
 use clap::Args;
-use zincstand_fleet::judge::{Cause, Loss};
-use zincstand_fleet::policy::Kind;
-use zincstand_fleet::{Played, play};
+use zincstand_fleet_model::judge::{Cause, Loss};
+use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::{Played, play};
 
 use super::{Source, tables};
 
--- a/zincstand/src/model/mod.rs
+++ b/crates/cli/src/model/mod.rs
@@ -17,11 +17,11 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use zincstand_fleet::day::Day;
-use zincstand_fleet::experiment::{self, Cell, Row};
-use zincstand_fleet::kinds::{self, Size};
-use zincstand_fleet::play;
-use zincstand_fleet::policy::Kind;
+use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::experiment::{self, Cell, Row};
+use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::play;
+use zincstand_fleet_model::policy::Kind;
 
 /// What can be done with the model.
 #[derive(Subcommand)]
--- a/zincstand/src/model/ramp.rs
+++ b/crates/cli/src/model/ramp.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use clap::Args;
 use indicatif::ProgressBar;
-use zincstand_fleet::ramp::{self, Line, Rules, Shape};
+use zincstand_fleet_model::ramp::{self, Line, Rules, Shape};
 
 use super::{print, tables};
 
--- a/zincstand/src/model/report.rs
+++ b/crates/cli/src/model/report.rs
@@ -6,9 +6,9 @@
 
 use anyhow::{Context, Result, anyhow};
 use clap::Args;
-use zincstand_fleet::experiment::{Comparison, Row, scores};
-use zincstand_fleet::play;
-use zincstand_fleet::policy::Kind;
+use zincstand_fleet_model::experiment::{Comparison, Row, scores};
+use zincstand_fleet_model::play;
+use zincstand_fleet_model::policy::Kind;
 
 use super::compare::of_policy;
 use super::{Source, compare, explain, plots, rows, tables};
--- a/zincstand/src/model/tables.rs
+++ b/crates/cli/src/model/tables.rs
@@ -4,11 +4,11 @@
 
 use anyhow::Result;
 use comfy_table::{CellAlignment, Table, presets};
-use zincstand_fleet::day::Day;
-use zincstand_fleet::experiment::{Row, scores};
-use zincstand_fleet::judge;
-use zincstand_fleet::kinds::{self, Size};
-use zincstand_fleet::policy::Kind;
+use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::experiment::{Row, scores};
+use zincstand_fleet_model::judge;
+use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::policy::Kind;
 
 /// A table without lines, figures to the right.
 pub fn table(head: &[&str], words: usize) -> Table {
--- a/zincstand/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, anyhow};
-use zincstand_rig::balancer::{Balancer, Settings, stop};
-use zincstand_rig::callers::{Outcome, Target, open_loop};
-use zincstand_rig::discovery::Discovery;
-use zincstand_rig::machine::Needs;
-use zincstand_rig::report::Slope;
-use zincstand_rig::slope::Point;
-use zincstand_rig::upstreams::Upstreams;
+use zincstand_testbed::balancer::{Balancer, Settings, stop};
+use zincstand_testbed::callers::{Outcome, Target, open_loop};
+use zincstand_testbed::discovery::Discovery;
+use zincstand_testbed::machine::Needs;
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
+use zincstand_testbed::upstreams::Upstreams;
 
 use super::Bench;
 
--- a/zincstand/src/scale/control.rs
+++ b/crates/cli/src/scale/control.rs
@@ -4,11 +4,11 @@
 
 use anyhow::{Context, Result};
 use tokio::time::{Instant, sleep};
-use zincstand_rig::balancer::{Balancer, Settings, Usage, stop};
-use zincstand_rig::discovery::{Discovery, Entry, Mode, Traffic};
-use zincstand_rig::machine::Needs;
-use zincstand_rig::report::Slope;
-use zincstand_rig::slope::Point;
+use zincstand_testbed::balancer::{Balancer, Settings, Usage, stop};
+use zincstand_testbed::discovery::{Discovery, Entry, Mode, Traffic};
+use zincstand_testbed::machine::Needs;
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
 
 use super::Bench;
 
--- a/zincstand/src/scale/crowd.rs
+++ b/crates/cli/src/scale/crowd.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result, bail};
-use finchshift::{ListKind, ServerState};
 use tokio::time::sleep;
-use zincstand_rig::discovery::{Counted, Discovery, Entry, Lifecycle, Told};
-use zincstand_rig::hollow::{Crowd, Learning, Options, Reached, Slow, descriptors};
+use zincstand_policy::{ListKind, ServerState};
+use zincstand_testbed::discovery::{Counted, Discovery, Entry, Lifecycle, Told};
+use zincstand_testbed::hollow::{Crowd, Learning, Options, Reached, Slow, descriptors};
 
 /// What the pages' example has, and discovery's code derives its waits from.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_500);
--- a/zincstand/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -5,13 +5,13 @@
 
 use anyhow::{Context, Result, bail};
 use tokio::time::{Instant, sleep};
-use zincstand_rig::balancer::{Balancer, Settings};
-use zincstand_rig::callers::Held;
-use zincstand_rig::discovery::{Discovery, Entry, Lifecycle};
-use zincstand_rig::machine::Needs;
-use zincstand_rig::report::Slope;
-use zincstand_rig::slope::Point;
-use zincstand_rig::upstreams::Upstreams;
+use zincstand_testbed::balancer::{Balancer, Settings};
+use zincstand_testbed::callers::Held;
+use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle};
+use zincstand_testbed::machine::Needs;
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
+use zincstand_testbed::upstreams::Upstreams;
 
 use super::Bench;
 
--- a/zincstand/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -13,8 +13,8 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use tokio::signal::unix::{SignalKind, signal};
-use zincstand_rig::machine::{Machine, Needs, most_descriptors};
-use zincstand_rig::report::{Report, Slope};
+use zincstand_testbed::machine::{Machine, Needs, most_descriptors};
+use zincstand_testbed::report::{Report, Slope};
 
 use crate::model::table;
 
@@ -46,7 +46,7 @@
     /// Decides all that is drawn
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
-    /// The balancer's program; without it the `sloeline` beside this one
+    /// The balancer's program; without it the `zincstand-proxy` beside this one
     #[arg(long, global = true, value_name = "PATH")]
     balancer: Option<PathBuf>,
     /// Upstreams in the list, joined by commas; without it 10,34,200,600,2000, or 10,200,2000 with --quick
@@ -124,7 +124,9 @@
 fn program(named: Option<&Path>) -> Result<PathBuf> {
     let path = match named {
         Some(path) => path.to_owned(),
-        None => std::env::current_exe().context("where this program stands")?.with_file_name("sloeline"),
+        None => {
+            std::env::current_exe().context("where this program stands")?.with_file_name("zincstand-proxy")
+        }
     };
     if !path.is_file() {
         bail!(
--- a/zincstand/src/scale/updates.rs
+++ b/crates/cli/src/scale/updates.rs
@@ -5,12 +5,12 @@
 
 use anyhow::{Result, bail};
 use tokio::time::sleep;
-use zincstand_rig::balancer::{Balancer, Settings, stop};
-use zincstand_rig::discovery::{Discovery, Lifecycle, Told};
-use zincstand_rig::hollow::{Hush, Learning};
-use zincstand_rig::machine::Needs;
-use zincstand_rig::report::Slope;
-use zincstand_rig::slope::Point;
+use zincstand_testbed::balancer::{Balancer, Settings, stop};
+use zincstand_testbed::discovery::{Discovery, Lifecycle, Told};
+use zincstand_testbed::hollow::{Hush, Learning};
+use zincstand_testbed::machine::Needs;
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
 
 use super::Bench;
 use super::crowd::{DRAIN_GRACE, LONG, LOOK, Lags, SLOW, Scene, entry};
--- a/zincstand/src/scale/watchers.rs
+++ b/crates/cli/src/scale/watchers.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use finchshift::ListKind;
 use tokio::time::sleep;
-use zincstand_rig::discovery::{BUCKET, Mode, Traffic};
-use zincstand_rig::hollow::{Hush, Learning};
-use zincstand_rig::machine::Needs;
-use zincstand_rig::report::Slope;
-use zincstand_rig::slope::Point;
+use zincstand_policy::ListKind;
+use zincstand_testbed::discovery::{BUCKET, Mode, Traffic};
+use zincstand_testbed::hollow::{Hush, Learning};
+use zincstand_testbed::machine::Needs;
+use zincstand_testbed::report::Slope;
+use zincstand_testbed::slope::Point;
 
 use super::crowd::{Scene, entry};
 use super::{Bench, updates};
--- a/fleet/benches/days.rs
+++ b/crates/fleet-model/benches/days.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use zincstand_fleet::day::Day;
-use zincstand_fleet::kinds::{self, Size};
-use zincstand_fleet::policy::Kind;
-use zincstand_fleet::{Span, play};
+use zincstand_fleet_model::day::Day;
+use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::{Span, play};
 
 fn drawn(kind: &str, size: Size) -> Day {
     kinds::draw(kind, 1, size).expect("a kind that is known")
--- a/fleet/benches/handle.rs
+++ b/crates/fleet-model/benches/handle.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use finchshift::{
+use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
+use zincstand_policy::{
     Action, Balancer, Class, Effect, Event, ListKind, Micros, Outcome, RequestId, ServerEntry, ServerId,
     Settings,
 };
-use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
--- a/fleet/src/failures.rs
+++ b/crates/fleet-model/src/failures.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-use finchshift::{Action, Event, Learned, Micros};
 use serde::{Deserialize, Serialize};
+use zincstand_policy::{Action, Event, Learned, Micros};
 
 use crate::day::*;
 use crate::depth::{Fit, plain};
--- a/fleet/src/judge.rs
+++ b/crates/fleet-model/src/judge.rs
@@ -1,7 +1,7 @@
 //! What a day was worth, where the worth went, and which rules were broken.
 
-use finchshift::Micros;
 use serde::{Deserialize, Serialize};
+use zincstand_policy::Micros;
 
 use crate::day::Day;
 
--- a/fleet/src/policy.rs
+++ b/crates/fleet-model/src/policy.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use finchshift::{
+use zincstand_policy::{
     Action, Balancer, Effect, Event, Learned, ListKind, Micros, Outcome, RequestId, ServerEntry, ServerId,
     ServerState, Settings, SettingsError,
 };
--- a/fleet/src/ramp.rs
+++ b/crates/fleet-model/src/ramp.rs
@@ -1,9 +1,9 @@
 //! The slow start of a fleet: what cold servers get from all balancers together, beside what the rules let be.
 
-use finchshift::Micros;
 use rand::RngExt;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
+use zincstand_policy::Micros;
 
 use crate::day::{Day, DayError, Fault, FaultKind, Spread};
 use crate::draw::{self, For, within};
--- a/fleet/src/server.rs
+++ b/crates/fleet-model/src/server.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
-use finchshift::Micros;
 use rand::RngExt;
+use zincstand_policy::Micros;
 
 use crate::day::{Choke, Spread, Tier};
 use crate::draw::{self, For};
@@ -417,7 +417,7 @@
     }
 
     /// What is true of a server; `None` for one that never was.
-    pub fn of(&self, server: finchshift::ServerId) -> Option<TrueState> {
+    pub fn of(&self, server: zincstand_policy::ServerId) -> Option<TrueState> {
         let s = self.servers.get(server as usize)?;
         Some(TrueState {
             takes: s.up
--- a/fleet/src/span.rs
+++ b/crates/fleet-model/src/span.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use finchshift::Micros;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
+use zincstand_policy::Micros;
 
 /// A span or a time since the day's start, in microseconds; in files a text with units, such as `"1s 500ms"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/fleet/src/world/calls.rs
+++ b/crates/fleet-model/src/world/calls.rs
@@ -1,7 +1,7 @@
 //! Attempts on their way, and what servers do with them.
 
-use finchshift::{Micros, Outcome};
 use rand::RngExt;
+use zincstand_policy::{Micros, Outcome};
 
 use super::{
     Attempt, AttemptAt, Caller, Ev, Idle, Job, Message, Phase, ProcessAt, RequestAt, ServerAt, World,
--- a/fleet/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: what they send, how long they wait, when they try again.
 
-use finchshift::Micros;
 use rand::RngExt;
+use zincstand_policy::Micros;
 
 use super::{Caller, Edge, Ev, Message, ProcessAt, Reply, Request, RequestAt, World};
 use crate::day::{Day, Effect, Shape};
--- a/fleet/src/world/faults.rs
+++ b/crates/fleet-model/src/world/faults.rs
@@ -1,6 +1,6 @@
 //! What goes wrong, stage by stage.
 
-use finchshift::Micros;
+use zincstand_policy::Micros;
 
 use super::{Ev, ServerAt, World, news::Listed};
 use crate::day::{Fault, FaultKind};
--- a/fleet/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -9,8 +9,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
-use finchshift::{Action, Micros, Outcome, Settings, SettingsError};
 use rand::RngExt;
+use zincstand_policy::{Action, Micros, Outcome, Settings, SettingsError};
 
 use crate::day::{Day, DayError};
 use crate::draw::{self, For};
@@ -197,7 +197,7 @@
 /// What a balancer's process saw or did.
 #[derive(Clone, Copy)]
 enum Note {
-    Told { server: ServerAt, state: finchshift::ServerState },
+    Told { server: ServerAt, state: zincstand_policy::ServerState },
     Asked { request: RequestAt },
     Sent { request: RequestAt, server: ServerAt, limit: Micros },
     Ended { request: RequestAt, server: ServerAt, outcome: Outcome },
--- a/fleet/src/world/news.rs
+++ b/crates/fleet-model/src/world/news.rs
@@ -1,6 +1,6 @@
 //! Discovery: what it notices, and what balancers hear of it.
 
-use finchshift::{Event, ListKind, Micros, ServerEntry, ServerState};
+use zincstand_policy::{Event, ListKind, Micros, ServerEntry, ServerState};
 
 use super::{Ev, Note, ProcessAt, ServerAt, World};
 use crate::day::Asking;
--- a/fleet/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use finchshift::{Action, Event, Learned, Micros, Outcome};
+use zincstand_policy::{Action, Event, Learned, Micros, Outcome};
 
 use super::{
     Attempt, AttemptAt, Caller, Edge, Ev, Message, Note, Process, ProcessAt, REMEMBERED, Reply, Request,
--- a/fleet/tests/ramp.rs
+++ b/crates/fleet-model/tests/ramp.rs
@@ -1,7 +1,7 @@
 //! Cold servers are not pushed over by the sum of what all balancers send.
 
-use zincstand_fleet::policy::Kind;
-use zincstand_fleet::ramp::{self, Rules, Shape};
+use zincstand_fleet_model::policy::Kind;
+use zincstand_fleet_model::ramp::{self, Rules, Shape};
 
 /// A rule that few requests break: a server starts with a seventh of its capacity.
 const STRICT: Rules = Rules { overload_factor: Some(2.0), cold_from: Some(0.15) };
--- a/fleet/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -1,11 +1,11 @@
 //! The world does what its description says, and its judge sees what a policy does wrong.
 
-use finchshift::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
-use zincstand_fleet::day::{Choke, Day, Effect, Fault, FaultKind};
-use zincstand_fleet::judge::{Cause, Rule};
-use zincstand_fleet::kinds::{self, Size};
-use zincstand_fleet::policy::{Kind, Policy};
-use zincstand_fleet::{Played, Span, Truth, play, play_with};
+use zincstand_fleet_model::day::{Choke, Day, Effect, Fault, FaultKind};
+use zincstand_fleet_model::judge::{Cause, Rule};
+use zincstand_fleet_model::kinds::{self, Size};
+use zincstand_fleet_model::policy::{Kind, Policy};
+use zincstand_fleet_model::{Played, Span, Truth, play, play_with};
+use zincstand_policy::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
 
 /// A day without chance: one class of equal requests, servers alike, nothing jitters.
 fn plain(servers: u32, rate: f64) -> Day {
--- a/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,4 @@
 //! Load-balancer decisions for services that call services.
-#![doc = include_str!("../README.md")]
 
 pub mod api;
 mod brain;
--- a/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use finchshift::{
+use zincstand_policy::{
     Action, Balancer, Class, Effect, Event, Group, ListKind, Micros, Outcome, RequestId, ServerEntry,
     ServerId, ServerState, Settings,
 };
--- a/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::{MS, SECOND, World, class, settings};
-use finchshift::{
-    Discovery, Effect, Event, Group, ListKind, Outcome, ReportMode, ServerEntry, ServerState, Settings,
-};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use zincstand_policy::{
+    Discovery, Effect, Event, Group, ListKind, Outcome, ReportMode, ServerEntry, ServerState, Settings,
+};
 
 fn effects() -> impl Strategy<Value = Effect> {
     let window = (50 * MS)..(3 * SECOND);
--- a/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{MS, SECOND, settings};
-use finchshift::{
+use zincstand_policy::{
     Action, Balancer, Effect, Event, ListKind, Outcome, RequestId, ServerEntry, ServerId, ServerState,
 };
 
--- a/sloeline/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use finchshift_wirehost::setup::Setup;
 use serde::Deserialize;
+use zincstand_settings::Setup;
 
 use crate::discovery::List;
 
--- a/sloeline/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -8,8 +8,6 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use finchshift::{ListKind, ServerState};
-use finchshift_wirehost::setup::{micros, one};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response, StatusCode, body::Incoming, header::HOST};
@@ -20,6 +18,8 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
+use zincstand_policy::{ListKind, ServerState};
+use zincstand_settings::{micros, one};
 
 use crate::wire::Listed;
 
--- a/sloeline/src/engine.rs
+++ b/crates/proxy/src/engine.rs
@@ -9,11 +9,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use finchshift as fs;
-use finchshift::{Action, Event, ListKind, Micros, Outcome, RequestId, ServerId};
-use finchshift_wirehost::setup::Names;
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, oneshot};
+use zincstand_policy as policy;
+use zincstand_policy::{Action, Event, ListKind, Micros, Outcome, RequestId, ServerId};
+use zincstand_settings::Names;
 
 use crate::orders::{OrderStore, Orders};
 use crate::registry::Registry;
@@ -34,7 +34,7 @@
 /// What a process leaves to the one that takes its place: what the module has learned, and what its numbers mean.
 #[derive(Serialize, Deserialize)]
 pub struct Legacy {
-    learned: fs::Learned,
+    learned: policy::Learned,
     zones: HashMap<u32, String>,
     servers: HashMap<ServerId, String>,
 }
@@ -88,8 +88,8 @@
     store: Rc<OrderStore>,
     /// The version of it that the module knows.
     obeyed: Cell<u64>,
-    limits: fs::Limits,
-    balancer: RefCell<fs::Balancer>,
+    limits: policy::Limits,
+    balancer: RefCell<policy::Balancer>,
     tables: RefCell<Tables<W>>,
     events: RefCell<VecDeque<Event>>,
     handling: Cell<bool>,
@@ -107,7 +107,7 @@
 
 impl<W: Wire> Report<W> {
     /// The attempt ended.
-    pub fn end(mut self, outcome: Outcome, load: Option<fs::Load>, reply: Option<W::Reply>) {
+    pub fn end(mut self, outcome: Outcome, load: Option<policy::Load>, reply: Option<W::Reply>) {
         self.told = true;
         self.engine.ended(self.request, self.attempt, outcome, load, reply);
     }
@@ -164,7 +164,7 @@
 impl<W: Wire> Engine<W> {
     /// A balancer with the given settings; `zones` holds the numbers that the settings use.
     pub fn new(
-        settings: fs::Settings,
+        settings: policy::Settings,
         zones: &Names,
         seed: u64,
         store: Rc<OrderStore>,
@@ -173,7 +173,7 @@
         let mut registry = Registry::new(zones);
         registry.obey(&store.orders());
         let limits = settings.limits.clone();
-        let balancer = fs::Balancer::new(settings, seed).map_err(|e| e.to_string())?;
+        let balancer = policy::Balancer::new(settings, seed).map_err(|e| e.to_string())?;
         Ok(Rc::new(Engine {
             wire,
             clock: Clock::new(),
@@ -344,7 +344,7 @@
         server: ServerId,
         took: Duration,
         outcome: Outcome,
-        load: Option<fs::Load>,
+        load: Option<policy::Load>,
     ) {
         self.feed(Event::Probed { server, outcome, latency: took.as_micros() as Micros, load });
     }
@@ -474,7 +474,7 @@
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
-        load: Option<fs::Load>,
+        load: Option<policy::Load>,
         reply: Option<W::Reply>,
     ) {
         let now = self.clock.now();
--- a/sloeline/src/engine/tests.rs
+++ b/crates/proxy/src/engine/tests.rs
@@ -43,10 +43,10 @@
     }
 }
 
-fn settings() -> fs::Settings {
+fn settings() -> policy::Settings {
     let second = 1_000_000;
-    let class = fs::Class {
-        effect: fs::Effect::Unsafe,
+    let class = policy::Class {
+        effect: policy::Effect::Unsafe,
         aim: 4 * second,
         aim_stretch: 0.0,
         deadline: 4 * second,
@@ -54,7 +54,7 @@
         late_worth: 0.0,
         stream: false,
     };
-    let mut settings = fs::Settings::new(vec![class]);
+    let mut settings = policy::Settings::new(vec![class]);
     settings.limits.cancel = true;
     settings
 }
@@ -66,7 +66,7 @@
         zone: "a".to_owned(),
         kind: "k".to_owned(),
         cell: 0,
-        state: fs::ServerState::Ready,
+        state: policy::ServerState::Ready,
         weight: 1.0,
         started: None,
     }
--- a/sloeline/src/handover/tests.rs
+++ b/crates/proxy/src/handover/tests.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn what_cannot_be_read_is_passed_over() {
-    let folder = std::env::temp_dir().join(format!("sloeline-legacy-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("zincstand-legacy-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     assert!(legacy(&folder).is_none());
     std::fs::write(folder.join(LEGACY), b"{\"learned\":{\"at\":1").expect("a file");
@@ -41,7 +41,7 @@
 
 #[test]
 fn others_are_known_while_they_live() {
-    let folder = std::env::temp_dir().join(format!("sloeline-presence-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("zincstand-presence-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let one = Presence::enter(&folder).expect("a place");
     assert_eq!(one.others(), 0);
--- a/sloeline/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! The real balancer as a library: the decisions of `finchshift` between callers, upstreams and discovery. The
+//! The real balancer as a library: the decisions of `zincstand_policy` between callers, upstreams and discovery. The
 //! binary only starts it; the rig uses the same discovery code and the same engine, many times in one process.
 
 mod config;
--- a/sloeline/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,12 +1,12 @@
-//! The real balancer; `sloeline`, the library, has all of it.
+//! The real balancer; `zincstand_proxy`, the library, has all of it.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match sloeline::start() {
+    match zincstand_proxy::start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("sloeline: {why}");
+            eprintln!("zincstand-proxy: {why}");
             ExitCode::FAILURE
         }
     }
--- a/sloeline/src/orders.rs
+++ b/crates/proxy/src/orders.rs
@@ -8,8 +8,8 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-use finchshift::Micros;
 use serde::{Deserialize, Serialize};
+use zincstand_policy::Micros;
 
 const FILE: &str = "sloeline-orders.json";
 const LOCK: &str = "sloeline-orders.lock";
--- a/sloeline/src/orders/tests.rs
+++ b/crates/proxy/src/orders/tests.rs
@@ -2,7 +2,7 @@
 
 /// A folder of the test's own.
 fn with(name: &str, test: impl FnOnce(&Path)) {
-    let folder = std::env::temp_dir().join(format!("sloeline-orders-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("zincstand-orders-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     test(&folder);
     fs::remove_dir_all(&folder).expect("a folder");
--- a/sloeline/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -10,8 +10,6 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use finchshift as fs;
-use finchshift::{Micros, Outcome, ServerId};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -20,6 +18,8 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
+use zincstand_policy as policy;
+use zincstand_policy::{Micros, Outcome, ServerId};
 
 use crate::stream::Outgoing;
 use crate::wire::Target;
@@ -166,7 +166,7 @@
 
 impl Pool {
     /// None yet, and never more than `most`.
-    pub fn new(limits: &fs::Limits, most: usize) -> Pool {
+    pub fn new(limits: &policy::Limits, most: usize) -> Pool {
         let span = |micros, untold| if micros == 0 { untold } else { Duration::from_micros(micros) };
         let keep = (limits.idle_close as f64 * KEEP) as Micros;
         Pool {
--- a/sloeline/src/registry.rs
+++ b/crates/proxy/src/registry.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use finchshift as fs;
-use finchshift::{ListKind, ServerId, ServerState};
-use finchshift_wirehost::setup::{Names, ring};
+use zincstand_policy as policy;
+use zincstand_policy::{ListKind, ServerId, ServerState};
+use zincstand_settings::{Names, ring};
 
 use crate::orders::Orders;
 use crate::wire::{Listed, Target};
@@ -45,9 +45,9 @@
 impl Place {
     /// Its entry for the module. What operators have set lies over what discovery says: one that is out drains,
     /// one that came back has started then, or later if discovery says so.
-    fn entry(&self, id: ServerId, orders: &Orders) -> fs::ServerEntry {
+    fn entry(&self, id: ServerId, orders: &Orders) -> policy::ServerEntry {
         let l = &self.listed;
-        fs::ServerEntry {
+        policy::ServerEntry {
             id,
             zone: self.zone,
             kind: self.kind,
@@ -114,7 +114,7 @@
     }
 
     /// Takes over what operators have set: the entries that it changes, and those that are out now.
-    pub fn obey(&mut self, orders: &Orders) -> (Vec<fs::ServerEntry>, Vec<ServerId>) {
+    pub fn obey(&mut self, orders: &Orders) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
         let before = std::mem::replace(&mut self.orders, orders.clone());
         let changed = |(id, place): (&ServerId, &Place)| {
             let entry = place.entry(*id, orders);
@@ -153,7 +153,7 @@
     }
 
     /// Takes a list over: its entries for the module, and those that moved or are gone.
-    pub fn take(&mut self, kind: ListKind, listed: &[Listed]) -> (Vec<fs::ServerEntry>, Vec<ServerId>) {
+    pub fn take(&mut self, kind: ListKind, listed: &[Listed]) -> (Vec<policy::ServerEntry>, Vec<ServerId>) {
         let (mut entries, mut left) = (Vec::with_capacity(listed.len()), Vec::new());
         let mut named = HashSet::new();
         for l in listed {
--- a/sloeline/src/registry/tests.rs
+++ b/crates/proxy/src/registry/tests.rs
@@ -47,7 +47,7 @@
 fn one_that_is_out_drains_whatever_discovery_lists_and_comes_back_cold() {
     let mut registry = Registry::new(&Names::default());
     let ready = |started| Listed { started, ..listed("a", 80, ServerState::Ready) };
-    let state = |taken: (Vec<fs::ServerEntry>, Vec<ServerId>)| {
+    let state = |taken: (Vec<policy::ServerEntry>, Vec<ServerId>)| {
         taken.0.iter().map(|e| (e.state, e.started)).collect::<Vec<_>>()
     };
     registry.take(ListKind::Complete, &[ready(None), listed("b", 81, ServerState::Ready)]);
--- a/sloeline/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -11,8 +11,6 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use finchshift as fs;
-use finchshift::{Effect, Micros};
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER, TE, TRAILER,
     TRANSFER_ENCODING, UPGRADE,
@@ -23,6 +21,8 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
+use zincstand_policy as policy;
+use zincstand_policy::{Effect, Micros};
 
 use crate::engine::Engine;
 use crate::gate::{Crowd, Fault, Gate, IDLE_TIME, Inbound, Progress, Stage, waits};
@@ -129,7 +129,10 @@
                 other => other,
             };
             if *phase != before {
-                eprintln!("sloeline: clients are {}", if evacuated { "sent away" } else { "taken again" });
+                eprintln!(
+                    "zincstand-proxy: clients are {}",
+                    if evacuated { "sent away" } else { "taken again" }
+                );
             }
             *phase != before
         });
@@ -196,8 +199,8 @@
 pub struct Server<W: Wire<Call = Call, Reply = Reply>> {
     engine: Rc<Engine<W>>,
     /// By their names' bytes: those need not be plain text.
-    classes: HashMap<Vec<u8>, (fs::ClassId, fs::Class)>,
-    tenants: HashMap<Vec<u8>, fs::TenantId>,
+    classes: HashMap<Vec<u8>, (policy::ClassId, policy::Class)>,
+    tenants: HashMap<Vec<u8>, policy::TenantId>,
     places: Rc<Gauge>,
     /// Connections beyond the places, where nobody makes room: each hears so at once, or how the balancer is.
     beyond: Rc<Gauge>,
@@ -217,7 +220,7 @@
     /// A server for the named classes and tenants.
     pub fn new(
         engine: Rc<Engine<W>>,
-        classes: Vec<(String, fs::Class)>,
+        classes: Vec<(String, policy::Class)>,
         tenants: Vec<String>,
         limits: ConnectionLimits,
         life: Rc<Life>,
@@ -265,7 +268,7 @@
         let taken_for = self.leave_within.mul_f64(STILL_TAKEN).max(LEAST_TAKEN).min(self.leave_within);
         let mut end = pin!(async {
             let _ = phase.wait_for(|p| p.ends()).await;
-            eprintln!("sloeline: told to stop");
+            eprintln!("zincstand-proxy: told to stop");
             if !listener.shared {
                 sleep_until(self.life.ordered.get().unwrap_or_else(Instant::now) + taken_for).await;
             }
--- a/sloeline/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use finchshift as fs;
-use finchshift::{ListKind, Micros, ServerId};
-use finchshift_wirehost::setup::{Names, settings};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
+use zincstand_policy as policy;
+use zincstand_policy::{ListKind, Micros, ServerId};
+use zincstand_settings::{Names, settings};
 
 use crate::config::Config;
 use crate::discovery::Discovery;
@@ -107,11 +107,11 @@
 fn reload(engine: &Rc<Engine<Net>>, discovery: &Rc<Discovery>) {
     match Config::read_again(variable) {
         Ok(config) => {
-            eprintln!("sloeline: configuration read again; discovery is {}", config.discovery);
+            eprintln!("zincstand-proxy: configuration read again; discovery is {}", config.discovery);
             let engine = engine.clone();
             discovery.move_to(config.discovery, move |kind, entries| engine.list(kind, entries));
         }
-        Err(why) => eprintln!("sloeline: the running configuration is kept: {why}"),
+        Err(why) => eprintln!("zincstand-proxy: the running configuration is kept: {why}"),
     }
 }
 
@@ -156,7 +156,7 @@
     let upstreams = Rc::new(Upstreams::new(&settings.limits, connections));
     spawn_local(upstreams.tend());
     let generation = config.known.as_ref().map(|known| known.generation);
-    let unasked = settings.discovery == fs::Discovery::Push;
+    let unasked = settings.discovery == policy::Discovery::Push;
     let drain_grace = Duration::from_micros(settings.rules.drain_grace);
     let discovery = Discovery::new(config.discovery, generation, unasked, drain_grace);
     let classes: Vec<_> = config
@@ -204,10 +204,10 @@
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let life = Life::new(store);
     let management = config.management.map(listen).transpose().map_err(|e| format!("EDGE_MANAGEMENT {e}"))?;
-    eprintln!("sloeline {} listens on {address}", config.name);
+    eprintln!("zincstand-proxy {} listens on {address}", config.name);
     if let Some(management) = management {
         let address = management.local_addr().map_err(|e| e.to_string())?;
-        eprintln!("sloeline {} takes operators' calls on {address}", config.name);
+        eprintln!("zincstand-proxy {} takes operators' calls on {address}", config.name);
         spawn_local(Management::new(engine.clone(), life.clone()).serve(management));
     }
 
@@ -245,7 +245,7 @@
                 let now = processes();
                 if now != known_processes {
                     known_processes = now;
-                    eprintln!("sloeline: {now} processes of this balancer live and share its room");
+                    eprintln!("zincstand-proxy: {now} processes of this balancer live and share its room");
                     let (connections, callers) = limits(&config, now);
                     upstreams.resize(connections);
                     server.resize(&callers);
--- a/sloeline/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use finchshift as fs;
-use finchshift::{Load, Micros, Outcome, ServerId};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri, body::Incoming};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, timeout};
+use zincstand_policy as policy;
+use zincstand_policy::{Load, Micros, Outcome, ServerId};
 
 use crate::engine::Report;
 use crate::gate::Progress;
@@ -215,7 +215,7 @@
 
 impl Upstreams {
     /// No connections yet, and never more than `most`.
-    pub fn new(limits: &fs::Limits, most: usize) -> Upstreams {
+    pub fn new(limits: &policy::Limits, most: usize) -> Upstreams {
         Upstreams { pool: Rc::new(Pool::new(limits, most)) }
     }
 
--- a/sloeline/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -15,7 +15,7 @@
 fn with(most: usize, test: impl AsyncFnOnce(Upstreams, TcpListener, Target)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let settings = fs::Settings::new(Vec::new());
+        let settings = policy::Settings::new(Vec::new());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = Target { server: 0, address: listener.local_addr().expect("an address") };
         test(Upstreams::new(&settings.limits, most), listener, to).await;
@@ -85,7 +85,7 @@
 fn a_connection_that_has_rested_is_taken_before_one_that_just_answered() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let pool = Pool::new(&fs::Settings::new(Vec::new()).limits, 9);
+        let pool = Pool::new(&policy::Settings::new(Vec::new()).limits, 9);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = Target { server: 0, address: listener.local_addr().expect("an address") };
         let (first, last) = (pool.connect(to.address).await, pool.connect(to.address).await);
--- a/sloeline/src/wire.rs
+++ b/crates/proxy/src/wire.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use finchshift as fs;
-use finchshift::{Micros, ServerId};
 use tokio::time::Instant;
+use zincstand_policy as policy;
+use zincstand_policy::{Micros, ServerId};
 
 use crate::engine::{Engine, Report};
 
@@ -61,7 +61,7 @@
     /// Its cell.
     pub cell: u32,
     /// What discovery says of it.
-    pub state: fs::ServerState,
+    pub state: policy::ServerState,
     /// Its size.
     pub weight: f64,
     /// When it last started, in Unix time.
@@ -94,11 +94,11 @@
 /// A request as the engine takes it.
 pub struct Asked<C> {
     /// Its class.
-    pub class: fs::ClassId,
+    pub class: policy::ClassId,
     /// How long its client waits, from now.
     pub time_left: Micros,
     /// Whose it is.
-    pub tenant: Option<fs::TenantId>,
+    pub tenant: Option<policy::TenantId>,
     /// A guess at its work.
     pub work: Option<Micros>,
     /// Its client marks it as a repeat.
--- a/sloeline/tests/ready.rs
+++ b/crates/proxy/tests/ready.rs
@@ -2,7 +2,7 @@
 //! discovery up, down, silent or slow, with and without a known list.
 //!
 //! In the release profile it starts a hundred at a time, and in either it prints what it measured:
-//! `cargo test --release -p sloeline --test ready -- --nocapture --test-threads 1`.
+//! `cargo test --release -p zincstand-proxy --test ready -- --nocapture --test-threads 1`.
 
 mod common;
 
--- a/wirehost/src/setup.rs
+++ b/crates/settings/src/lib.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use finchshift as fs;
 use serde::Deserialize;
+use zincstand_policy as policy;
 
 /// Names numbered in the order of their first mention.
 #[derive(Default)]
@@ -28,12 +28,12 @@
 }
 
 /// Milliseconds of the wire as the module's microseconds.
-pub fn micros(ms: f64) -> fs::Micros {
-    (ms * 1000.0).round().max(0.0) as fs::Micros
+pub fn micros(ms: f64) -> policy::Micros {
+    (ms * 1000.0).round().max(0.0) as policy::Micros
 }
 
 /// The module's microseconds as milliseconds of the wire.
-pub fn millis(micros: fs::Micros) -> f64 {
+pub fn millis(micros: policy::Micros) -> f64 {
     micros as f64 / 1000.0
 }
 
@@ -225,21 +225,21 @@
     pub how: String,
 }
 
-fn class(c: &Category) -> Result<fs::Class, String> {
+fn class(c: &Category) -> Result<policy::Class, String> {
     let effect = match c.effect {
-        Effect::Retryable => fs::Effect::Safe,
-        Effect::Fragile => fs::Effect::Unsafe,
+        Effect::Retryable => policy::Effect::Safe,
+        Effect::Fragile => policy::Effect::Unsafe,
         Effect::Dedup => {
             let group = match c.group.as_deref() {
-                Some("zone") => fs::Group::Zone,
-                Some("cell") => fs::Group::Cell,
-                None | Some("all") => fs::Group::All,
+                Some("zone") => policy::Group::Zone,
+                Some("cell") => policy::Group::Cell,
+                None | Some("all") => policy::Group::All,
                 Some(other) => return Err(format!("unknown group {other:?}")),
             };
-            fs::Effect::Keyed { group, window: micros(c.dedup_window_ms) }
+            policy::Effect::Keyed { group, window: micros(c.dedup_window_ms) }
         }
     };
-    Ok(fs::Class {
+    Ok(policy::Class {
         effect,
         aim: micros(c.target_ms),
         aim_stretch: c.aim_stretch,
@@ -314,10 +314,10 @@
 }
 
 /// The module's settings, as the setup tells them; its zones get their numbers. The error names the key at fault.
-pub fn settings(s: &Setup, zones: &mut Names) -> Result<fs::Settings, String> {
+pub fn settings(s: &Setup, zones: &mut Names) -> Result<policy::Settings, String> {
     check(s)?;
     let price = |name: &str| s.tariffs.get(name).copied().unwrap_or(0.0);
-    Ok(fs::Settings {
+    Ok(policy::Settings {
         me: s.me,
         balancers: s.balancers,
         zone: zones.number(&s.zone),
@@ -328,25 +328,25 @@
         passes_deadline: s.extra.passes_deadline,
         classes: s.categories.iter().map(class).collect::<Result<_, _>>()?,
         worth_by_work: s.worth_by == "work",
-        tenants: s.realms.iter().map(|r| fs::Tenant { share: r.share, quota: r.quota_rps }).collect(),
+        tenants: s.realms.iter().map(|r| policy::Tenant { share: r.share, quota: r.quota_rps }).collect(),
         over_share_worth: s.over_share_worth,
         marks_retry: s.client_habits.marks_retry,
         weights: match s.weights.as_str() {
-            "nominal" => fs::Weights::Nominal,
-            "rough" => fs::Weights::Rough,
-            "live" => fs::Weights::Live,
-            _ => fs::Weights::None,
+            "nominal" => policy::Weights::Nominal,
+            "rough" => policy::Weights::Rough,
+            "live" => policy::Weights::Live,
+            _ => policy::Weights::None,
         },
         discovery: match s.discovery {
-            Discovery::Automatic => fs::Discovery::Push,
-            Discovery::Subscribe => fs::Discovery::Ask,
+            Discovery::Automatic => policy::Discovery::Push,
+            Discovery::Subscribe => policy::Discovery::Ask,
         },
         report: match s.stats.how.as_str() {
-            "answers" => fs::ReportMode::Answers,
-            "probe" => fs::ReportMode::Probe,
-            _ => fs::ReportMode::None,
+            "answers" => policy::ReportMode::Answers,
+            "probe" => policy::ReportMode::Probe,
+            _ => policy::ReportMode::None,
         },
-        limits: fs::Limits {
+        limits: policy::Limits {
             cancel: s.limits.cancel,
             probes: s.limits.probing,
             second_copies: s.limits.second_copies,
@@ -357,10 +357,10 @@
             max_streams: s.limits.max_streams,
             idle_close: micros(s.limits.idle_close_ms),
             connect_timeout: micros(s.limits.connect_timeout_ms),
-            cpu_per_second: s.limits.cpu_us_per_s.max(0.0) as fs::Micros,
+            cpu_per_second: s.limits.cpu_us_per_s.max(0.0) as policy::Micros,
             cpu_per_request: s.limits.cpu_us_per_request,
         },
-        rules: fs::Rules {
+        rules: policy::Rules {
             cold_from: s.rules.cold_from,
             warm_after: micros(s.rules.warm_after_ms),
             overload_factor: s.rules.overload_factor,
@@ -369,7 +369,7 @@
             drain_grace: micros(s.rules.drain_grace_ms),
             answer_grace: micros(s.rules.grace_to_answer_ms),
         },
-        prices: fs::Prices {
+        prices: policy::Prices {
             cross_zone: price("CrossZone"),
             probe: price("Probe"),
             late_fail: price("LateFail"),
@@ -378,7 +378,7 @@
             handshake: price("Handshake"),
             discovery: price("Discovery"),
         },
-        goal: fs::Goal {
+        goal: policy::Goal {
             whole: s.goal.whole,
             worst_window: s.goal.worst_window,
             worst_class: s.goal.worst_class,
--- a/wirehost/src/setup/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -15,7 +15,7 @@
         "Tariffs":{"Connection":1.0,"CrossZone":2.0,"Discovery":3.0,"Handshake":4.0,"LateFail":5.0,
         "Probe":6.0,"Waste":7.0},"Tiers":["x","y"],"Weights":"live","WorthBy":"work","Zone":"b"}"#;
     let setup = serde_json::from_str(setup).expect("a setup");
-    let expected = fs::Settings {
+    let expected = policy::Settings {
         me: 3,
         balancers: 5,
         zone: 0,
@@ -23,8 +23,8 @@
         tier: 1,
         tiers: 2,
         passes_deadline: true,
-        classes: vec![fs::Class {
-            effect: fs::Effect::Keyed { group: fs::Group::Cell, window: 7_000 },
+        classes: vec![policy::Class {
+            effect: policy::Effect::Keyed { group: policy::Group::Cell, window: 7_000 },
             aim: 8_000,
             aim_stretch: 0.5,
             deadline: 9_000,
@@ -33,13 +33,13 @@
             stream: true,
         }],
         worth_by_work: true,
-        tenants: vec![fs::Tenant { share: 0.4, quota: 74.0 }],
+        tenants: vec![policy::Tenant { share: 0.4, quota: 74.0 }],
         over_share_worth: 0.05,
         marks_retry: true,
-        weights: fs::Weights::Live,
-        discovery: fs::Discovery::Ask,
-        report: fs::ReportMode::Probe,
-        limits: fs::Limits {
+        weights: policy::Weights::Live,
+        discovery: policy::Discovery::Ask,
+        report: policy::ReportMode::Probe,
+        limits: policy::Limits {
             cancel: true,
             probes: true,
             second_copies: true,
@@ -53,7 +53,7 @@
             cpu_per_second: 29_691,
             cpu_per_request: 10.5,
         },
-        rules: fs::Rules {
+        rules: policy::Rules {
             cold_from: 0.13,
             warm_after: 24_000,
             overload_factor: 3.0,
@@ -62,7 +62,7 @@
             drain_grace: 1_000,
             answer_grace: 20_000,
         },
-        prices: fs::Prices {
+        prices: policy::Prices {
             cross_zone: 2.0,
             probe: 6.0,
             late_fail: 5.0,
@@ -71,7 +71,7 @@
             handshake: 4.0,
             discovery: 3.0,
         },
-        goal: fs::Goal {
+        goal: policy::Goal {
             whole: 0.2,
             worst_window: 0.5,
             worst_class: 0.3,
--- a/wirehost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use finchshift as fs;
-use finchshift_wirehost::setup::{Names, Setup, micros, millis, ring, settings};
+use zincstand_policy as policy;
+use zincstand_settings::{Names, Setup, micros, millis, ring, settings};
 
 use crate::wire::{self, Message, Reply};
 
@@ -15,7 +15,7 @@
 }
 
 struct Instance {
-    balancer: fs::Balancer,
+    balancer: policy::Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Names,
@@ -49,27 +49,27 @@
 /// All instances of this process.
 #[derive(Default)]
 pub struct Host {
-    now: Option<fs::Micros>,
+    now: Option<policy::Micros>,
     tables: BTreeMap<u64, Vec<wire::Entry>>,
     instances: BTreeMap<u64, Instance>,
-    actions: Vec<fs::Action>,
+    actions: Vec<policy::Action>,
 }
 
-fn outcome(d: wire::Disposition) -> fs::Outcome {
+fn outcome(d: wire::Disposition) -> policy::Outcome {
     match d {
-        wire::Disposition::S => fs::Outcome::Ok,
-        wire::Disposition::E => fs::Outcome::Error,
-        wire::Disposition::F => fs::Outcome::Full,
-        wire::Disposition::T => fs::Outcome::TimedOut,
-        wire::Disposition::C => fs::Outcome::ConnectFailed,
-        wire::Disposition::R => fs::Outcome::Reset,
-        wire::Disposition::X => fs::Outcome::Cancelled,
-        wire::Disposition::N => fs::Outcome::NotSent,
+        wire::Disposition::S => policy::Outcome::Ok,
+        wire::Disposition::E => policy::Outcome::Error,
+        wire::Disposition::F => policy::Outcome::Full,
+        wire::Disposition::T => policy::Outcome::TimedOut,
+        wire::Disposition::C => policy::Outcome::ConnectFailed,
+        wire::Disposition::R => policy::Outcome::Reset,
+        wire::Disposition::X => policy::Outcome::Cancelled,
+        wire::Disposition::N => policy::Outcome::NotSent,
     }
 }
 
-fn load(l: wire::Load) -> fs::Load {
-    fs::Load {
+fn load(l: wire::Load) -> policy::Load {
+    policy::Load {
         in_flight: l.outstanding,
         queue: l.backlog,
         utilization: l.utilization,
@@ -130,18 +130,19 @@
                 instance.numbers.insert(rid.clone().into_owned(), id);
                 instance.open.insert(id, Open { name: rid.into_owned(), out: 0, closed: false });
                 let (time_left, work) = (micros(time_left_ms), expected_ms.map(micros));
-                let event = fs::Event::Request { id, class, time_left, tenant, work, retry, upload: false };
+                let event =
+                    policy::Event::Request { id, class, time_left, tenant, work, retry, upload: false };
                 self.tell(now, balancer_id, event, reply)?;
             }
             Message::Echo { balancer_id, upstream, disposition, time_taken_ms, load: l } => {
                 let Some(instance) = self.instances.get_mut(&balancer_id) else { return Ok(false) };
                 let server = instance.servers.number(&upstream);
                 let (outcome, latency, load) = (outcome(disposition), micros(time_taken_ms), l.map(load));
-                self.tell(now, balancer_id, fs::Event::Probed { server, outcome, latency, load }, reply)?;
+                self.tell(now, balancer_id, policy::Event::Probed { server, outcome, latency, load }, reply)?;
             }
             Message::AckFirst { balancer_id, rid, trial } => {
                 if let Some(request) = self.request(balancer_id, &rid) {
-                    self.tell(now, balancer_id, fs::Event::FirstByte { request, attempt: trial }, reply)?;
+                    self.tell(now, balancer_id, policy::Event::FirstByte { request, attempt: trial }, reply)?;
                 }
             }
             Message::Resolved {
@@ -156,7 +157,7 @@
             } => {
                 let Some(request) = self.request(balancer_id, &rid) else { return Ok(false) };
                 let Some(instance) = self.instances.get_mut(&balancer_id) else { return Ok(false) };
-                let event = fs::Event::Outcome {
+                let event = policy::Event::Outcome {
                     request,
                     attempt: trial,
                     server: instance.servers.number(&upstream),
@@ -177,14 +178,14 @@
             }
             Message::Aborted { balancer_id, rid } => {
                 if let Some(request) = self.request(balancer_id, &rid) {
-                    self.tell(now, balancer_id, fs::Event::Gone { request }, reply)?;
+                    self.tell(now, balancer_id, policy::Event::Gone { request }, reply)?;
                     if let Some(instance) = self.instances.get_mut(&balancer_id) {
                         instance.close(request);
                     }
                 }
             }
             Message::Bell { balancer_id, ctx } => {
-                self.tell(now, balancer_id, fs::Event::Timer { token: ctx }, reply)?;
+                self.tell(now, balancer_id, policy::Event::Timer { token: ctx }, reply)?;
             }
         }
         Ok(false)
@@ -198,7 +199,7 @@
         let mut zones = Names::default();
         let settings = settings(setup, &mut zones)?;
         let instance = Instance {
-            balancer: fs::Balancer::new(settings, seed).map_err(|e| e.to_string())?,
+            balancer: policy::Balancer::new(settings, seed).map_err(|e| e.to_string())?,
             classes: setup.categories.iter().map(|c| c.name.clone()).collect(),
             tenants: setup.realms.iter().map(|r| r.name.clone()).collect(),
             zones,
@@ -212,40 +213,40 @@
         Ok(())
     }
 
-    fn servers(&mut self, balancer: u64, form: wire::Form, set: u64) -> Result<fs::Event, String> {
+    fn servers(&mut self, balancer: u64, form: wire::Form, set: u64) -> Result<policy::Event, String> {
         let kind = match form {
-            wire::Form::Patch => fs::ListKind::Changes,
-            wire::Form::Whole => fs::ListKind::Complete,
-            wire::Form::StaleCopy => fs::ListKind::Stale,
-            wire::Form::Broken => fs::ListKind::Failed,
+            wire::Form::Patch => policy::ListKind::Changes,
+            wire::Form::Whole => policy::ListKind::Complete,
+            wire::Form::StaleCopy => policy::ListKind::Stale,
+            wire::Form::Broken => policy::ListKind::Failed,
         };
         let mut entries = Vec::new();
         if let (Some(instance), false) = (self.instances.get_mut(&balancer), form == wire::Form::Broken) {
             let table = self.tables.get(&set).ok_or_else(|| format!("no table {set}"))?;
-            entries.extend(table.iter().map(|e| fs::ServerEntry {
+            entries.extend(table.iter().map(|e| policy::ServerEntry {
                 id: instance.servers.number(&e.upstream),
                 zone: instance.zones.number(&e.locality),
                 kind: instance.kinds.number(&e.machine),
                 cell: e.group,
                 ring: ring(&e.upstream),
                 state: match e.condition {
-                    wire::Condition::On => fs::ServerState::Ready,
-                    wire::Condition::Fading => fs::ServerState::Draining,
-                    wire::Condition::Off => fs::ServerState::Gone,
+                    wire::Condition::On => policy::ServerState::Ready,
+                    wire::Condition::Fading => policy::ServerState::Draining,
+                    wire::Condition::Off => policy::ServerState::Gone,
                 },
                 weight: e.weight,
                 started: (e.last_start_ms > 0.0).then(|| micros(e.last_start_ms)),
             }));
         }
-        Ok(fs::Event::Servers { kind, entries })
+        Ok(policy::Event::Servers { kind, entries })
     }
 
     /// Hands an event to its instance and writes what the instance wants done.
     fn tell(
         &mut self,
-        now: fs::Micros,
+        now: policy::Micros,
         id: u64,
-        event: fs::Event,
+        event: policy::Event,
         reply: &mut Vec<u8>,
     ) -> Result<(), String> {
         let Some(instance) = self.instances.get_mut(&id) else { return Ok(()) };
@@ -267,43 +268,43 @@
 fn write_action(
     id: u64,
     instance: &mut Instance,
-    action: &fs::Action,
+    action: &policy::Action,
     reply: &mut Vec<u8>,
 ) -> Result<(), String> {
     let balancer_id = id;
-    let server = |n: fs::ServerId| instance.servers.names[n as usize].as_str();
-    let rid = |n: &fs::RequestId| instance.open.get(n).map_or("", |o| o.name.as_str());
+    let server = |n: policy::ServerId| instance.servers.names[n as usize].as_str();
+    let rid = |n: &policy::RequestId| instance.open.get(n).map_or("", |o| o.name.as_str());
     match action {
-        fs::Action::Send { request, server: to, limit } => {
+        policy::Action::Send { request, server: to, limit } => {
             let (rid, upstream) = (rid(request), server(*to));
             write(reply, &Reply::CallOut { balancer_id, rid, limit_ms: millis(*limit), upstream })?;
             if let Some(open) = instance.open.get_mut(request) {
                 open.out += 1;
             }
         }
-        fs::Action::Refuse { request, retry_after } => {
+        policy::Action::Refuse { request, retry_after } => {
             let wait_ms = millis(*retry_after);
             write(reply, &Reply::Refuse { balancer_id, rid: rid(request), wait_ms })?;
             instance.close(*request);
         }
-        fs::Action::Fail { request } => {
+        policy::Action::Fail { request } => {
             write(reply, &Reply::FinishError { balancer_id, rid: rid(request) })?;
             instance.close(*request);
         }
-        fs::Action::Cancel { request, attempt } => {
+        policy::Action::Cancel { request, attempt } => {
             write(reply, &Reply::AbortAttempt { balancer_id, rid: rid(request), trial: *attempt })?;
         }
-        fs::Action::Probe { server: to } => {
+        policy::Action::Probe { server: to } => {
             write(reply, &Reply::Touch { balancer_id, upstream: server(*to) })?
         }
-        fs::Action::CloseIdle { server: to } => {
+        policy::Action::CloseIdle { server: to } => {
             write(reply, &Reply::ShutIdle { balancer_id, upstream: server(*to) })?;
         }
-        fs::Action::Timer { delay, token } => {
+        policy::Action::Timer { delay, token } => {
             write(reply, &Reply::Schedule { balancer_id, offset_ms: millis(*delay), ctx: *token })?;
         }
-        fs::Action::Watch => write(reply, &Reply::Subscribe { balancer_id, enable: true })?,
-        fs::Action::Fetch => write(reply, &Reply::QueryAll { balancer_id })?,
+        policy::Action::Watch => write(reply, &Reply::Subscribe { balancer_id, enable: true })?,
+        policy::Action::Fetch => write(reply, &Reply::QueryAll { balancer_id })?,
     }
     Ok(())
 }
--- a/wirehost/src/host/tests.rs
+++ b/crates/simulator-adapter/src/host/tests.rs
@@ -16,26 +16,26 @@
     let upstream = r#""BalancerId":6,"Upstream":"10.0.0.1:80""#;
     for (action, line) in [
         (
-            fs::Action::Send { request: 0, server, limit: 1_500 },
+            policy::Action::Send { request: 0, server, limit: 1_500 },
             r#"{"CallOut":{"BalancerId":6,"Rid":"r-0","LimitMs":1.5,"Upstream":"10.0.0.1:80"}}"#.to_owned(),
         ),
         (
-            fs::Action::Cancel { request: 0, attempt: 2 },
+            policy::Action::Cancel { request: 0, attempt: 2 },
             r#"{"AbortAttempt":{"BalancerId":6,"Rid":"r-0","Trial":2}}"#.to_owned(),
         ),
         (
-            fs::Action::Refuse { request: 1, retry_after: 2_000 },
+            policy::Action::Refuse { request: 1, retry_after: 2_000 },
             r#"{"Refuse":{"BalancerId":6,"Rid":"r-1","WaitMs":2.0}}"#.to_owned(),
         ),
-        (fs::Action::Fail { request: 2 }, r#"{"FinishError":{"BalancerId":6,"Rid":"r-2"}}"#.to_owned()),
-        (fs::Action::Probe { server }, format!(r#"{{"Touch":{{{upstream}}}}}"#)),
-        (fs::Action::CloseIdle { server }, format!(r#"{{"ShutIdle":{{{upstream}}}}}"#)),
+        (policy::Action::Fail { request: 2 }, r#"{"FinishError":{"BalancerId":6,"Rid":"r-2"}}"#.to_owned()),
+        (policy::Action::Probe { server }, format!(r#"{{"Touch":{{{upstream}}}}}"#)),
+        (policy::Action::CloseIdle { server }, format!(r#"{{"ShutIdle":{{{upstream}}}}}"#)),
         (
-            fs::Action::Timer { delay: 500, token: 9 },
+            policy::Action::Timer { delay: 500, token: 9 },
             r#"{"Schedule":{"BalancerId":6,"OffsetMs":0.5,"Ctx":9}}"#.to_owned(),
         ),
-        (fs::Action::Watch, r#"{"Subscribe":{"BalancerId":6,"Enable":true}}"#.to_owned()),
-        (fs::Action::Fetch, r#"{"QueryAll":{"BalancerId":6}}"#.to_owned()),
+        (policy::Action::Watch, r#"{"Subscribe":{"BalancerId":6,"Enable":true}}"#.to_owned()),
+        (policy::Action::Fetch, r#"{"QueryAll":{"BalancerId":6}}"#.to_owned()),
     ] {
         let mut reply = Vec::new();
         write_action(6, instance, &action, &mut reply).expect("it is written");
--- a/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Joins finchshift to the lbsim bench: reads its wire on standard input and answers on standard output.
+//! Joins the policy to the simulator: reads its wire on standard input and answers on standard output.
 
 mod host;
 mod wire;
@@ -10,7 +10,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("finchshift-wirehost: {why}");
+            eprintln!("zincstand-adapter: {why}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-use finchshift_wirehost::setup::{Setup, one};
+use zincstand_settings::{Setup, one};
 
 /// A message from the bench.
 #[derive(Deserialize)]
--- a/rig/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -12,14 +12,14 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use finchshift::{ListKind, Micros, ServerId, ServerState, Settings};
-use finchshift_wirehost::setup::{Names, Setup, settings};
 use serde_json::json;
-use sloeline::discovery::Discovery;
-use sloeline::engine::{Engine, Report};
-use sloeline::wire::{Listed, Target, Wire};
 use tokio::sync::mpsc as orders;
 use tokio::task::{LocalSet, spawn_local};
+use zincstand_policy::{ListKind, Micros, ServerId, ServerState, Settings};
+use zincstand_proxy::discovery::Discovery;
+use zincstand_proxy::engine::{Engine, Report};
+use zincstand_proxy::wire::{Listed, Target, Wire};
+use zincstand_settings::{Names, Setup, settings};
 
 use crate::discovery::processor_time;
 
--- a/rig/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use zincstand_rig::callers::{Schedule, Target, open_loop};
-use zincstand_rig::upstreams::Upstreams;
+use zincstand_testbed::callers::{Schedule, Target, open_loop};
+use zincstand_testbed::upstreams::Upstreams;
 
 #[test]
 fn targets_are_called_in_turn_and_evenly() {
--- a/rig/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use zincstand_rig::discovery::{Discovery, Entry, KEPT, Lifecycle, Mode};
+use zincstand_testbed::discovery::{Discovery, Entry, KEPT, Lifecycle, Mode};
 
 fn entry(number: usize) -> Entry {
     Entry::serving(number, 2, SocketAddr::from(([127, 0, 0, 1], 9)))
--- a/rig/tests/machine.rs
+++ b/crates/testbed/tests/machine.rs
@@ -1,6 +1,6 @@
 //! What a measurement may take of the machine.
 
-use zincstand_rig::machine::{MOST_PROCESSES, Machine, Needs};
+use zincstand_testbed::machine::{MOST_PROCESSES, Machine, Needs};
 
 #[test]
 fn what_is_too_large_for_the_machine_is_refused_with_what_to_do() {
--- a/rig/tests/slope.rs
+++ b/crates/testbed/tests/slope.rs
@@ -1,6 +1,6 @@
 //! Fitted slopes.
 
-use zincstand_rig::slope::{Point, fit, line};
+use zincstand_testbed::slope::{Point, fit, line};
 
 fn points(of: impl Fn(f64) -> f64) -> Vec<Point> {
     [10.0, 34.0, 200.0, 600.0, 2_000.0].map(|x| Point { x, y: of(x) }).to_vec()
--- a/wirehost/src/lib.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-//! What the adapter shares with the real balancer.
-
-pub mod setup;
