--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -13,9 +13,9 @@
 
 /// Requests that may be queued for each attempt that the concurrency limits allow.
 const QUEUED_PER_SLOT: f64 = 4.0;
-/// Requests that may be queued whatever the concurrency limits.
-const MIN_QUEUE_BOUND: usize = 16;
-/// A class is express when its value is more than this many times that of the next one.
+/// Number of requests that may always be queued, however low the concurrency limits are.
+const MIN_QUEUE_CAPACITY: usize = 16;
+/// The most valuable class is express if its value is more than this many times that of the next one.
 const EXPRESS_RATIO: f64 = 2.0;
 
 /// The queue of a class, and how the class was served lately.
@@ -40,7 +40,7 @@
 pub(crate) struct Queues {
     /// By class id.
     classes: Vec<ClassQueue>,
-    /// Class whose requests may exceed a full concurrency limit, `None` if no class has enough value.
+    /// Class whose requests may exceed a full concurrency limit, `None` if no class is valuable enough.
     express: Option<ClassId>,
 }
 
@@ -102,8 +102,8 @@
         self.classes[class].queued = remaining;
     }
 
-    /// Removes and returns the oldest request of the class of least value, if more requests are queued than
-    /// the sum of the concurrency limits allows. A backlog that cannot be served in time would only use
+    /// Removes and returns the oldest queued request of the least valuable class, if more requests are queued
+    /// than the sum of the concurrency limits allows. A backlog that cannot be served in time would only use
     /// memory.
     pub fn shed(
         &mut self,
@@ -111,14 +111,14 @@
         latencies: &Latencies,
         total_limit: f64,
     ) -> Option<RequestId> {
-        if self.len() <= ((total_limit * QUEUED_PER_SLOT) as usize).max(MIN_QUEUE_BOUND) {
+        if self.len() <= ((total_limit * QUEUED_PER_SLOT) as usize).max(MIN_QUEUE_CAPACITY) {
             return None;
         }
         let order = self.class_order(settings, latencies);
         order.iter().rev().find_map(|&class| self.classes[class].queued.pop_front())
     }
 
-    /// Returns the classes in the order of their value, greatest first, and updates the express class.
+    /// Returns the classes in descending order of their value, and updates the express class.
     pub fn class_order(&mut self, settings: &Settings, latencies: &Latencies) -> Vec<ClassId> {
         let values = self.class_values(settings, latencies);
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
@@ -130,7 +130,7 @@
         order
     }
 
-    /// Returns the value of each class: how much a request contributes to the goal for its work.
+    /// Returns the value of each class: how much a request contributes to the goal per unit of its work.
     fn class_values(&self, settings: &Settings, latencies: &Latencies) -> Vec<f64> {
         let classes = 0..self.classes.len();
         let total_weight: f64 = classes.clone().map(|class| self.offered_weight(settings, class)).sum();
@@ -139,7 +139,7 @@
         let value = |class: ClassId| {
             let bonus = self.worst_class_bonus(settings, class, worst_share, total_weight);
             let weight = settings.classes[class].priority_weight;
-            weight * (goal.overall + goal.worst_window + bonus) / mean_work(settings, latencies, class)
+            weight * (goal.overall + goal.worst_window + bonus) / work_per_request(settings, latencies, class)
         };
         classes.map(value).collect()
     }
@@ -149,8 +149,8 @@
         settings.classes[class].priority_weight * self.classes[class].recent_offered
     }
 
-    /// Returns what the part of the goal for the worst-served class adds to the value of a class: 0 unless
-    /// the class is served worst. The part is divided among the requests of that class alone.
+    /// Returns how much the goal's weight for the worst-served class adds to the value of a class: 0 unless
+    /// the class is served worst. The weight is divided among the requests of that class alone.
     fn worst_class_bonus(
         &self,
         settings: &Settings,
@@ -190,16 +190,16 @@
 
 /// Returns the work of a request of the class, measured as its median latency. It is 1 where the latency is
 /// unknown, and where priority weights count per unit of work.
-fn mean_work(settings: &Settings, latencies: &Latencies, class: ClassId) -> f64 {
-    let histogram = latencies.known_in_class(class).filter(|_| !settings.weight_by_work);
+fn work_per_request(settings: &Settings, latencies: &Latencies, class: ClassId) -> f64 {
+    let histogram = latencies.class_histogram(class).filter(|_| !settings.weight_by_work);
     histogram.map_or(1.0, DecayingHistogram::median)
 }
 
 /// Returns after how long the client of a rejected request should retry, in microseconds. Returns `None` if
 /// the request may not be rejected, or if a retry would be too late to be of use.
 ///
-/// The wait is the time in which the servers work off the queued requests, `queue_drain_time`, within the
-/// limit of the settings. It leaves enough time for a response after the retry, which takes `median`.
+/// The wait is the time that the servers need for the queued requests (`queue_drain_time`), but at most
+/// `max_retry_after` of the settings. It leaves time for the response to the retry, which takes `median`.
 pub(crate) fn retry_after(
     context: &Context,
     request: &Request,
--- a/crates/policy/src/balancer/admit.rs
+++ b/crates/policy/src/balancer/admit.rs
@@ -7,8 +7,8 @@
 use crate::time_limits;
 
 impl Balancer {
-    /// Queues a request and, if too many are queued then, rejects one of the class of least value. A request
-    /// of an unknown class fails at once.
+    /// Queues a request. If too many requests are then queued, rejects one of the least valuable class. A
+    /// request of an unknown class fails at once.
     pub(super) fn admit(&mut self, id: RequestId, new: &NewRequest) {
         let settings = &self.context.settings;
         let Some(class) = settings.classes.get(new.class) else {
@@ -27,8 +27,8 @@
 
     /// Starts the clock of a request whose body is complete, and gives its attempt a slot.
     ///
-    /// Until then the server has no work from it: a slow upload must neither occupy a slot nor count as the
-    /// latency of the server.
+    /// Until then the request causes the server no work: a slow upload must neither occupy a slot nor count
+    /// as latency of the server.
     pub(super) fn complete_body(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id).filter(|request| request.body_pending()) {
             request.complete_body(self.context.now());
@@ -39,8 +39,9 @@
     /// Drops a request whose client has disconnected.
     ///
     /// An attempt that was in flight for longer than the lowest median counts as a late response. Otherwise
-    /// slow servers would look fast wherever clients give up on the slowest calls. A shorter attempt does not
-    /// count: clients disconnect for their own reasons too, and would shrink the limit of idle servers.
+    /// slow servers would appear fast wherever clients give up on the slowest calls. A shorter attempt does
+    /// not count: clients also disconnect for other reasons, and counting these would shrink the limit of
+    /// idle servers.
     pub(super) fn cancel(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if request.body_pending() {
--- a/crates/policy/src/balancer/complete.rs
+++ b/crates/policy/src/balancer/complete.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: what its server and zone learn from it, and a retry or rejection of its request.
+//! The end of an attempt: updates of its server and zone, and the retry or rejection of its request.
 
 use super::Balancer;
 use crate::concurrency_limit::QueueSignal;
@@ -25,7 +25,7 @@
             self.latencies.record(&self.context.settings, request, &end)
         };
         if let Some(attempt) = request.end_attempt(end.outcome) {
-            // Without a queue signal the attempt was too short to tell anything about its server, so its
+            // Without a queue signal the attempt was too short to show whether its server is slow, so its
             // time-out counts against nobody.
             if queue_signal != QueueSignal::Unknown {
                 end.timeout_blame = attempt.timeout_blame;
@@ -77,7 +77,7 @@
     /// Schedules a retry if the rules and the budget allow one, and rejects the request otherwise.
     fn retry_or_reject(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let median = self.latencies.known_median(request.class()).unwrap_or(0.0);
+        let median = self.latencies.class_or_overall_median(request.class()).unwrap_or(0.0);
         let backoff = retry::backoff(&mut self.context, median);
         if self.retry_budget.authorize_retry(&self.context.settings, request, outcome) {
             request.delay_until(self.context.now() + backoff);
@@ -89,7 +89,7 @@
 }
 
 /// Records an idle connection, a pause after a rejection, or an abandoned attempt that may still be running,
-/// whichever follows from the outcome. `median` is the median latency.
+/// depending on the outcome. `median` is the median latency.
 fn apply_outcome(context: &mut Context, target: &mut ServerInZone<'_>, outcome: Outcome, median: f64) {
     match outcome {
         Outcome::Rejected => target.server.pause_until(outlier::rejection_pause_end(context, median)),
--- a/crates/policy/src/balancer/decay.rs
+++ b/crates/policy/src/balancer/decay.rs
@@ -9,12 +9,12 @@
 use crate::settings::Settings;
 use crate::slow_start::{self, PauseAfter};
 
-/// Expiry checks of the queued requests within the shortest latency objective.
+/// Number of checks for expired queued requests during the shortest latency objective.
 const EXPIRY_CHECKS_PER_OBJECTIVE: u64 = 64;
 /// Maximum time between two expiry checks, in microseconds. Retries and queued requests are sent at these
-/// checks too, and neither a backoff nor the time until a slot is free grows with the latency objectives.
+/// checks too, and longer latency objectives lengthen neither a backoff nor the wait for a free slot.
 const MAX_EXPIRY_INTERVAL: Micros = 40_000;
-/// Decays of the statistics within the longest deadline.
+/// Number of decays of the statistics during the longest deadline.
 const DECAYS_PER_DEADLINE: u64 = 16;
 
 /// Token of the timer for the next expiry check.
@@ -49,8 +49,8 @@
 
     /// Imports what the replaced process had learned, unless its number of classes differs.
     ///
-    /// The endpoint list must have been handled before. Without this state a new process would send to a busy
-    /// fleet as much as to an idle one, with no limit on the time of an attempt.
+    /// The endpoint list must have been handled before. Without this state a new process would send as much
+    /// to a busy fleet as to an idle one, and its attempts would have no learned time limit.
     pub fn restore(&mut self, now: Micros, learned: &LearnedState) {
         if learned.classes.len() != self.latencies.class_count() {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sets the timer of the next expiry check if requests wait and it is not set.
+    /// Sets the timer of the next expiry check if requests are waiting and the timer is not set yet.
     pub(super) fn schedule_expiry(&mut self) {
         let requests_wait = !self.retries.is_empty() || !self.queues.is_empty();
         if requests_wait && !self.expiry_scheduled {
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -1,6 +1,6 @@
 //! The balancer: its state, its construction, and the dispatch of events to the decisions.
 //!
-//! The submodules follow a request's life: [`admit`], [`send`] and [`complete`]; [`decay`] runs the timers.
+//! [`admit`], [`send`] and [`complete`] handle the stages of a request; [`decay`] handles the timers.
 
 mod admit;
 mod complete;
@@ -24,7 +24,7 @@
 use crate::slow_start;
 use crate::time_limits;
 
-/// The decisions of one balancer.
+/// The state and the decisions of one balancer.
 ///
 /// The caller delivers each event to [`handle`](Balancer::handle) and carries out the actions that it
 /// appends.
@@ -33,7 +33,7 @@
     /// Actions that follow from the event being handled.
     actions: Vec<Action>,
     fleet: Fleet,
-    /// Requests without a final answer. A streamed response is the client's from its first byte.
+    /// Requests without a final answer. The first byte of a streamed response counts as the final answer.
     requests: BTreeMap<RequestId, Request>,
     queues: Queues,
     latencies: Latencies,
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first fault that [`Settings::check`] finds.
+    /// Returns the first error that [`Settings::check`] finds.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.len();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Passes an event to the decision that it calls for.
+    /// Passes an event to its handler.
     fn dispatch(&mut self, event: Event) {
         match event {
             Event::EndpointList { kind: ListKind::Failed, .. } => self.schedule_poll(&POLL_AFTER_FAILURE),
--- a/crates/policy/src/balancer/send.rs
+++ b/crates/policy/src/balancer/send.rs
@@ -14,7 +14,7 @@
     pub(super) fn send_retries(&mut self) {
         for id in std::mem::take(&mut self.retries) {
             let Some(request) = self.requests.get(&id) else { continue };
-            if self.cannot_finish(request) || retry::dedup_window_over(&self.context, request) {
+            if self.cannot_finish(request) || retry::dedup_window_expired(&self.context, request) {
                 self.reject(id);
             } else if request.not_before() > self.context.now() {
                 self.retries.push(id);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends queued requests, class by class in the order of their value, until no server is free.
+    /// Sends queued requests, the most valuable class first, until no server is free.
     pub(super) fn send_queued(&mut self) {
         if self.queues.is_empty() {
             return;
@@ -37,9 +37,9 @@
 
     /// Sends or rejects one queued request of the class. Returns whether one has left the queue.
     ///
-    /// The newest request goes first, since it has most time left. If the servers that it may go to are full,
-    /// the newest of the requests that have waited long enough to leave their zone is next, so that slots in
-    /// other zones do not go to requests that can hardly finish any more.
+    /// The newest request goes first, since it has the most time left. If the servers that it may use are
+    /// full, the newest request that has waited long enough to leave its zone is next, so that slots in other
+    /// zones are not spent on requests that are unlikely to finish in time.
     fn dequeue_one(&mut self, class: ClassId) -> bool {
         let newest = self.queues.queued(class).len().checked_sub(1);
         if self.dequeue_at(class, newest) {
@@ -74,7 +74,11 @@
     }
 
     fn may_cross_zones(&self, request: &Request) -> bool {
-        selection::may_cross_zones(&self.context, request, self.latencies.known_median(request.class()))
+        selection::may_cross_zones(
+            &self.context,
+            request,
+            self.latencies.class_or_overall_median(request.class()),
+        )
     }
 
     /// Index of the server for the request's next attempt, `None` while none is free.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -7,44 +7,44 @@
 use crate::request::{AttemptEnd, Priority};
 use crate::settings::Settings;
 
-/// Fair share of a balancer in a zone's limit, in attempts for each server of its share of the fleet and each
-/// tier.
+/// Fair share of a balancer in a zone's limit, in attempts per tier and per server of the balancer's share of
+/// the zone's servers.
 const FAIR_SHARE_ATTEMPTS: f64 = 4.0;
 /// Maximum factor by which the growth of a limit is raised below its fair share, or reduced above it.
 const MAX_FAIRNESS_FACTOR: f64 = 3.0;
-/// Minimum of a limit, in attempts. A limit of less than one attempt is one attempt with pauses.
+/// Minimum of a limit, in attempts. A limit of less than one attempt allows one attempt, with pauses.
 const MIN_LIMIT: f64 = 0.05;
-/// Change of a limit for one outcome, in attempts. The change of a limit of less than one attempt is in
-/// proportion.
-const STEP: f64 = 0.5;
+/// Change of a limit for one outcome, in attempts. It is scaled down in proportion for a limit of less than
+/// one attempt.
+const LIMIT_STEP: f64 = 0.5;
 /// A limit grows only while at least this share of it is in use.
 const MIN_UTILIZATION: f64 = 0.7;
 /// Share of the responses that may be later than the queueing target before the limit shrinks.
-const LATE_SHARE: f64 = 0.25;
+const TOLERATED_LATE_SHARE: f64 = 0.25;
 /// Queueing target: share of the time between the lowest median and the latency objective that a response may
 /// spend in queues.
-const QUEUE_TARGET: f64 = 0.7;
+const QUEUEING_TARGET: f64 = 0.7;
 /// A response that takes more than this many times the lowest recent median is slow.
-const SLOWDOWN: f64 = 1.6;
+const SLOW_FACTOR: f64 = 1.6;
 /// Lateness of a slow response within the queueing target: the limit shrinks when more than half of the
 /// responses are slow.
-const SLOW_LATENESS: f64 = 2.0 * LATE_SHARE;
+const SLOW_LATENESS: f64 = 2.0 * TOLERATED_LATE_SHARE;
 /// Minimum of a zone's first limit, in attempts.
 const MIN_INITIAL_LIMIT: f64 = 2.0;
-/// Factor on the limit for express requests. Long requests of little weight would otherwise hold all slots of
-/// a small limit.
+/// Factor on the limit for express requests. Long requests of little weight would otherwise occupy all slots
+/// of a small limit.
 const EXPRESS_FACTOR: f64 = 2.0;
-/// Slots that a usable server may take, its own included, as a multiple of its own. The rest covers servers
-/// that are ejected or draining.
-const OVERFLOW_SHARE: f64 = 1.5;
-/// Time after which half of the abandoned attempts are assumed to have ended, in medians. With 99th
-/// percentiles instead, the attempts abandoned in a short slow period would fill the limit.
-const ABANDONED_HALF_LIFE: f64 = 2.0;
-
-/// Information about the queues of the servers, from the end of an attempt.
+/// Slots that a usable server may take, as a multiple of its even share of the limit. Those beyond its share
+/// replace the slots of servers that are ejected or draining.
+const OVERFLOW_FACTOR: f64 = 1.5;
+/// Time after which half of the abandoned attempts are assumed to have ended, in median latencies. In 99th
+/// percentiles, the attempts abandoned in a short slow period would fill the limit.
+const ABANDONED_HALF_LIFE_MEDIANS: f64 = 2.0;
+
+/// Information about queueing at the servers, derived from the end of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum QueueSignal {
-    /// The end of the attempt tells nothing about queues.
+    /// The end of the attempt gives no information about queueing.
     Unknown,
     /// Lateness of the response: 0 if it was fast, 1 if it was later than the queueing target.
     Lateness(f64),
@@ -55,15 +55,15 @@
     /// unknown, and `objective` is this tier's part of the latency objective.
     pub fn of(outcome: Outcome, latency: f64, lowest_median: f64, work_scale: f64, objective: f64) -> Self {
         let known = lowest_median > 0.0;
-        let slow = if known { SLOWDOWN * lowest_median * work_scale } else { f64::INFINITY };
-        // Only the time beyond the lowest median is queueing: calls to further tiers take long without any
-        // queue.
-        let unqueued = (lowest_median * work_scale).min(objective);
-        let target = unqueued + QUEUE_TARGET * (objective - unqueued);
+        let slow = if known { SLOW_FACTOR * lowest_median * work_scale } else { f64::INFINITY };
+        // Only the time beyond the lowest median is queueing: a call that depends on further tiers takes long
+        // without any queue.
+        let service_time = (lowest_median * work_scale).min(objective);
+        let target = service_time + QUEUEING_TARGET * (objective - service_time);
         let lateness = match outcome {
-            // An attempt that was cut short because its request had been queued here for long tells nothing
-            // about the servers. Counted as late, it would shrink the limit, which makes the queue longer
-            // still.
+            // An attempt that was cut short because its request had been queued here for a long time gives no
+            // information about the servers. Counted as late, it would shrink the limit, and the queue would
+            // grow further.
             Outcome::TimedOut | Outcome::Error if latency <= target.min(slow) => return Self::Unknown,
             Outcome::Rejected => 1.0,
             Outcome::Ok | Outcome::TimedOut | Outcome::Error if latency > target => 1.0,
@@ -78,9 +78,9 @@
 /// The concurrency limit of one zone and the attempts that count against it.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
-    /// Attempts that may be in flight at once.
+    /// Maximum number of attempts in flight.
     limit: f64,
-    /// The limit that would be this balancer's fair share.
+    /// Fair share of this balancer in the zone's limit, in attempts.
     fair_share: f64,
     /// Share of the limit that the usable servers may take. It is above 1 if they can take all of it.
     usable_share: f64,
@@ -93,7 +93,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Attempts that may be in flight at once.
+    /// Maximum number of attempts in flight.
     pub fn limit(&self) -> f64 {
         self.limit
     }
@@ -113,10 +113,10 @@
 
     /// Counts a usable server of the `servers` in the zone.
     ///
-    /// When servers are ejected or draining, the remaining servers take over only part of their slots. Giving
-    /// them all of it would overload a small zone permanently.
+    /// When servers are ejected or draining, the remaining servers take over only some of their slots. Taking
+    /// over all of them would overload a small zone permanently.
     pub fn add_usable_server(&mut self, servers: u32) {
-        self.usable_share += OVERFLOW_SHARE / f64::from(servers.max(1));
+        self.usable_share += OVERFLOW_FACTOR / f64::from(servers.max(1));
     }
 
     /// Returns whether one more attempt may be sent. Abandoned attempts take slots at the first tier only.
@@ -152,7 +152,8 @@
     /// Raises or lowers the limit at the end of an attempt whose slot has not been released yet.
     pub fn adjust(&mut self, context: &mut Context, end: &AttemptEnd, lateness: f64) {
         let in_use = f64::from(self.in_flight) >= MIN_UTILIZATION * self.limit;
-        let growth = if lateness > 0.0 || in_use { LATE_SHARE * self.fairness_factor() } else { 0.0 };
+        let growth =
+            if lateness > 0.0 || in_use { TOLERATED_LATE_SHARE * self.fairness_factor() } else { 0.0 };
         self.limit = (self.limit + self.step() * (growth - lateness)).max(MIN_LIMIT);
         if self.limit < 1.0 {
             let pause = end.latency as f64 * (1.0 / self.limit - 1.0);
@@ -169,13 +170,13 @@
 
     /// Change of the limit for one outcome, in proportion to a limit of less than one attempt.
     ///
-    /// Balancers may outnumber the servers, so that one attempt of each is too much. A limit of less than one
-    /// attempt is therefore one attempt with pauses.
+    /// Balancers may outnumber the servers, so that one attempt of each balancer at a time is too much. A
+    /// limit of less than one attempt therefore allows one attempt, with pauses.
     fn step(&self) -> f64 {
-        STEP * self.limit.min(1.0)
+        LIMIT_STEP * self.limit.min(1.0)
     }
 
-    /// Records an attempt whose client disconnected after more than the usual latency. It counts as late.
+    /// Records an attempt whose client disconnected after more than the expected latency. It counts as late.
     pub fn record_late_cancel(&mut self) {
         self.limit = (self.limit - self.step()).max(MIN_LIMIT);
     }
@@ -210,17 +211,18 @@
 /// Returns the share of the abandoned attempts that is assumed to be still running after `elapsed`
 /// microseconds. Returns `default` while no median is known.
 pub(crate) fn abandoned_remaining(elapsed: f64, median: f64, default: f64) -> f64 {
-    if median > 0.0 { 0.5_f64.powf(elapsed / (ABANDONED_HALF_LIFE * median)) } else { default }
+    if median > 0.0 { 0.5_f64.powf(elapsed / (ABANDONED_HALF_LIFE_MEDIANS * median)) } else { default }
 }
 
 /// Returns a balancer's fair share of a zone's limit, in attempts, from its share of the zone's servers.
 ///
-/// The servers of its own zone weigh as many times as others as there are zones, since balancers send within
-/// their zone first. With fewer balancers than zones all servers weigh the same: the balancer's own zone
-/// would otherwise be filled completely. Where most balancers are in one zone, the share is too large there.
+/// A server of its own zone weighs as much as `zone_count` servers of other zones, since balancers send
+/// within their zone first. With fewer balancers than zones all servers weigh the same: otherwise this
+/// balancer would fill its own zone completely. Where most balancers are in one zone, the share is too large
+/// there.
 ///
-/// An attempt occupies its slot while the tiers below work for it too, so the share is multiplied by the
-/// number of tiers from this one down. Where this tier alone is slow, the share is too large.
+/// An attempt also occupies its slot while the tiers below work for it, so the share is multiplied by the
+/// number of tiers from this one down. Where only this tier is slow, the share is too large.
 fn fair_share(settings: &Settings, zone: ZoneId, servers: u32) -> f64 {
     let zones = f64::from(settings.zone_count);
     let balancers = f64::from(settings.balancer_count);
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -8,13 +8,13 @@
 use crate::settings::Settings;
 use crate::slow_start::{self, PauseAfter};
 
-/// Number of balancers that prefer the same server. A balancer prefers few enough servers to send to each
-/// often, and all servers are preferred by about equally many balancers.
+/// Number of balancers that prefer the same server. A balancer prefers so few servers that it sends to each
+/// of them often, and all servers are preferred by about the same number of balancers.
 const BALANCERS_PER_SERVER: f64 = 4.0;
 /// Delay of the first poll.
 pub(crate) const FIRST_POLL: PollDelay = PollDelay { interval_share: 0.9, max: 3_000_000.0 };
 /// Delay of the poll after a failed one. A change must be known within 6 s after discovery has it, and a call
-/// of discovery may take 2.2 s.
+/// to discovery may take 2.2 s.
 pub(crate) const POLL_AFTER_FAILURE: PollDelay = PollDelay { interval_share: 0.4, max: 1_200_000.0 };
 
 /// Upper bound of a random delay before a poll of discovery.
@@ -34,8 +34,8 @@
 }
 
 impl Fleet {
-    /// Applies a list or a change of it. `send_interval` is the mean interval between two attempts of this
-    /// balancer, in microseconds.
+    /// Applies a complete endpoint list or a delta. `send_interval` is the mean interval between two attempts
+    /// of this balancer, in microseconds.
     pub fn apply(
         &mut self,
         context: &mut Context,
@@ -80,8 +80,8 @@
     }
 }
 
-/// Returns the range of the `servers` of a zone that this balancer prefers. The ranges of the balancers start
-/// at even distances on the ring, and that of a balancer's own zone is longer.
+/// Returns the range of the `servers` of a zone that this balancer prefers. The ranges of all balancers start
+/// at even distances on the ring. In a balancer's own zone its range is longer.
 fn preferred_range(settings: &Settings, zone: ZoneId, servers: usize) -> RingRange {
     let balancers = settings.balancer_count as usize;
     let own_zone_factor = if zone == settings.zone { f64::from(settings.zone_count) } else { 1.0 };
--- a/crates/policy/src/idle_connections.rs
+++ b/crates/policy/src/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections: after how long an idle time calls on them fail, and when to close them before use.
+//! Idle connections: the idle times after which calls on them fail, and when to close them before use.
 
 use crate::event::{Micros, Outcome};
 use crate::failure_by_gap::FailureByGap;
@@ -15,8 +15,8 @@
 const IMMEDIATE_SHARE: f64 = 0.1;
 /// Weight of one call in the moving averages.
 const CALL_WEIGHT: f64 = 0.25;
-/// Shortest idle time that is told apart, in microseconds.
-const SHORTEST_GAP: Micros = 64;
+/// Shortest idle time for the buckets, in microseconds: bucket `n` starts at 2^n times this, bucket 0 at 0.
+const SHORTEST_IDLE_TIME: Micros = 64;
 
 /// Shares of the calls that failed on idle connections, by their idle time.
 pub(crate) struct IdleConnections {
@@ -27,18 +27,18 @@
 }
 
 impl IdleConnections {
-    /// Creates shares without failures.
+    /// Creates statistics without failures.
     pub fn new() -> Self {
         IdleConnections { failed: FailureByGap::new(), broken: FailureByGap::new() }
     }
 
     /// Returns the bucket of an idle time. Bucket 0 also stands for a new connection.
     pub fn bucket(idle_time: Micros) -> usize {
-        FailureByGap::bucket(idle_time, SHORTEST_GAP)
+        FailureByGap::bucket(idle_time, SHORTEST_IDLE_TIME)
     }
 
-    /// Returns whether the idle connections to a server must be closed before a call, because connections
-    /// with such an idle time are often dropped on the way without notice.
+    /// Returns whether the idle connections to a server must be closed before a call, because the network
+    /// often drops connections with such an idle time without notice.
     pub fn must_close(&self, bucket: usize, idempotency: Idempotency) -> bool {
         let not_repeatable = idempotency == Idempotency::NotIdempotent;
         let risky = not_repeatable && self.broken.share(bucket) > MAX_BROKEN_SHARE;
@@ -48,8 +48,7 @@
     /// Records the end of a call on a connection of the bucket. `median` is the median latency.
     ///
     /// Only a connection that breaks immediately counts as dead, since a broken response may also be the
-    /// server's fault. Where a server breaks connections immediately for reasons of its own, some are closed
-    /// needlessly.
+    /// server's fault. Where the server itself breaks connections immediately, some are closed needlessly.
     pub fn record(&mut self, bucket: usize, end: &AttemptEnd, median: f64) {
         if bucket == 0 {
             return;
--- a/crates/policy/src/jitter.rs
+++ b/crates/policy/src/jitter.rs
@@ -1,6 +1,6 @@
-//! Jitter of pauses, so that balancers do not act in step.
+//! Jitter of pauses, so that balancers do not act at the same time.
 
-/// Smallest factor of a jitter. The largest is one more, and the mean is 1.
+/// Minimum jitter factor. The maximum is one more, and the mean is 1.
 const MIN_FACTOR: f64 = 0.5;
 
 /// Returns a random factor between 0.5 and 1.5.
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -12,8 +12,8 @@
 pub(crate) const MIN_SAMPLES: f64 = 6.0;
 /// Number of samples that do not decay. At one request a second all samples would otherwise be lost.
 const RETAINED_SAMPLES: f64 = 20.0;
-/// The buckets reach from 64 microseconds, far below any call over a network, to more than any deadline, with
-/// a resolution of a tenth. A 99th percentile takes at least a hundred samples.
+/// The buckets range from 64 microseconds, which is less than any call over a network takes, to more than any
+/// deadline, with a resolution of about a tenth. The 99th percentile needs at least 100 samples.
 const LATENCY_HISTOGRAM: HistogramTuning = HistogramTuning {
     lowest: 64.0,
     buckets_per_doubling: 8.0,
@@ -25,12 +25,12 @@
     tail_widening: 1.15,
     max_tail_factor: 8.0,
 };
-/// Number of requests over which the mean hinted work is taken.
+/// Number of recent requests over which the hinted work is averaged.
 const MEAN_WORK_REQUESTS: f64 = 32.0;
-/// Part of a latency that is in proportion to the hinted work. The rest is queueing, which does not depend on
+/// Share of a latency that is proportional to the hinted work. The rest is queueing, which does not depend on
 /// the size of the request.
-const HINT_TRUST: f64 = 0.6;
-/// Growth of the lowest median within a half-life, so that it follows a fleet that has become slower.
+const WORK_DEPENDENT_SHARE: f64 = 0.6;
+/// Factor by which the lowest median grows per half-life, so that it follows a fleet that has become slower.
 const LOWEST_MEDIAN_GROWTH: f64 = 1.05;
 
 /// Learned latencies and hinted work of a class, in microseconds. Latencies are divided by the work scale of
@@ -49,7 +49,7 @@
         ClassLatency { histogram, lowest_median: 0.0, mean_work: 0.0 }
     }
 
-    /// Lowers the lowest median to the present one, and lets it grow slowly otherwise.
+    /// Lowers the lowest median to the current median, or lets it grow slowly.
     fn update_lowest_median(&mut self, elapsed: f64, half_life: f64) {
         self.lowest_median *= LOWEST_MEDIAN_GROWTH.powf(elapsed / half_life);
         let median = self.histogram.median();
@@ -65,7 +65,7 @@
     /// By class id.
     classes: Vec<ClassLatency>,
     /// Latencies of all classes together.
-    all: DecayingHistogram,
+    overall: DecayingHistogram,
 }
 
 impl Latencies {
@@ -73,7 +73,7 @@
     pub fn new(classes: usize) -> Self {
         Latencies {
             classes: (0..classes).map(|_| ClassLatency::new()).collect(),
-            all: DecayingHistogram::new(&LATENCY_HISTOGRAM),
+            overall: DecayingHistogram::new(&LATENCY_HISTOGRAM),
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Median latency of all classes together, 0 before the first sample.
     pub fn overall_median(&self) -> f64 {
-        self.all.median()
+        self.overall.median()
     }
 
     /// Median latency of the class, however few samples there are: 0 before the first one.
@@ -98,20 +98,20 @@
     }
 
     /// Histogram of the class, `None` while it has too few samples.
-    pub fn known_in_class(&self, class: ClassId) -> Option<&DecayingHistogram> {
+    pub fn class_histogram(&self, class: ClassId) -> Option<&DecayingHistogram> {
         let histogram = &self.classes[class].histogram;
         (histogram.samples() >= MIN_SAMPLES).then_some(histogram)
     }
 
     /// Histogram of the class, or that of all classes, or `None` while both have too few samples.
-    pub fn known(&self, class: ClassId) -> Option<&DecayingHistogram> {
-        let of_all = || (self.all.samples() >= MIN_SAMPLES).then_some(&self.all);
-        self.known_in_class(class).or_else(of_all)
+    pub fn class_or_overall_histogram(&self, class: ClassId) -> Option<&DecayingHistogram> {
+        let overall = || (self.overall.samples() >= MIN_SAMPLES).then_some(&self.overall);
+        self.class_histogram(class).or_else(overall)
     }
 
     /// Median latency of the class, or that of all classes, or `None` while both have too few samples.
-    pub fn known_median(&self, class: ClassId) -> Option<f64> {
-        self.known(class).map(DecayingHistogram::median)
+    pub fn class_or_overall_median(&self, class: ClassId) -> Option<f64> {
+        self.class_or_overall_histogram(class).map(DecayingHistogram::median)
     }
 
     /// Records the hinted work of a request, and returns by which factor its latency is expected to differ
@@ -121,10 +121,10 @@
         let latency = &mut self.classes[class];
         let work = work.map_or(0.0, |work| work as f64);
         latency.mean_work += (work - latency.mean_work) / recent_requests.clamp(1.0, MEAN_WORK_REQUESTS);
-        if work > 0.0 { 1.0 + HINT_TRUST * (work / latency.mean_work - 1.0) } else { 1.0 }
+        if work > 0.0 { 1.0 + WORK_DEPENDENT_SHARE * (work / latency.mean_work - 1.0) } else { 1.0 }
     }
 
-    /// Records the end of an attempt, and returns what it tells about the queues of the servers.
+    /// Records the end of an attempt, and returns what it shows about queueing at the servers.
     pub fn record(&mut self, settings: &Settings, request: &Request, end: &AttemptEnd) -> QueueSignal {
         let class = &mut self.classes[request.class()];
         let latency = end.latency as f64;
@@ -132,7 +132,7 @@
         if matches!(end.outcome, Outcome::Ok | Outcome::TimedOut) {
             let sample = if end.outcome == Outcome::Ok { Sample::Complete } else { Sample::CutOff };
             class.histogram.record(latency / work_scale, sample);
-            self.all.record(latency / work_scale, sample);
+            self.overall.record(latency / work_scale, sample);
         }
         let objective = time_limits::tier_objective(settings, request.class());
         QueueSignal::of(end.outcome, latency, class.lowest_median, work_scale, objective)
@@ -144,12 +144,12 @@
             class.histogram.decay(now, half_life);
             class.update_lowest_median(elapsed, half_life);
         }
-        self.all.decay(now, half_life);
+        self.overall.decay(now, half_life);
     }
 
     /// Exports the latencies and the hinted work. `learned.classes` has an entry for each class.
     pub fn export(&self, learned: &mut LearnedState) {
-        learned.all_classes = self.all.export();
+        learned.all_classes = self.overall.export();
         for (class, learned) in self.classes.iter().zip(&mut learned.classes) {
             learned.latency = class.histogram.export();
             learned.lowest_median = class.lowest_median;
@@ -159,7 +159,7 @@
 
     /// Imports the latencies and the hinted work.
     pub fn import(&mut self, learned: &LearnedState) {
-        self.all.import(learned.saved_at, &learned.all_classes);
+        self.overall.import(learned.saved_at, &learned.all_classes);
         for (class, learned_class) in self.classes.iter_mut().zip(&learned.classes) {
             class.histogram.import(learned.saved_at, &learned_class.latency);
             class.lowest_median = learned_class.lowest_median;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -18,15 +18,15 @@
 const MIN_FAILURE_SHARE: f64 = 0.01;
 /// Upper bound of the share of failed attempts.
 const MAX_FAILURE_SHARE: f64 = 0.5;
-/// Mean open time of a breaker, in longest deadlines.
-const OPEN_TIME: f64 = 1.0;
+/// Mean open time of a breaker, as a multiple of the longest deadline of all classes.
+const OPEN_TIME_DEADLINES: f64 = 1.0;
 /// Share of the servers that may be ejected.
-const MAX_EJECTED: f64 = 0.34;
+const MAX_EJECTED_SHARE: f64 = 0.34;
 /// Share of the servers that may be ejected after failed connections. It is larger, because after the loss of
-/// a zone each call would otherwise try the unreachable servers in turn.
-const MAX_EJECTED_UNREACHABLE: f64 = 0.67;
+/// a zone each call would otherwise try one unreachable server after another.
+const MAX_EJECTED_SHARE_UNREACHABLE: f64 = 0.67;
 /// Mean pause after a rejection before the next attempt to the same server, in median latencies.
-const REJECTION_PAUSE: f64 = 2.0;
+const REJECTION_PAUSE_MEDIANS: f64 = 2.0;
 
 /// Returns whether the end of an attempt counts as a failure of its server.
 pub(crate) fn is_failure(end: &AttemptEnd) -> bool {
@@ -38,17 +38,17 @@
 /// already.
 pub(crate) fn may_eject(outcome: Outcome, ejected: usize, servers: usize) -> bool {
     let unreachable = outcome == Outcome::ConnectFailed;
-    let max_share = if unreachable { MAX_EJECTED_UNREACHABLE } else { MAX_EJECTED };
+    let max_share = if unreachable { MAX_EJECTED_SHARE_UNREACHABLE } else { MAX_EJECTED_SHARE };
     (ejected as f64) < max_share * servers as f64
 }
 
 /// Returns the time before which a server that rejected an attempt receives no other. `median` is the median
 /// latency.
 ///
-/// A server that is full, or draining without being listed so yet, rejects at once. With no attempt in flight
-/// it would be selected again and again.
+/// A server that is full, or draining but not yet listed as draining, rejects at once. Without a pause it
+/// would be selected again and again, since it has no attempt in flight.
 pub(crate) fn rejection_pause_end(context: &mut Context, median: f64) -> Micros {
-    context.now() + (median * REJECTION_PAUSE * jitter(&mut context.rng)) as Micros
+    context.now() + (median * REJECTION_PAUSE_MEDIANS * jitter(&mut context.rng)) as Micros
 }
 
 /// Opens and closes the circuit breakers of servers by the outcomes of attempts.
@@ -62,7 +62,10 @@
 impl OutlierDetector {
     /// Creates a detector. `longest_deadline` is that of all classes, in microseconds.
     pub fn new(longest_deadline: f64) -> Self {
-        OutlierDetector { failure_share: MIN_FAILURE_SHARE, open_time: longest_deadline * OPEN_TIME }
+        OutlierDetector {
+            failure_share: MIN_FAILURE_SHARE,
+            open_time: longest_deadline * OPEN_TIME_DEADLINES,
+        }
     }
 
     /// Records an attempt that succeeded, and closes the breakers that it passed.
@@ -91,15 +94,15 @@
             if breaker.is_half_open() || failed_too_often {
                 let open_time = self.open_time * (0.75 + 0.5 * context.rng.f64());
                 breaker.open(context.now() + open_time as Micros);
-                // The open common breaker blocks all classes. A class's own breaker opens only where the
+                // The open common breaker blocks all classes. The breaker of one class opens only where the
                 // server still serves others.
                 break;
             }
         }
     }
 
-    /// Number of consecutive failures from which chance is no explanation: the probability of that many is
-    /// less than [`CHANCE_PROBABILITY`] at the present share of failed attempts.
+    /// Minimum number of consecutive failures that chance does not explain: at the current share of failed
+    /// attempts, the probability of that many is less than [`CHANCE_PROBABILITY`].
     fn failures_beyond_chance(&self) -> f64 {
         let failure_share = self.failure_share.clamp(MIN_FAILURE_SHARE, MAX_FAILURE_SHARE);
         (CHANCE_PROBABILITY.ln() / failure_share.ln()).max(MIN_FAILURES)
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -6,15 +6,15 @@
 use crate::request::Request;
 use crate::settings::{DedupScope, Idempotency, Settings};
 
-/// Mean backoff before a retry, in medians: short in comparison with the call, and long enough to spread
+/// Mean backoff before a retry, in median latencies: short relative to the call, and long enough to spread
 /// retries.
-pub(crate) const BACKOFF: f64 = 0.1;
+pub(crate) const BACKOFF_MEDIANS: f64 = 0.1;
 /// Retries that each first attempt adds to the budget.
 const BUDGET_PER_REQUEST: f64 = 0.1;
 /// Maximum of the budget, in retries.
 const MAX_BUDGET: f64 = 5.0;
 
-/// The budget of retries. It keeps retries from multiplying the load of servers that fail.
+/// The budget of retries. It keeps retries from multiplying the load on failing servers.
 pub(crate) struct RetryBudget {
     /// Retries that may still be sent.
     balance: f64,
@@ -26,7 +26,7 @@
         RetryBudget { balance: MAX_BUDGET }
     }
 
-    /// Adds the share of one first attempt.
+    /// Adds [`BUDGET_PER_REQUEST`] for a first attempt.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + BUDGET_PER_REQUEST).min(MAX_BUDGET);
     }
@@ -53,7 +53,7 @@
 
 /// Returns the backoff before a retry, in microseconds. `median` is 0 while none is known.
 pub(crate) fn backoff(context: &mut Context, median: f64) -> Micros {
-    let backoff = (median * BACKOFF * jitter(&mut context.rng)) as Micros;
+    let backoff = (median * BACKOFF_MEDIANS * jitter(&mut context.rng)) as Micros;
     backoff.max(context.settings.tick)
 }
 
@@ -62,9 +62,9 @@
     matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. })
 }
 
-/// Returns whether the request must not be repeated any more, because the servers may have forgotten its
+/// Returns whether the request must no longer be repeated, because the servers may have forgotten its
 /// earliest attempt and would run it twice.
-pub(crate) fn dedup_window_over(context: &Context, request: &Request) -> bool {
+pub(crate) fn dedup_window_expired(context: &Context, request: &Request) -> bool {
     let Some(first_run) = request.first_run() else { return false };
     match context.settings.classes[request.class()].idempotency {
         Idempotency::Idempotent => false,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -8,19 +8,19 @@
 use crate::retry;
 use crate::slow_start;
 
-/// Attempts in flight that are added to those of a server which is not preferred.
-const NOT_PREFERRED: f64 = 1.0;
+/// Number that is added to the attempts in flight of a server that is not preferred.
+const NOT_PREFERRED_PENALTY: f64 = 1.0;
 /// Factor on the score of the server that had the request's last attempt.
 const SAME_SERVER_FACTOR: f64 = 2.0;
-/// Score of a server that is due for a trial: lower than all others of its zone.
+/// Score of a server that is due for a trial: lower than all other scores.
 const TRIAL_SCORE: f64 = -1.0;
-/// Maximum number of preferred and of other servers of a zone that are ranked for an attempt. They are a
-/// random range of the zone's servers, and the best of them nearly always has as few attempts in flight as
-/// the best of all.
+/// Maximum number of preferred servers of a zone that are ranked for an attempt, and of its other servers. A
+/// random range of a longer list is ranked: its best server nearly always has as few attempts in flight as
+/// the best of the whole list.
 const MAX_RANKED: usize = 32;
 
-/// Returns whether the request may leave its zone: it has waited long enough in proportion to the price of an
-/// attempt across zones. `median` is the median latency.
+/// Returns whether the request may leave its zone: it has waited for at least `prices.cross_zone` median
+/// latencies. `median` is the median latency, `None` while it is unknown.
 pub(crate) fn may_cross_zones(context: &Context, request: &Request, median: Option<f64>) -> bool {
     let waited = (context.now() - request.arrived_at()) as f64;
     waited >= context.settings.prices.cross_zone * median.unwrap_or(1.0)
@@ -63,11 +63,12 @@
         Selection { context, fleet, request, priority, may_cross_zones, best: None }
     }
 
-    /// Returns the index of the server with the fewest own attempts in flight for its size, or `None` if no
-    /// server may take the attempt. Servers of the own zone come first, and preferred servers before others.
+    /// Returns the index of the server with the fewest attempts of this balancer in flight relative to its
+    /// size, or `None` if no server may take the attempt. Servers of the balancer's zone come first, and
+    /// preferred servers come before others.
     pub fn select(&mut self) -> Option<usize> {
         let zones = self.fleet.zones();
-        let start = if zones.values().any(is_ranked_in_part) { self.context.rng.usize(..) } else { 0 };
+        let start = if zones.values().any(exceeds_max_ranked) { self.context.rng.usize(..) } else { 0 };
         for (&id, zone) in zones {
             if self.may_use(id, zone) {
                 self.rank_preferred(zone, start);
@@ -91,10 +92,10 @@
         self.rank(zone.preferred(), start, |_| false);
     }
 
-    /// Ranks the other servers of a zone until the best candidate cannot be improved, so that most selections
-    /// examine the preferred servers only.
+    /// Ranks the other servers of a zone until the best candidate beats them, so that most selections examine
+    /// the preferred servers only.
     fn rank_others(&mut self, zone: &Zone, start: usize) {
-        self.rank(zone.others(), start, Self::is_good_enough);
+        self.rank(zone.others(), start, Self::beats_not_preferred);
     }
 
     /// Ranks at most [`MAX_RANKED`] of the servers, from a random `start`, until `done` returns true.
@@ -114,9 +115,10 @@
         }
     }
 
-    /// Whether no server that is not preferred can be better than the best candidate.
-    fn is_good_enough(&self) -> bool {
-        self.best.is_some_and(|best| !best.remote && best.score < NOT_PREFERRED)
+    /// Whether the best candidate is in the balancer's zone and scores less than any server of weight 1 that
+    /// is not preferred and not due for a trial.
+    fn beats_not_preferred(&self) -> bool {
+        self.best.is_some_and(|best| !best.remote && best.score < NOT_PREFERRED_PENALTY)
     }
 
     /// Returns the server at `index` as a candidate, `None` if it may not take the attempt.
@@ -135,14 +137,14 @@
         let is_same_server = self.request.last_server() == Some(entry.id);
         let same_server_factor = if is_same_server { SAME_SERVER_FACTOR } else { 1.0 };
         // The random part spreads attempts over servers with equally many in flight.
-        let spread = self.context.rng.f64() + if server.is_preferred() { 0.0 } else { NOT_PREFERRED };
+        let spread = self.context.rng.f64() + if server.is_preferred() { 0.0 } else { NOT_PREFERRED_PENALTY };
         let load = (f64::from(server.in_flight()) + spread) * same_server_factor / size;
         let score = if admission == Admission::Trial { TRIAL_SCORE } else { load };
         Some(Candidate { remote: entry.zone != self.context.settings.zone, score, index })
     }
 }
 
-/// Whether a zone has too many servers to rank all of them.
-fn is_ranked_in_part(zone: &Zone) -> bool {
+/// Whether a zone has too many preferred or other servers to rank all of them.
+fn exceeds_max_ranked(zone: &Zone) -> bool {
     zone.preferred().len() > MAX_RANKED || zone.others().len() > MAX_RANKED
 }
--- a/crates/policy/src/time_limits.rs
+++ b/crates/policy/src/time_limits.rs
@@ -8,26 +8,26 @@
 use crate::retry;
 use crate::settings::{Class, Idempotency, Settings};
 
-/// An attempt is sent while this share of its class's latency objective is left, whatever the learned
-/// latencies.
-const ALWAYS_SENT: f64 = 0.5;
-/// Minimum time left for an attempt, in medians, or the 90th percentile where that is less. With less time
-/// left than five medians, about half of the attempts that take long would finish too late. Where latencies
-/// vary little, the 90th percentile is enough, and callers that limit their attempts to their 99th percentile
-/// leave no more time.
-const MIN_TIME: f64 = 5.0;
-/// Time for a retry is reserved only if the first attempt still has this many medians.
-const MIN_TIME_BESIDE_RETRY: f64 = 12.0;
-/// Limit of an attempt that no retry may follow, in 99th percentiles. Its time-out frees a slot but loses the
-/// request.
+/// Share of the latency objective that is always enough time for an attempt, whatever the learned latencies.
+const SUFFICIENT_OBJECTIVE_SHARE: f64 = 0.5;
+/// Minimum time left for an attempt, in median latencies. The 90th percentile replaces it where that is less.
+///
+/// With less time left than five medians, about half of the slow attempts would finish too late. Where
+/// latencies vary little, the 90th percentile is enough, and callers that limit their attempts to their 99th
+/// percentile leave no more time.
+const MIN_TIME_MEDIANS: f64 = 5.0;
+/// Time for a retry is reserved only if more than this many median latencies remain for the first attempt.
+const MIN_FIRST_ATTEMPT_MEDIANS: f64 = 12.0;
+/// Limit of an attempt that no retry may follow, as a multiple of the 99th percentile. A time-out frees the
+/// slot but fails the request.
 const LAST_ATTEMPT_FACTOR: f64 = 3.0;
-/// A time-out after more medians than this counts against the server, whatever set the limit.
-const SILENCE_LIMIT: f64 = 12.0;
+/// A time-out after more than this many median latencies counts against the server, whatever set the limit.
+const UNRESPONSIVE_MEDIANS: f64 = 12.0;
 
 /// Returns whether too little time is left for an attempt to finish.
 ///
-/// A request whose deadline lies before the next expiry check counts too: with checks further apart than the
-/// grace after the deadline, its final answer would otherwise be too late.
+/// This includes a request whose deadline is before the next expiry check. Otherwise its final answer would
+/// be too late where the checks are further apart than the grace period after the deadline.
 pub(crate) fn cannot_finish(
     latencies: &Latencies,
     context: &Context,
@@ -37,9 +37,10 @@
     let now = request.clock(context.now());
     let time_left = request.useful_until().saturating_sub(now) as f64;
     let objective = tier_objective(&context.settings, request.class());
-    let known = latencies.known(request.class());
-    let usual = known.map_or(0.0, |known| known.p90().min(known.median() * MIN_TIME));
-    let needed = usual.min(objective * ALWAYS_SENT) * request.work_scale();
+    let histogram = latencies.class_or_overall_histogram(request.class());
+    let learned =
+        histogram.map_or(0.0, |histogram| histogram.p90().min(histogram.median() * MIN_TIME_MEDIANS));
+    let needed = learned.min(objective * SUFFICIENT_OBJECTIVE_SHARE) * request.work_scale();
     now + expiry_interval >= request.deadline() || time_left <= 0.0 || time_left < needed
 }
 
@@ -49,8 +50,8 @@
 /// server that never answers would otherwise go unnoticed.
 pub(crate) fn attempt_limit(latencies: &Latencies, context: &Context, request: &Request) -> AttemptLimit {
     let mut limit = learned_limit(latencies, context, request);
-    let median = latencies.known_median(request.class()).unwrap_or(f64::INFINITY);
-    if limit.duration as f64 > median * request.work_scale() * SILENCE_LIMIT {
+    let median = latencies.class_or_overall_median(request.class()).unwrap_or(f64::INFINITY);
+    if limit.duration as f64 > median * request.work_scale() * UNRESPONSIVE_MEDIANS {
         limit.timeout_blame = TimeoutBlame::Server;
     }
     limit
@@ -60,33 +61,33 @@
 /// for a retry where one may follow, and the median for a retry.
 ///
 /// A time-out does not count against the server where the remaining time of the request set the limit, nor
-/// for a retry: half of all attempts take longer than the median. Callers with little time would otherwise
-/// open breakers.
+/// for a retry: half of all attempts take longer than the median. Otherwise callers with little time left
+/// would open breakers.
 fn learned_limit(latencies: &Latencies, context: &Context, request: &Request) -> AttemptLimit {
     let time_left = (request.useful_until() - request.clock(context.now())) as f64;
     // Only the class's own histogram counts. While a class of long requests is rare, the histogram of all
     // classes would cut its attempts short.
-    let Some(histogram) = latencies.known_in_class(request.class()) else {
+    let Some(histogram) = latencies.class_histogram(request.class()) else {
         return AttemptLimit { duration: time_left as Micros, timeout_blame: TimeoutBlame::Nobody };
     };
     let median = histogram.median() * request.work_scale();
-    let tail = histogram.p99() * request.work_scale();
+    let p99 = histogram.p99() * request.work_scale();
     if request.retried() {
-        let limit = shorter_limit(median, time_left, time_left);
+        let limit = shortest_limit(median, time_left, time_left);
         return AttemptLimit { timeout_blame: TimeoutBlame::Nobody, ..limit };
     }
     if context.settings.classes[request.class()].idempotency == Idempotency::NotIdempotent {
-        return shorter_limit(tail * LAST_ATTEMPT_FACTOR, time_left, time_left);
+        return shortest_limit(p99 * LAST_ATTEMPT_FACTOR, time_left, time_left);
     }
-    let beside_retry = time_left - median * (1.0 + retry::BACKOFF);
-    let has_time_for_retry = beside_retry > median * MIN_TIME_BESIDE_RETRY;
-    shorter_limit(tail, if has_time_for_retry { beside_retry } else { time_left }, time_left)
+    let time_before_retry = time_left - median * (1.0 + retry::BACKOFF_MEDIANS);
+    let has_time_for_retry = time_before_retry > median * MIN_FIRST_ATTEMPT_MEDIANS;
+    shortest_limit(p99, if has_time_for_retry { time_before_retry } else { time_left }, time_left)
 }
 
-/// Returns the least of a learned limit, the time `available` for the attempt, and the time left, in
+/// Returns the shortest of a learned limit, the time `available` for the attempt, and the time left, in
 /// microseconds. A time-out counts against the server only if the learned limit is less than the available
 /// time.
-fn shorter_limit(learned: f64, available: f64, time_left: f64) -> AttemptLimit {
+fn shortest_limit(learned: f64, available: f64, time_left: f64) -> AttemptLimit {
     AttemptLimit {
         duration: learned.min(available).min(time_left).max(1.0) as Micros,
         timeout_blame: if learned < available { TimeoutBlame::Server } else { TimeoutBlame::Nobody },
@@ -104,15 +105,15 @@
     tier_part(settings, settings.classes[class].latency_objective) as f64
 }
 
-/// Returns for how long after the arrival of a request its response is of use.
+/// Returns for how long after the arrival of a request a response to it is useful.
 ///
-/// A caller that does not propagate its remaining time sends the whole deadline, of which the tiers above
-/// have used their part already. Only this tier's part counts, so that no server works for a caller that has
-/// given up.
+/// A caller that does not propagate its remaining time sends the whole deadline, although the tiers above
+/// have already used their part of it. Only this tier's part counts, so that no server works for a caller
+/// that has given up.
 pub(crate) fn useful_time(settings: &Settings, class: &Class, work: Option<Micros>) -> Micros {
-    let for_work = (class.objective_per_work * work.unwrap_or(0) as f64) as Micros;
+    let work_allowance = (class.objective_per_work * work.unwrap_or(0) as f64) as Micros;
     let deadline =
         if settings.propagates_deadline { class.deadline } else { tier_part(settings, class.deadline) };
-    let objective = (class.latency_objective + for_work).min(deadline);
+    let objective = (class.latency_objective + work_allowance).min(deadline);
     if class.late_weight > 0.0 { deadline } else { objective.saturating_sub(settings.tick) }
 }
