--- a/crates/policy/tests/common/checker.rs
+++ b/crates/policy/tests/common/checker.rs
@@ -2,9 +2,9 @@
 
 use zincstand_policy::{Action, DedupScope, Idempotency, Micros, RequestId, ServerId};
 
-use super::world::{AttemptInFlight, FirstRun, Timer, World};
+use super::simulation::{AttemptInFlight, FirstRun, Simulation, Timer};
 
-impl World {
+impl Simulation {
     /// Checks an action and carries it out.
     pub(super) fn check(&mut self, action: Action) {
         match action {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,12 +4,12 @@
 
 mod checker;
 pub mod fixtures;
-mod world;
+mod simulation;
 
 use zincstand_policy::{DedupScope, Idempotency};
 
 pub use fixtures::{MS, SECOND, settings};
-pub use world::{AttemptInFlight, Response, World, ends_after, ok_after};
+pub use simulation::{AttemptInFlight, Response, Simulation, ends_after, ok_after};
 
 /// Idempotency of a class whose repeats the servers of a cell drop for a second.
 pub const KEYED_CELL: Idempotency = Idempotency::WithKey { scope: DedupScope::Cell, window: SECOND };
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -101,7 +101,7 @@
 }
 
 /// A balancer and its environment. An action that breaks a rule ends the test.
-pub struct World {
+pub struct Simulation {
     /// Virtual time.
     pub now: Micros,
     /// The balancer.
@@ -132,11 +132,11 @@
     pub(super) next: u64,
 }
 
-impl World {
+impl Simulation {
     /// Creates a balancer that has received a cached list of the servers.
-    pub fn new(settings: Settings, servers: Vec<ServerEntry>, seed: u64) -> World {
+    pub fn new(settings: Settings, servers: Vec<ServerEntry>, seed: u64) -> Simulation {
         let balancer = Balancer::new(settings.clone(), seed).expect("the settings are valid");
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 1_000 * SECOND,
             balancer,
             settings,
@@ -152,8 +152,8 @@
             unavailable: BTreeSet::new(),
             next: 0,
         };
-        world.list(ListKind::CachedSnapshot, servers);
-        world
+        simulation.list(ListKind::CachedSnapshot, servers);
+        simulation
     }
 
     /// Delivers an event, checks the actions that follow, and returns them.
@@ -306,7 +306,7 @@
         self.sends.values().sum()
     }
 
-    /// Runs for `duration`; see [`World::run`].
+    /// Runs for `duration`; see [`Simulation::run`].
     pub fn run_for(&mut self, duration: Micros, respond: impl FnMut(&AttemptInFlight) -> Response) {
         self.run(self.now + duration, respond);
     }
--- a/crates/policy/tests/decisions/admission.rs
+++ b/crates/policy/tests/decisions/admission.rs
@@ -1,7 +1,7 @@
 //! Queues, load shedding, the order of classes, and final answers.
 
-use crate::common::{MS, Response, SECOND, World, settings};
-use crate::helpers::{draining, last_in_flight, world};
+use crate::common::{MS, Response, SECOND, Simulation, settings};
+use crate::helpers::{draining, last_in_flight, simulation};
 use zincstand_policy::{Action, Goal, Idempotency, ListKind, Outcome, ServerEntry};
 
 #[test]
@@ -9,25 +9,25 @@
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.classes[0].latency_objective = 3600 * SECOND;
     settings.classes[0].deadline = 3600 * SECOND;
-    let mut world = World::new(settings, vec![ServerEntry::new(0)], 7);
-    world.request(0);
-    let first = last_in_flight(&world);
-    world.end(&first, Outcome::Rejected);
-    world.run_for(100 * MS, |_| Response::Never);
-    assert_eq!(last_in_flight(&world).attempt, 1, "its retry waits for the next check");
+    let mut simulation = Simulation::new(settings, vec![ServerEntry::new(0)], 7);
+    simulation.request(0);
+    let first = last_in_flight(&simulation);
+    simulation.end(&first, Outcome::Rejected);
+    simulation.run_for(100 * MS, |_| Response::Never);
+    assert_eq!(last_in_flight(&simulation).attempt, 1, "its retry waits for the next check");
 }
 
 #[test]
 fn a_request_that_cannot_finish_fails_and_one_shed_early_is_rejected() {
     // A rejection makes the client retry, which is of use only while a response can still be in time.
-    let mut world = World::new(settings(&[Idempotency::Idempotent]), Vec::new(), 7);
-    let id = world.request(0);
-    world.run_for(SECOND, |_| Response::Never);
-    assert_eq!(world.failed, [id]);
+    let mut simulation = Simulation::new(settings(&[Idempotency::Idempotent]), Vec::new(), 7);
+    let id = simulation.request(0);
+    simulation.run_for(SECOND, |_| Response::Never);
+    assert_eq!(simulation.failed, [id]);
     for _ in 0..30 {
-        world.request(0);
+        simulation.request(0);
     }
-    assert!(!world.rejected.is_empty(), "more than the queue may hold");
+    assert!(!simulation.rejected.is_empty(), "more than the queue may hold");
 }
 
 #[test]
@@ -35,30 +35,30 @@
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.limits.retry_after = true;
     settings.limits.max_retry_after = 3 * SECOND;
-    let mut world = World::new(settings, Vec::new(), 7);
+    let mut simulation = Simulation::new(settings, Vec::new(), 7);
     for _ in 0..30 {
-        world.request(0);
+        simulation.request(0);
     }
-    let objective = world.settings.classes[0].latency_objective;
+    let objective = simulation.settings.classes[0].latency_objective;
     let wait = |action: &Action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     };
-    let waits: Vec<_> = world.trace.iter().filter_map(|(_, action)| wait(action)).collect();
+    let waits: Vec<_> = simulation.trace.iter().filter_map(|(_, action)| wait(action)).collect();
     assert!(!waits.is_empty() && waits.iter().all(|wait| (MS..objective).contains(wait)), "{waits:?}");
 }
 
 #[test]
 fn with_all_servers_draining_requests_are_rejected_at_once() {
-    let mut world = world(&[Idempotency::Idempotent], 2);
-    world.list(ListKind::Delta, vec![draining(0), draining(1)]);
-    let rejected = world.request(0);
-    assert_eq!(world.rejected, [rejected]);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 2);
+    simulation.list(ListKind::Delta, vec![draining(0), draining(1)]);
+    let rejected = simulation.request(0);
+    assert_eq!(simulation.rejected, [rejected]);
     // A server that is ready again receives requests.
-    world.list(ListKind::Delta, vec![ServerEntry::new(1)]);
-    world.request(0);
-    assert_eq!(world.sends.get(&1), Some(&1));
-    assert_eq!(world.rejected.len(), 1);
+    simulation.list(ListKind::Delta, vec![ServerEntry::new(1)]);
+    simulation.request(0);
+    assert_eq!(simulation.sends.get(&1), Some(&1));
+    assert_eq!(simulation.rejected.len(), 1);
 }
 
 #[test]
@@ -66,14 +66,14 @@
     let mut settings = settings(&[Idempotency::Idempotent, Idempotency::Idempotent]);
     settings.classes[1].priority_weight = 10.0;
     settings.goal = Goal { overall: 1.0, ..Goal::default() };
-    let mut world = World::new(settings, (0..2).map(ServerEntry::new).collect(), 3);
+    let mut simulation = Simulation::new(settings, (0..2).map(ServerEntry::new).collect(), 3);
     for _ in 0..20 {
-        world.request(0);
-        world.request(1);
+        simulation.request(0);
+        simulation.request(1);
     }
-    assert!(world.in_flight.len() < 20, "{} in flight", world.in_flight.len());
-    let first = world.in_flight[0].clone();
-    let actions = world.end(&first, Outcome::Ok);
+    assert!(simulation.in_flight.len() < 20, "{} in flight", simulation.in_flight.len());
+    let first = simulation.in_flight[0].clone();
+    let actions = simulation.end(&first, Outcome::Ok);
     // Requests of class 1 have odd numbers.
     let is_heavier = |action: &Action| matches!(action, Action::Send { request, .. } if request % 2 == 1);
     assert!(actions.iter().any(is_heavier), "{actions:?}");
@@ -88,12 +88,12 @@
     settings.classes[0].deadline = 3_600 * MS;
     settings.classes[0].late_weight = 0.2;
     settings.tick = 5 * MS;
-    let mut world = World::new(settings, Vec::new(), 7);
+    let mut simulation = Simulation::new(settings, Vec::new(), 7);
     for number in 0..60 {
         let time_left = number * 3 * MS;
-        let id = world.request_with(0, time_left);
-        world.run_for(time_left + 15 * MS, |_| Response::Never);
-        assert!(!world.is_open(id), "still open 15 ms after its {time_left} microseconds");
+        let id = simulation.request_with(0, time_left);
+        simulation.run_for(time_left + 15 * MS, |_| Response::Never);
+        assert!(!simulation.is_open(id), "still open 15 ms after its {time_left} microseconds");
     }
 }
 
@@ -101,16 +101,16 @@
 fn a_class_of_far_greater_weight_passes_a_full_limit() {
     let mut settings = settings(&[Idempotency::Idempotent, Idempotency::Idempotent]);
     settings.classes[1].priority_weight = 12.0;
-    let mut world = World::new(settings, (0..4).map(ServerEntry::new).collect(), 3);
+    let mut simulation = Simulation::new(settings, (0..4).map(ServerEntry::new).collect(), 3);
     for _ in 0..40 {
-        world.request(0);
+        simulation.request(0);
     }
-    let full = world.in_flight.len();
+    let full = simulation.in_flight.len();
     assert!(full < 30, "the limit is full");
     for _ in 0..4 {
-        let id = world.request(1);
-        assert!(world.in_flight.iter().any(|attempt| attempt.request == id), "sent at once");
+        let id = simulation.request(1);
+        assert!(simulation.in_flight.iter().any(|attempt| attempt.request == id), "sent at once");
     }
-    world.request(0);
-    assert_eq!(world.in_flight.len(), full + 4, "the other class still waits");
+    simulation.request(0);
+    assert_eq!(simulation.in_flight.len(), full + 4, "the other class still waits");
 }
--- a/crates/policy/tests/decisions/concurrency_limit.rs
+++ b/crates/policy/tests/decisions/concurrency_limit.rs
@@ -1,55 +1,54 @@
 //! Concurrency limits of zones.
 
-use crate::common::{MS, Response, SECOND, World, ends_after, ok_after, settings};
-use crate::helpers::{draining, serve, world};
+use crate::common::{MS, Response, SECOND, Simulation, ends_after, ok_after, settings};
+use crate::helpers::{draining, serve, simulation};
 use zincstand_policy::{Idempotency, ListKind, Micros, Outcome, ServerEntry};
 
 #[test]
 fn the_slots_of_draining_servers_do_not_all_go_to_the_remaining_ones() {
     // The limit is two slots for each server.
-    let mut world = world(&[Idempotency::NotIdempotent], 4);
-    world.list(ListKind::Delta, (1..4).map(draining).collect());
+    let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
+    simulation.list(ListKind::Delta, (1..4).map(draining).collect());
     for _ in 0..20 {
-        world.request(0);
+        simulation.request(0);
     }
-    assert_eq!(world.sends[&0], 3, "one server takes only part of the slots of four");
+    assert_eq!(simulation.sends[&0], 3, "one server takes only part of the slots of four");
     // Servers that are ready again have their own slots.
-    world.list(ListKind::Delta, (1..4).map(ServerEntry::new).collect());
-    assert_eq!(world.in_flight.len(), 8);
+    simulation.list(ListKind::Delta, (1..4).map(ServerEntry::new).collect());
+    assert_eq!(simulation.in_flight.len(), 8);
 }
 
 #[test]
 fn abandoned_attempts_do_not_fill_the_limit_for_long() {
     // They decayed with the 99th percentile, which a short slow period widens to seconds.
-    let mut world = world(&[Idempotency::NotIdempotent], 6);
-    serve(&mut world, 0, 200, 20 * MS);
+    let mut simulation = simulation(&[Idempotency::NotIdempotent], 6);
+    serve(&mut simulation, 0, 200, 20 * MS);
     for _ in 0..40 {
-        world.request(0);
-        world.run_for(10 * MS, |_| Response::Never);
+        simulation.request(0);
+        simulation.run_for(10 * MS, |_| Response::Never);
     }
-    world.run_for(SECOND, |_| Response::Never);
-    let before = world.total_sent();
+    simulation.run_for(SECOND, |_| Response::Never);
+    let before = simulation.total_sent();
     for _ in 0..4 {
-        world.request(0);
+        simulation.request(0);
     }
-    assert_eq!(world.total_sent() - before, 4);
+    assert_eq!(simulation.total_sent() - before, 4);
 }
 
 #[test]
 fn silent_servers_do_not_close_the_limit() {
-    let mut world = world(&[Idempotency::Idempotent], 12);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 12);
     for _ in 0..300 {
-        world.request(0);
-        world.run_for(
-            30 * MS,
-            |attempt| if attempt.server % 4 == 0 { Response::Never } else { ok_after(20 * MS) },
-        );
+        simulation.request(0);
+        simulation.run_for(30 * MS, |attempt| {
+            if attempt.server % 4 == 0 { Response::Never } else { ok_after(20 * MS) }
+        });
     }
-    let before = world.in_flight.len();
+    let before = simulation.in_flight.len();
     for _ in 0..30 {
-        world.request(0);
+        simulation.request(0);
     }
-    let added = world.in_flight.len() - before;
+    let added = simulation.in_flight.len() - before;
     assert!(added >= 18, "{added} more in flight");
 }
 
@@ -57,14 +56,14 @@
 fn balancers_that_outnumber_their_servers_pause() {
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.balancer_count = 100;
-    let mut world = World::new(settings, (0..2).map(ServerEntry::new).collect(), 3);
+    let mut simulation = Simulation::new(settings, (0..2).map(ServerEntry::new).collect(), 3);
     let mut sent_for_requests = |requests: u32| {
-        let before = world.total_sent();
+        let before = simulation.total_sent();
         for _ in 0..requests {
-            world.request(0);
-            world.run_for(100 * MS, |_| ok_after(380 * MS));
+            simulation.request(0);
+            simulation.run_for(100 * MS, |_| ok_after(380 * MS));
         }
-        world.total_sent() - before
+        simulation.total_sent() - before
     };
     sent_for_requests(200);
     let sent = sent_for_requests(100);
@@ -75,17 +74,17 @@
 fn crowded_servers_close_the_limit_long_before_the_objective() {
     // Servers that become slower when crowded lose capacity while all responses are still within the
     // objective.
-    let mut world = world(&[Idempotency::Idempotent], 6);
-    let in_flight_at = |world: &mut World, latency: Micros| {
+    let mut simulation = simulation(&[Idempotency::Idempotent], 6);
+    let in_flight_at = |simulation: &mut Simulation, latency: Micros| {
         for _ in 0..400 {
-            world.request(0);
-            world.request(0);
-            world.run_for(10 * MS, |_| ok_after(latency));
+            simulation.request(0);
+            simulation.request(0);
+            simulation.run_for(10 * MS, |_| ok_after(latency));
         }
-        world.in_flight.len()
+        simulation.in_flight.len()
     };
-    let free = in_flight_at(&mut world, 20 * MS);
-    let crowded = in_flight_at(&mut world, 100 * MS);
+    let free = in_flight_at(&mut simulation, 20 * MS);
+    let crowded = in_flight_at(&mut simulation, 100 * MS);
     assert!(free >= 2, "{free} in flight while responses are as fast as ever");
     assert!(crowded < 10, "{crowded} in flight; two every 10 ms would be 20");
 }
@@ -94,19 +93,19 @@
 fn an_attempt_counts_as_late_if_its_client_disconnects_after_the_usual_latency() {
     // When each of them counted, clients that disconnect early closed the limit of idle servers.
     for (wait, expected) in [(10 * MS, 10..13), (400 * MS, 0..4)] {
-        let mut world = world(&[Idempotency::Idempotent], 6);
-        serve(&mut world, 0, 60, 20 * MS);
+        let mut simulation = simulation(&[Idempotency::Idempotent], 6);
+        serve(&mut simulation, 0, 60, 20 * MS);
         for _ in 0..60 {
-            let request = world.request(0);
-            world.run_for(wait, |_| Response::Never);
-            world.disconnect(request);
-            world.run_for(20 * MS, |_| ok_after(20 * MS));
+            let request = simulation.request(0);
+            simulation.run_for(wait, |_| Response::Never);
+            simulation.disconnect(request);
+            simulation.run_for(20 * MS, |_| ok_after(20 * MS));
         }
-        let before = world.in_flight.len();
+        let before = simulation.in_flight.len();
         for _ in 0..12 {
-            world.request(0);
+            simulation.request(0);
         }
-        let slots = world.in_flight.len() - before;
+        let slots = simulation.in_flight.len() - before;
         assert!(
             expected.contains(&slots),
             "{slots} slots where clients disconnect after {wait} microseconds"
@@ -117,25 +116,25 @@
 #[test]
 fn a_limit_below_its_fair_share_grows_faster_than_one_above() {
     // While all limits grew alike, the balancers that had all slots kept them.
-    let mut world = world(&[Idempotency::Idempotent], 6);
-    let in_flight_after = |world: &mut World, rounds: u32, latency: Micros| {
+    let mut simulation = simulation(&[Idempotency::Idempotent], 6);
+    let in_flight_after = |simulation: &mut Simulation, rounds: u32, latency: Micros| {
         let mut in_flight = 0;
         for _ in 0..rounds {
             for _ in 0..3 {
-                world.request(0);
+                simulation.request(0);
             }
-            in_flight = world.in_flight.len();
-            world.run_for(10 * MS, |_| ends_after(latency, Outcome::Ok));
+            in_flight = simulation.in_flight.len();
+            simulation.run_for(10 * MS, |_| ends_after(latency, Outcome::Ok));
         }
         in_flight
     };
-    in_flight_after(&mut world, 60, 20 * MS);
-    let closed = in_flight_after(&mut world, 300, 200 * MS);
+    in_flight_after(&mut simulation, 60, 20 * MS);
+    let closed = in_flight_after(&mut simulation, 300, 200 * MS);
     assert!(closed < 10, "closed by responses ten times as slow: {closed}");
-    world.run_for(SECOND, |_| ok_after(20 * MS));
-    in_flight_after(&mut world, 15, 20 * MS);
+    simulation.run_for(SECOND, |_| ok_after(20 * MS));
+    in_flight_after(&mut simulation, 15, 20 * MS);
     for _ in 0..30 {
-        world.request(0);
+        simulation.request(0);
     }
-    assert!(world.in_flight.len() >= 9, "{} in flight soon after", world.in_flight.len());
+    assert!(simulation.in_flight.len() >= 9, "{} in flight soon after", simulation.in_flight.len());
 }
--- a/crates/policy/tests/decisions/helpers.rs
+++ b/crates/policy/tests/decisions/helpers.rs
@@ -1,32 +1,32 @@
 //! Steps that many tests share.
 
-use crate::common::{AttemptInFlight, MS, World, ok_after, settings};
+use crate::common::{AttemptInFlight, MS, Simulation, ok_after, settings};
 use zincstand_policy::{Idempotency, Micros, ServerEntry, ServerId, ServerState};
 
 /// Returns a balancer with a class for each of the idempotencies, and `servers` servers.
-pub fn world(idempotencies: &[Idempotency], servers: u32) -> World {
-    World::new(settings(idempotencies), (0..servers).map(ServerEntry::new).collect(), 7)
+pub fn simulation(idempotencies: &[Idempotency], servers: u32) -> Simulation {
+    Simulation::new(settings(idempotencies), (0..servers).map(ServerEntry::new).collect(), 7)
 }
 
 /// Serves requests of the class one after another, each with the given latency.
-pub fn serve(world: &mut World, class: usize, requests: usize, latency: Micros) {
+pub fn serve(simulation: &mut Simulation, class: usize, requests: usize, latency: Micros) {
     for _ in 0..requests {
-        world.request(class);
-        world.run_for(latency + MS, |_| ok_after(latency));
+        simulation.request(class);
+        simulation.run_for(latency + MS, |_| ok_after(latency));
     }
 }
 
 /// Serves requests one after another, of which one in five takes eight times as long. The 90th percentile is
 /// more than five medians.
-pub fn serve_with_a_tail(world: &mut World, class: usize, requests: usize, latency: Micros) {
+pub fn serve_with_a_tail(simulation: &mut Simulation, class: usize, requests: usize, latency: Micros) {
     for number in 0..requests {
-        serve(world, class, 1, if number % 5 == 4 { 8 * latency } else { latency });
+        serve(simulation, class, 1, if number % 5 == 4 { 8 * latency } else { latency });
     }
 }
 
 /// Returns the latest attempt that has no outcome.
-pub fn last_in_flight(world: &World) -> AttemptInFlight {
-    world.in_flight.last().expect("an attempt is in flight").clone()
+pub fn last_in_flight(simulation: &Simulation) -> AttemptInFlight {
+    simulation.in_flight.last().expect("an attempt is in flight").clone()
 }
 
 /// Returns the entry of a server that is draining.
--- a/crates/policy/tests/decisions/idle_connections.rs
+++ b/crates/policy/tests/decisions/idle_connections.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeSet;
 
-use crate::common::{MS, Response, SECOND, World, ok_after, settings};
+use crate::common::{MS, Response, SECOND, Simulation, ok_after, settings};
 use crate::helpers::serve;
 use zincstand_policy::{Action, Idempotency, Micros, RequestId, ServerEntry};
 
 /// A network that drops idle connections without notice: only calls on new connections get a response.
 struct DroppingNetwork {
-    world: World,
+    simulation: Simulation,
     /// Requests whose first attempt was sent on a new connection.
     on_new_connection: BTreeSet<RequestId>,
 }
@@ -18,14 +18,14 @@
     fn closed_for_requests(&mut self, requests: u32) -> u32 {
         let mut closed = 0;
         for _ in 0..requests {
-            let trace_start = self.world.trace.len();
-            let id = self.world.request(0);
+            let trace_start = self.simulation.trace.len();
+            let id = self.simulation.request(0);
             let is_close = |entry: &(Micros, Action)| matches!(entry.1, Action::CloseIdle { .. });
-            if self.world.trace[trace_start..].iter().any(is_close) {
+            if self.simulation.trace[trace_start..].iter().any(is_close) {
                 closed += 1;
                 self.on_new_connection.insert(id);
             }
-            self.world.run_for(800 * MS, |attempt| {
+            self.simulation.run_for(800 * MS, |attempt| {
                 let is_new = attempt.attempt == 0 && self.on_new_connection.contains(&attempt.request);
                 if is_new { ok_after(10 * MS) } else { Response::Never }
             });
@@ -38,9 +38,9 @@
 fn idle_connections_that_lose_calls_are_closed_before_use() {
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.classes[0].deadline = 20 * SECOND;
-    let mut world = World::new(settings, (0..12).map(ServerEntry::new).collect(), 7);
-    serve(&mut world, 0, 200, 10 * MS);
-    let mut network = DroppingNetwork { world, on_new_connection: BTreeSet::new() };
+    let mut simulation = Simulation::new(settings, (0..12).map(ServerEntry::new).collect(), 7);
+    serve(&mut simulation, 0, 200, 10 * MS);
+    let mut network = DroppingNetwork { simulation, on_new_connection: BTreeSet::new() };
     assert_eq!(network.closed_for_requests(2), 0, "two losses may be chance");
     assert!(network.closed_for_requests(60) > 0, "an idle connection is closed before the next call on it");
 }
--- a/crates/policy/tests/decisions/learned.rs
+++ b/crates/policy/tests/decisions/learned.rs
@@ -1,35 +1,35 @@
 //! Learned state, exported by one process and imported by the next.
 
-use crate::common::{MS, World, ends_after, settings};
-use crate::helpers::{last_in_flight, serve, world};
+use crate::common::{MS, Simulation, ends_after, settings};
+use crate::helpers::{last_in_flight, serve, simulation};
 use zincstand_policy::{Idempotency, LearnedState, LearnedZone, Outcome, ServerEntry};
 
 /// Returns a balancer that has learned latencies and that server 0 fails, with four attempts in flight.
-fn predecessor() -> World {
-    let mut world = world(&[Idempotency::NotIdempotent], 3);
-    serve(&mut world, 0, 200, 20 * MS);
+fn predecessor() -> Simulation {
+    let mut simulation = simulation(&[Idempotency::NotIdempotent], 3);
+    serve(&mut simulation, 0, 200, 20 * MS);
     for _ in 0..60 {
-        world.request(0);
-        world.run_for(21 * MS, |attempt| {
+        simulation.request(0);
+        simulation.run_for(21 * MS, |attempt| {
             ends_after(20 * MS, if attempt.server == 0 { Outcome::Error } else { Outcome::Ok })
         });
     }
     for _ in 0..4 {
-        world.request(0);
+        simulation.request(0);
     }
-    world
+    simulation
 }
 
-fn learned_state(world: &World) -> LearnedState {
-    world.balancer.learned_state(world.now)
+fn learned_state(simulation: &Simulation) -> LearnedState {
+    simulation.balancer.learned_state(simulation.now)
 }
 
 /// Returns a new balancer that imports the learned state when `predecessor` exports it.
-fn successor(predecessor: &World, learned: &LearnedState) -> World {
-    let mut world = world(&[Idempotency::NotIdempotent], 3);
-    world.now = predecessor.now;
-    world.balancer.restore(world.now, learned);
-    world
+fn successor(predecessor: &Simulation, learned: &LearnedState) -> Simulation {
+    let mut simulation = simulation(&[Idempotency::NotIdempotent], 3);
+    simulation.now = predecessor.now;
+    simulation.balancer.restore(simulation.now, learned);
+    simulation
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let before = predecessor();
     let warming_up = ServerEntry { started: Some(before.now), ..ServerEntry::new(9) };
     let servers = vec![ServerEntry::new(1), warming_up];
-    let mut after = World::new(settings(&[Idempotency::NotIdempotent]), servers, 7);
+    let mut after = Simulation::new(settings(&[Idempotency::NotIdempotent]), servers, 7);
     after.now = before.now;
     after.balancer.restore(before.now, &learned_state(&before));
     serve(&mut after, 0, 200, 20 * MS);
@@ -86,7 +86,7 @@
 #[test]
 fn a_successor_with_other_classes_imports_nothing() {
     let before = predecessor();
-    let mut other = world(&[Idempotency::NotIdempotent, Idempotency::Idempotent], 3);
+    let mut other = simulation(&[Idempotency::NotIdempotent, Idempotency::Idempotent], 3);
     other.balancer.restore(other.now, &learned_state(&before));
     assert_eq!(learned_state(&other).all_classes.counts, []);
 }
--- a/crates/policy/tests/decisions/retry.rs
+++ b/crates/policy/tests/decisions/retry.rs
@@ -1,17 +1,17 @@
 //! Retries: budget, backoff, and where a request may be sent again.
 
-use crate::common::{KEYED_CELL, MS, Response, SECOND, World, ok_after, settings};
-use crate::helpers::{last_in_flight, serve, world};
+use crate::common::{KEYED_CELL, MS, Response, SECOND, Simulation, ok_after, settings};
+use crate::helpers::{last_in_flight, serve, simulation};
 use zincstand_policy::{Action, Idempotency, Outcome, ServerEntry};
 
 #[test]
 fn a_retry_follows_a_time_out_with_the_median_as_limit_and_goes_elsewhere() {
-    let mut world = world(&[Idempotency::Idempotent], 4);
-    serve(&mut world, 0, 160, 10 * MS);
-    world.request(0);
-    let first = last_in_flight(&world);
-    world.run_for(first.limit + 9 * MS, |_| Response::Never);
-    let second = last_in_flight(&world);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
+    serve(&mut simulation, 0, 160, 10 * MS);
+    simulation.request(0);
+    let first = last_in_flight(&simulation);
+    simulation.run_for(first.limit + 9 * MS, |_| Response::Never);
+    let second = last_in_flight(&simulation);
     assert_eq!(second.request, first.request);
     assert_eq!(second.attempt, 1);
     assert_ne!(second.server, first.server);
@@ -20,65 +20,65 @@
 
 #[test]
 fn there_is_one_retry_only() {
-    let mut world = world(&[Idempotency::Idempotent], 4);
-    let id = world.request(0);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
+    let id = simulation.request(0);
     for _ in 0..2 {
-        let attempt = last_in_flight(&world);
-        world.end(&attempt, Outcome::Error);
-        world.run_for(10 * MS, |_| ok_after(SECOND));
+        let attempt = last_in_flight(&simulation);
+        simulation.end(&attempt, Outcome::Error);
+        simulation.run_for(10 * MS, |_| ok_after(SECOND));
     }
-    assert!(!world.is_open(id) && world.in_flight.is_empty());
-    assert_eq!(world.total_sent(), 2);
+    assert!(!simulation.is_open(id) && simulation.in_flight.is_empty());
+    assert_eq!(simulation.total_sent(), 2);
 }
 
 #[test]
 fn the_retry_budget_runs_out() {
-    let mut world = world(&[Idempotency::Idempotent], 4);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     for _ in 0..60 {
-        world.request(0);
+        simulation.request(0);
         for _ in 0..2 {
-            if let Some(attempt) = world.in_flight.last().cloned() {
-                world.end(&attempt, Outcome::Error);
+            if let Some(attempt) = simulation.in_flight.last().cloned() {
+                simulation.end(&attempt, Outcome::Error);
             }
-            world.run_for(9 * MS, |_| ok_after(SECOND));
+            simulation.run_for(9 * MS, |_| ok_after(SECOND));
         }
     }
-    let sent = world.total_sent();
+    let sent = simulation.total_sent();
     assert!((60..=72).contains(&sent), "at most 5 and a tenth of 60 retries: {sent}");
 }
 
 #[test]
 fn a_request_that_is_not_idempotent_and_may_have_run_fails() {
-    let mut world = world(&[Idempotency::NotIdempotent], 4);
-    let id = world.request(0);
-    let attempt = last_in_flight(&world);
-    let actions = world.end(&attempt, Outcome::Error);
+    let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
+    let id = simulation.request(0);
+    let attempt = last_in_flight(&simulation);
+    let actions = simulation.end(&attempt, Outcome::Error);
     assert_eq!(actions, [Action::Fail { request: id }]);
 }
 
 #[test]
 fn an_attempt_that_never_ran_is_retried_even_if_not_idempotent() {
-    let mut world = world(&[Idempotency::NotIdempotent], 4);
-    let id = world.request(0);
-    let attempt = last_in_flight(&world);
-    world.end(&attempt, Outcome::ConnectFailed);
-    world.run_for(10 * MS, |_| ok_after(SECOND));
-    assert_eq!(last_in_flight(&world).request, id);
-    assert_eq!(last_in_flight(&world).attempt, 1);
+    let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
+    let id = simulation.request(0);
+    let attempt = last_in_flight(&simulation);
+    simulation.end(&attempt, Outcome::ConnectFailed);
+    simulation.run_for(10 * MS, |_| ok_after(SECOND));
+    assert_eq!(last_in_flight(&simulation).request, id);
+    assert_eq!(last_in_flight(&simulation).attempt, 1);
 }
 
 #[test]
 fn a_retry_with_an_idempotency_key_stays_in_its_cell() {
     let servers = (0..6).map(|id| ServerEntry { cell: id % 2, ..ServerEntry::new(id) });
-    let mut world = World::new(settings(&[KEYED_CELL]), servers.collect(), 1);
+    let mut simulation = Simulation::new(settings(&[KEYED_CELL]), servers.collect(), 1);
     for _ in 0..20 {
-        world.request(0);
-        let first = last_in_flight(&world);
-        world.end(&first, Outcome::Reset);
-        world.run_for(10 * MS, |_| ok_after(SECOND));
-        for attempt in world.in_flight.clone() {
+        simulation.request(0);
+        let first = last_in_flight(&simulation);
+        simulation.end(&first, Outcome::Reset);
+        simulation.run_for(10 * MS, |_| ok_after(SECOND));
+        for attempt in simulation.in_flight.clone() {
             assert_eq!(attempt.server % 2, first.server % 2);
-            world.end(&attempt, Outcome::Ok);
+            simulation.end(&attempt, Outcome::Ok);
         }
     }
 }
@@ -86,21 +86,21 @@
 #[test]
 fn a_request_that_cannot_be_sent_again_gets_its_final_answer_at_once() {
     for (outcome, rejected) in [(Outcome::Rejected, 1), (Outcome::ConnectFailed, 1), (Outcome::Reset, 0)] {
-        let mut world = world(&[KEYED_CELL], 3);
-        world.request_with_pending_body(0);
-        let attempt = last_in_flight(&world);
-        world.end_without_body(&attempt, outcome);
-        assert_eq!(world.rejected.len(), rejected, "{outcome:?}");
-        assert_eq!(world.failed.len(), 1 - rejected, "{outcome:?}");
+        let mut simulation = simulation(&[KEYED_CELL], 3);
+        simulation.request_with_pending_body(0);
+        let attempt = last_in_flight(&simulation);
+        simulation.end_without_body(&attempt, outcome);
+        assert_eq!(simulation.rejected.len(), rejected, "{outcome:?}");
+        assert_eq!(simulation.failed.len(), 1 - rejected, "{outcome:?}");
     }
 }
 
 #[test]
 fn a_request_with_pending_body_is_sent_again_while_its_body_is_retained() {
-    let mut world = world(&[KEYED_CELL], 3);
-    world.request_with_pending_body(0);
-    let attempt = last_in_flight(&world);
-    world.end(&attempt, Outcome::Rejected);
-    world.run_for(100 * MS, |_| Response::Never);
-    assert_eq!(world.total_sent(), 2);
+    let mut simulation = simulation(&[KEYED_CELL], 3);
+    simulation.request_with_pending_body(0);
+    let attempt = last_in_flight(&simulation);
+    simulation.end(&attempt, Outcome::Rejected);
+    simulation.run_for(100 * MS, |_| Response::Never);
+    assert_eq!(simulation.total_sent(), 2);
 }
--- a/crates/policy/tests/decisions/selection.rs
+++ b/crates/policy/tests/decisions/selection.rs
@@ -1,16 +1,16 @@
 //! Selection of the server of an attempt.
 
-use crate::common::{MS, SECOND, World, ok_after, settings};
-use crate::helpers::{serve, world};
+use crate::common::{MS, SECOND, Simulation, ok_after, settings};
+use crate::helpers::{serve, simulation};
 use zincstand_policy::{Idempotency, ServerEntry};
 
 #[test]
 fn selection_takes_the_server_with_the_fewest_own_attempts_in_flight() {
-    let mut world = world(&[Idempotency::Idempotent], 4);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     for _ in 0..4 {
-        world.request(0);
+        simulation.request(0);
     }
-    assert_eq!(world.sends.len(), 4, "one each: {:?}", world.sends);
+    assert_eq!(simulation.sends.len(), 4, "one each: {:?}", simulation.sends);
 }
 
 #[test]
@@ -19,14 +19,14 @@
     settings.zone_count = 2;
     settings.prices.cross_zone = 0.2;
     let servers = (0..4).map(|id| ServerEntry { zone: id / 2, ..ServerEntry::new(id) });
-    let mut world = World::new(settings, servers.collect(), 3);
-    serve(&mut world, 0, 40, 20 * MS);
-    assert!(world.sends.keys().all(|id| *id < 2), "{:?}", world.sends);
+    let mut simulation = Simulation::new(settings, servers.collect(), 3);
+    serve(&mut simulation, 0, 40, 20 * MS);
+    assert!(simulation.sends.keys().all(|id| *id < 2), "{:?}", simulation.sends);
     for _ in 0..40 {
-        world.request(0);
+        simulation.request(0);
     }
-    world.run_for(15 * MS, |_| ok_after(SECOND));
-    assert!(world.sends.keys().any(|id| *id >= 2), "{:?}", world.sends);
+    simulation.run_for(15 * MS, |_| ok_after(SECOND));
+    assert!(simulation.sends.keys().any(|id| *id >= 2), "{:?}", simulation.sends);
 }
 
 #[test]
@@ -34,14 +34,17 @@
     // Ranking all servers of a large fleet for each call exceeded the limit on processor time.
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.balancer_count = 40;
-    let mut world = World::new(settings, (0..160).map(ServerEntry::new).collect(), 3);
-    serve(&mut world, 0, 400, 10 * MS);
-    assert_eq!(world.sends.len(), 16, "four balancers prefer each server");
+    let mut simulation = Simulation::new(settings, (0..160).map(ServerEntry::new).collect(), 3);
+    serve(&mut simulation, 0, 400, 10 * MS);
+    assert_eq!(simulation.sends.len(), 16, "four balancers prefer each server");
     for _ in 0..60 {
         for _ in 0..20 {
-            world.request(0);
+            simulation.request(0);
         }
-        world.run_for(10 * MS, |_| ok_after(10 * MS));
+        simulation.run_for(10 * MS, |_| ok_after(10 * MS));
     }
-    assert!(world.sends.len() > 16, "others are as good while all preferred servers have attempts in flight");
+    assert!(
+        simulation.sends.len() > 16,
+        "others are as good while all preferred servers have attempts in flight"
+    );
 }
--- a/crates/policy/tests/decisions/slow_start.rs
+++ b/crates/policy/tests/decisions/slow_start.rs
@@ -2,20 +2,20 @@
 
 use std::collections::BTreeMap;
 
-use crate::common::{MS, SECOND, World, ok_after, settings};
-use crate::helpers::{serve, world};
+use crate::common::{MS, SECOND, Simulation, ok_after, settings};
+use crate::helpers::{serve, simulation};
 use zincstand_policy::{Idempotency, ListKind, ServerEntry, ServerId, ServerState, Settings};
 
 #[test]
 fn a_server_that_is_warming_up_receives_less() {
-    let mut world = world(&[Idempotency::Idempotent], 4);
-    serve(&mut world, 0, 400, 5 * MS);
-    let warming_up = ServerEntry { started: Some(world.now), ..ServerEntry::new(9) };
-    world.list(ListKind::Delta, vec![warming_up]);
-    let before = world.sends.clone();
-    serve(&mut world, 0, 600, 5 * MS);
-    let to_warming_up = world.sent_to(9);
-    let to_warm = f64::from(world.sends[&0] - before[&0]);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
+    serve(&mut simulation, 0, 400, 5 * MS);
+    let warming_up = ServerEntry { started: Some(simulation.now), ..ServerEntry::new(9) };
+    simulation.list(ListKind::Delta, vec![warming_up]);
+    let before = simulation.sends.clone();
+    serve(&mut simulation, 0, 600, 5 * MS);
+    let to_warming_up = simulation.sent_to(9);
+    let to_warm = f64::from(simulation.sends[&0] - before[&0]);
     let is_less = f64::from(to_warming_up) < 0.6 * to_warm;
     assert!(is_less && to_warming_up > 0, "{to_warming_up} beside {to_warm}");
 }
@@ -27,14 +27,14 @@
     let warming_up = ServerEntry { started: Some(now - SECOND), ..ServerEntry::new(1) };
     for seed in 0..8 {
         let servers = vec![ServerEntry::new(0), warming_up.clone()];
-        let mut world = World::new(settings(&[Idempotency::Idempotent]), servers, seed);
-        assert_eq!(world.now, now);
-        let warm_up_time = world.settings.rules.warm_up_time;
+        let mut simulation = Simulation::new(settings(&[Idempotency::Idempotent]), servers, seed);
+        assert_eq!(simulation.now, now);
+        let warm_up_time = simulation.settings.rules.warm_up_time;
         for _ in 0..warm_up_time / (100 * MS) + 20 {
-            world.request(0);
-            world.run_for(100 * MS, |_| ok_after(50 * MS));
+            simulation.request(0);
+            simulation.run_for(100 * MS, |_| ok_after(50 * MS));
         }
-        assert!(world.sends.contains_key(&1), "seed {seed}: unused long after it has warmed up");
+        assert!(simulation.sends.contains_key(&1), "seed {seed}: unused long after it has warmed up");
     }
 }
 
@@ -46,20 +46,20 @@
     settings.zone_count = 2;
     for seed in 0..8 {
         let servers = vec![entry(0, 0), entry(1, 0), entry(2, 1), entry(3, 1)];
-        let mut world = World::new(settings.clone(), servers, seed);
-        serve(&mut world, 0, 100, 5 * MS);
+        let mut simulation = Simulation::new(settings.clone(), servers, seed);
+        serve(&mut simulation, 0, 100, 5 * MS);
         let removed = |id| ServerEntry { state: ServerState::Removed, ..entry(id, 0) };
-        world.list(ListKind::Delta, vec![removed(0), removed(1)]);
-        serve(&mut world, 0, 100, 5 * MS);
-        let started = Some(world.now);
+        simulation.list(ListKind::Delta, vec![removed(0), removed(1)]);
+        serve(&mut simulation, 0, 100, 5 * MS);
+        let started = Some(simulation.now);
         let restarted = |id| ServerEntry { started, ..entry(id, 0) };
-        world.list(ListKind::Delta, vec![restarted(0), restarted(1)]);
-        let before = world.sends.clone();
-        let until = world.now + world.settings.rules.warm_up_time / 4;
-        while world.now < until {
-            serve(&mut world, 0, 1, 5 * MS);
+        simulation.list(ListKind::Delta, vec![restarted(0), restarted(1)]);
+        let before = simulation.sends.clone();
+        let until = simulation.now + simulation.settings.rules.warm_up_time / 4;
+        while simulation.now < until {
+            serve(&mut simulation, 0, 1, 5 * MS);
         }
-        let sent = |id| world.sends[&id] - before[&id];
+        let sent = |id| simulation.sends[&id] - before[&id];
         assert!(sent(0) > 0 && sent(1) > 0, "seed {seed}: {} and {}", sent(0), sent(1));
         assert!(sent(0) + sent(1) < sent(2) + sent(3), "seed {seed}: {} and {}", sent(0), sent(1));
     }
@@ -84,22 +84,23 @@
 /// Replaces five of a balancer's 16 servers, and returns how many attempts each server receives after that.
 fn sent_after_replacement(balancer_index: u32) -> BTreeMap<ServerId, u32> {
     let settings = Settings { balancer_index, ..settings_of_many_balancers() };
-    let mut world = World::new(settings, (0..16).map(ring_entry).collect(), u64::from(balancer_index));
-    let call = |world: &mut World, calls: u32| {
+    let mut simulation =
+        Simulation::new(settings, (0..16).map(ring_entry).collect(), u64::from(balancer_index));
+    let call = |simulation: &mut Simulation, calls: u32| {
         for _ in 0..calls {
-            world.request(0);
-            world.run_for(125 * MS, |_| ok_after(100 * MS));
+            simulation.request(0);
+            simulation.run_for(125 * MS, |_| ok_after(100 * MS));
         }
     };
-    call(&mut world, 80);
+    call(&mut simulation, 80);
     let removed = |id| ServerEntry { state: ServerState::Removed, ..ring_entry(id) };
-    world.list(ListKind::Delta, (0..5).map(removed).collect());
-    let started = Some(world.now);
+    simulation.list(ListKind::Delta, (0..5).map(removed).collect());
+    let started = Some(simulation.now);
     let new = |id| ServerEntry { started, ..ring_entry(id) };
-    world.list(ListKind::Delta, (16..21).map(new).collect());
-    let before = world.sends.clone();
-    call(&mut world, 35);
-    let sent = |id: ServerId| world.sent_to(id) - before.get(&id).unwrap_or(&0);
+    simulation.list(ListKind::Delta, (16..21).map(new).collect());
+    let before = simulation.sends.clone();
+    call(&mut simulation, 35);
+    let sent = |id: ServerId| simulation.sent_to(id) - before.get(&id).unwrap_or(&0);
     (5..21).map(|id| (id, sent(id))).collect()
 }
 
@@ -122,19 +123,19 @@
 #[test]
 fn a_burst_does_not_reach_a_server_that_is_warming_up() {
     // With no attempt in flight it looks best to every balancer at once.
-    let mut world = world(&[Idempotency::Idempotent], 4);
-    serve(&mut world, 0, 200, 5 * MS);
-    let warming_up = ServerEntry { started: Some(world.now), ..ServerEntry::new(9) };
-    world.list(ListKind::Delta, vec![warming_up]);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
+    serve(&mut simulation, 0, 200, 5 * MS);
+    let warming_up = ServerEntry { started: Some(simulation.now), ..ServerEntry::new(9) };
+    simulation.list(ListKind::Delta, vec![warming_up]);
     for _ in 0..60 {
         for _ in 0..6 {
-            world.request(0);
+            simulation.request(0);
         }
-        world.run_for(25 * MS, |_| ok_after(20 * MS));
+        simulation.run_for(25 * MS, |_| ok_after(20 * MS));
     }
-    let sent = f64::from(world.sent_to(9));
+    let sent = f64::from(simulation.sent_to(9));
     // The limit of the rules, if the other servers are used to their full capacity.
-    let rules = &world.settings.rules;
+    let rules = &simulation.settings.rules;
     let limit = rules.overload_factor * rules.initial_capacity * (360.0 - sent) / 4.0;
     assert!(sent < limit, "{sent} of 360 in its first seconds, at most {limit}");
 }
@@ -142,14 +143,14 @@
 /// Returns the number of attempts to a server that has just started beside four warm ones. The wall clock is
 /// `ahead` microseconds ahead of the true time (behind if negative), so that the start seems so much older.
 fn attempts_to_a_new_server(ahead: i64) -> u32 {
-    let mut world = world(&[Idempotency::Idempotent], 4);
+    let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     // Starts that follow the first list of discovery itself are new.
-    world.list(ListKind::Snapshot, (0..4).map(ServerEntry::new).collect());
-    serve(&mut world, 0, 400, 5 * MS);
-    let started = Some(world.now.saturating_add_signed(-ahead));
-    world.list(ListKind::Delta, vec![ServerEntry { started, ..ServerEntry::new(9) }]);
-    serve(&mut world, 0, 600, 5 * MS);
-    world.sent_to(9)
+    simulation.list(ListKind::Snapshot, (0..4).map(ServerEntry::new).collect());
+    serve(&mut simulation, 0, 400, 5 * MS);
+    let started = Some(simulation.now.saturating_add_signed(-ahead));
+    simulation.list(ListKind::Delta, vec![ServerEntry { started, ..ServerEntry::new(9) }]);
+    serve(&mut simulation, 0, 600, 5 * MS);
+    simulation.sent_to(9)
 }
 
 #[test]
@@ -163,13 +164,14 @@
 
 #[test]
 fn a_start_in_the_future_of_a_slow_clock_does_not_prolong_the_warm_up() {
-    let mut world = world(&[Idempotency::Idempotent], 0);
-    let warming_up = ServerEntry { started: Some(world.now + 3600 * SECOND), ..ServerEntry::new(1) };
-    world.list(ListKind::Snapshot, vec![ServerEntry::new(0), warming_up]);
-    let warm_up_time = world.settings.rules.warm_up_time;
-    serve(&mut world, 0, (warm_up_time / (6 * MS)) as usize + 1, 5 * MS);
-    let before = world.sends.clone();
-    serve(&mut world, 0, 600, 5 * MS);
-    let [to_warm, to_warmed_up] = [0, 1].map(|id| world.sends[&id] - before.get(&id).copied().unwrap_or(0));
+    let mut simulation = simulation(&[Idempotency::Idempotent], 0);
+    let warming_up = ServerEntry { started: Some(simulation.now + 3600 * SECOND), ..ServerEntry::new(1) };
+    simulation.list(ListKind::Snapshot, vec![ServerEntry::new(0), warming_up]);
+    let warm_up_time = simulation.settings.rules.warm_up_time;
+    serve(&mut simulation, 0, (warm_up_time / (6 * MS)) as usize + 1, 5 * MS);
+    let before = simulation.sends.clone();
+    serve(&mut simulation, 0, 600, 5 * MS);
+    let [to_warm, to_warmed_up] =
+        [0, 1].map(|id| simulation.sends[&id] - before.get(&id).copied().unwrap_or(0));
     assert!(2 * to_warmed_up > to_warm, "{to_warmed_up} beside {to_warm}, an hour before its start");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::fixtures::class;
-use common::{AttemptInFlight, MS, Response, SECOND, World, ends_after, ok_after, settings};
+use common::{AttemptInFlight, MS, Response, SECOND, Simulation, ends_after, ok_after, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use zincstand_policy::{
@@ -96,7 +96,7 @@
 
 /// A random sequence of events for one balancer.
 struct Sequence {
-    world: World,
+    simulation: Simulation,
     rng: fastrand::Rng,
     /// Number of servers at the start.
     servers: u32,
@@ -110,10 +110,10 @@
     fn new(settings: Settings, servers: u32, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let entries = (0..servers).map(|id| random_entry(id, &mut rng)).collect();
-        let world = World::new(settings, entries, seed);
+        let simulation = Simulation::new(settings, entries, seed);
         let faulty = rng.u32(..4);
         let max_latency_ms = 10 + rng.u64(..200);
-        Sequence { world, rng, servers, faulty, max_latency_ms }
+        Sequence { simulation, rng, servers, faulty, max_latency_ms }
     }
 
     /// Returns true once in `n` times on average.
@@ -122,7 +122,7 @@
     }
 
     fn run(mut self) {
-        let start = self.world.now;
+        let start = self.simulation.now;
         for step in 0..STEPS {
             self.send_requests();
             self.change_endpoints();
@@ -131,19 +131,22 @@
             self.begin_stream();
             self.run_until(start + step * STEP);
         }
-        let end = self.world.now + 10 * SECOND;
-        self.world.run(end, |_| Response::Never);
-        assert!(self.world.open_requests().is_empty(), "requests are open after all deadlines have passed");
+        let end = self.simulation.now + 10 * SECOND;
+        self.simulation.run(end, |_| Response::Never);
+        assert!(
+            self.simulation.open_requests().is_empty(),
+            "requests are open after all deadlines have passed"
+        );
     }
 
     fn send_requests(&mut self) {
         for _ in 0..self.rng.u32(..4) {
-            let class = self.rng.usize(..self.world.settings.classes.len());
-            let deadline = self.world.settings.classes[class].deadline;
-            let propagates_deadline = self.world.settings.propagates_deadline;
+            let class = self.rng.usize(..self.simulation.settings.classes.len());
+            let deadline = self.simulation.settings.classes[class].deadline;
+            let propagates_deadline = self.simulation.settings.propagates_deadline;
             let time_left = if propagates_deadline { self.rng.u64(..=deadline) } else { deadline };
             let work = self.one_in(2).then(|| self.rng.u64(..300) * MS);
-            self.world.request_hinted(class, time_left, work);
+            self.simulation.request_hinted(class, time_left, work);
         }
     }
 
@@ -153,32 +156,32 @@
             let mut entry = random_entry(id, &mut self.rng);
             let states = [ServerState::Ready, ServerState::Draining, ServerState::Removed];
             entry.state = states[self.rng.usize(..states.len())];
-            entry.started = self.one_in(2).then_some(self.world.now);
-            self.world.list(ListKind::Delta, vec![entry]);
+            entry.started = self.one_in(2).then_some(self.simulation.now);
+            self.simulation.list(ListKind::Delta, vec![entry]);
         }
         if self.one_in(60) {
             let ids: Vec<u32> = (0..self.servers).filter(|_| self.rng.u32(..4) > 0).collect();
             let entries = ids.into_iter().map(|id| random_entry(id, &mut self.rng)).collect();
-            self.world.list(ListKind::Snapshot, entries);
+            self.simulation.list(ListKind::Snapshot, entries);
         }
         if self.one_in(40) {
-            self.world.list(ListKind::Failed, Vec::new());
+            self.simulation.list(ListKind::Failed, Vec::new());
         }
     }
 
     fn disconnect_client(&mut self) {
         if self.one_in(15)
-            && let Some(&id) = self.world.open_requests().first()
+            && let Some(&id) = self.simulation.open_requests().first()
         {
-            self.world.disconnect(id);
+            self.simulation.disconnect(id);
         }
     }
 
     fn send_unknown_events(&mut self) {
         if self.one_in(10) {
-            self.world.handle(Event::Timer { token: self.rng.u64(..) });
-            self.world.handle(Event::ClientDisconnected { request: u64::MAX });
-            self.world.handle(Event::HealthChecked {
+            self.simulation.handle(Event::Timer { token: self.rng.u64(..) });
+            self.simulation.handle(Event::ClientDisconnected { request: u64::MAX });
+            self.simulation.handle(Event::HealthChecked {
                 server: self.rng.u32(..500),
                 outcome: Outcome::Ok,
                 latency: MS,
@@ -189,12 +192,12 @@
 
     /// Begins the response of the oldest attempt, if all classes stream their responses.
     fn begin_stream(&mut self) {
-        let all_stream = self.world.settings.classes.iter().all(|class| class.streaming);
-        if let Some(attempt) = self.world.in_flight.first().cloned()
+        let all_stream = self.simulation.settings.classes.iter().all(|class| class.streaming);
+        if let Some(attempt) = self.simulation.in_flight.first().cloned()
             && all_stream
-            && self.world.is_open(attempt.request)
+            && self.simulation.is_open(attempt.request)
         {
-            self.world.first_byte(&attempt);
+            self.simulation.first_byte(&attempt);
         }
     }
 
@@ -204,7 +207,7 @@
         let seed = self.rng.u64(..);
         let faulty = self.faulty;
         let max_latency_ms = self.max_latency_ms;
-        self.world.run(until, |attempt| {
+        self.simulation.run(until, |attempt| {
             let mut rng = attempt_rng(seed, attempt);
             if attempt.server % 4 == faulty && rng.u32(..3) > 0 {
                 let outcomes = [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
@@ -244,15 +247,15 @@
 fn same_events_give_the_same_actions() {
     let run = || {
         let settings = settings(&[Idempotency::Idempotent, Idempotency::NotIdempotent]);
-        let mut world = World::new(settings, (0..9).map(ServerEntry::new).collect(), 3);
+        let mut simulation = Simulation::new(settings, (0..9).map(ServerEntry::new).collect(), 3);
         for number in 0..300_usize {
-            world.request(number % 2);
-            world.run_for(
+            simulation.request(number % 2);
+            simulation.run_for(
                 5 * MS,
                 |attempt| if attempt.server == 4 { Response::Never } else { ok_after(40 * MS) },
             );
         }
-        world.trace
+        simulation.trace
     };
     assert_eq!(run(), run());
 }
