--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversion of the platform's settings to those of the policy.
+//! Conversion of the platform's settings to the policy's settings.
 
 use zincstand_policy as policy;
 
@@ -11,19 +11,19 @@
 use crate::validation::{SettingsError, ValidSetup, validate};
 
 impl Setup {
-    /// Validates the settings and converts them to the policy's. The zone of the balancer is added to
+    /// Validates the settings and converts them to the policy's settings. Adds the zone of the balancer to
     /// `zones`.
     ///
     /// # Errors
     ///
-    /// Returns the first key whose value is out of range.
+    /// Returns an error for the first key whose value is invalid.
     pub fn to_policy_settings(&self, zones: &mut Names) -> Result<policy::Settings, SettingsError> {
         let valid = validate(self)?;
         Ok(policy::Settings {
             balancer_index: self.balancer_index,
             balancer_count: self.balancer_count,
             zone: zones.intern(&self.zone),
-            // A deployment without names of zones has one zone, and one without names of tiers has one tier.
+            // A deployment that names no zones has one zone, and one that names no tiers has one tier.
             zone_count: (self.zones.len() as u32).max(1),
             tier: self.tier_index,
             tier_count: (self.tiers.len() as u32).max(1),
@@ -44,8 +44,8 @@
         })
     }
 
-    /// Returns the prices that the policy uses, 0 for those that the platform leaves out. Prices of other
-    /// costs are ignored.
+    /// Returns the prices that the policy uses: 0 for each that the platform leaves out. Other prices are
+    /// ignored.
     fn policy_prices(&self) -> policy::Prices {
         let price = |name: &str| self.prices.get(name).copied().unwrap_or(0.0);
         policy::Prices {
@@ -61,8 +61,8 @@
 }
 
 fn classes(valid: &ValidSetup<'_>) -> Vec<policy::Class> {
-    let with_scopes = valid.setup.classes.iter().zip(&valid.dedup_scopes);
-    with_scopes.map(|(settings, scope)| class(settings, *scope)).collect()
+    let classes_with_scopes = valid.setup.classes.iter().zip(&valid.dedup_scopes);
+    classes_with_scopes.map(|(settings, scope)| class(settings, *scope)).collect()
 }
 
 fn class(class: &Class, scope: policy::DedupScope) -> policy::Class {
--- a/crates/settings/src/conversion/tests.rs
+++ b/crates/settings/src/conversion/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Settings with a value other than the default for each key.
+/// Settings that give each key a value other than its default.
 const ALL_KEYS: &str = r#"{"Areas":["a","b"],"Balancers":5,"Me":3,
         "Categories":[{"AimStretch":0.5,"DeadlineMs":9.0,
         "DedupWindowMs":7.0,"Effect":"dedup","Group":"cell","LateWorth":0.2,"Name":"c","Streaming":true,
@@ -15,8 +15,8 @@
         "Tariffs":{"Connection":1.0,"CrossZone":2.0,"Discovery":3.0,"Handshake":4.0,"LateFail":5.0,
         "Probe":6.0,"Waste":7.0},"Tiers":["x","y"],"Weights":"live","WorthBy":"work","Zone":"b"}"#;
 
-fn parse(setup: &str) -> Setup {
-    serde_json::from_str(setup).expect("a setup")
+fn parse(json: &str) -> Setup {
+    serde_json::from_str(json).expect("the JSON matches the schema of the settings")
 }
 
 fn expected_class() -> policy::Class {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn every_setting_is_carried() {
+fn every_key_is_converted() {
     let expected = policy::Settings {
         balancer_index: 3,
         balancer_count: 5,
@@ -111,12 +111,12 @@
 }
 
 #[test]
-fn values_that_are_absent_or_unknown_take_their_defaults() {
-    let setup = r#"{"Areas":[],"Balancers":1,"Categories":[{"DeadlineMs":9.0,"Effect":"dedup","Name":"c",
+fn absent_keys_and_unknown_values_take_their_defaults() {
+    let json = r#"{"Areas":[],"Balancers":1,"Categories":[{"DeadlineMs":9.0,"Effect":"dedup","Name":"c",
         "TargetMs":8.0}],"Discovery":"automatic","GranularityMs":5.0,"Limits":{"MostTries":1},
         "Rules":{"ColdFrom":0.1,"OverloadFactor":3.0,"TipAfterMs":4.0,"WarmAfterMs":24.0},
         "Stats":{"How":"not known"},"Weights":"not known","WorthBy":"not known","Zone":"b","NotKnown":1}"#;
-    let settings = parse(setup).to_policy_settings(&mut Names::default()).expect("settings without a fault");
+    let settings = parse(json).to_policy_settings(&mut Names::default()).expect("the settings are valid");
     assert_eq!(settings.zone_count, 1);
     assert_eq!(settings.tier_count, 1);
     assert_eq!(settings.over_quota_weight, 1.0);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's settings of one balancer: schema, validation and conversion to the policy's settings.
 //!
-//! The simulator's adapter receives them in the `PowerOn` message, the proxy in its configuration file. Both
-//! deserialize a [`Setup`] and call [`Setup::to_policy_settings`].
+//! The simulator adapter receives the settings in the `PowerOn` message, and the proxy reads them from its
+//! configuration file. Both deserialize a [`Setup`] and call [`Setup::to_policy_settings`].
 
 #![forbid(unsafe_code)]
 
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,8 +1,8 @@
-//! Interned names: the platform uses names where the policy uses small integers.
+//! Interned names: the platform identifies things by name, the policy by a small integer.
 
 use std::collections::HashMap;
 
-/// A table of names. Their ids are consecutive from 0 in the order in which they were added.
+/// A table of names with consecutive ids from 0, in the order of addition.
 #[derive(Default)]
 pub struct Names {
     id_by_name: HashMap<String, u32>,
@@ -10,7 +10,7 @@
 }
 
 impl Names {
-    /// Returns the id of `name`. A name that is not in the table is added.
+    /// Returns the id of `name`, and adds the name if it is not in the table.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&id) = self.id_by_name.get(name) {
             return id;
@@ -21,7 +21,7 @@
         id
     }
 
-    /// Returns all names. The id of a name is its index.
+    /// Returns all names, each at the index that is its id.
     pub fn as_slice(&self) -> &[String] {
         &self.names
     }
--- a/crates/settings/src/ring_position.rs
+++ b/crates/settings/src/ring_position.rs
@@ -7,7 +7,7 @@
 
 /// Returns the ring position of the server with this name: its 64-bit FNV-1a hash.
 ///
-/// It depends on the name only, so that all balancers give a server the same position.
+/// The position depends only on the name, so that all balancers compute the same one.
 pub fn ring_position(server_name: &str) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for byte in server_name.bytes() {
--- a/crates/settings/src/schema/endpoints.rs
+++ b/crates/settings/src/schema/endpoints.rs
@@ -1,27 +1,27 @@
-//! The endpoint list: how it arrives, the weights of its servers, and their load reports.
+//! The endpoint list: how it is received, the weights of its servers, and their load reports.
 
 use serde::Deserialize;
 
-/// How the endpoint list arrives.
+/// How a balancer receives the endpoint list.
 #[derive(Clone, Copy, Deserialize)]
 pub enum DiscoveryMode {
-    /// Discovery sends changes by itself.
+    /// Discovery pushes changes without a subscription.
     #[serde(rename = "automatic")]
     Push,
-    /// Discovery sends the list after the balancer has subscribed or polled.
+    /// Discovery sends the list only to a balancer that subscribes or polls.
     #[serde(rename = "subscribe")]
     Poll,
 }
 
-/// Meaning of the weights of the endpoint list. An unknown value counts as none.
+/// Meaning of the weights in the endpoint list. An unknown value means [`None`](ServerWeights::None).
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerWeights {
     /// The registered size of the server.
     Nominal,
-    /// An estimate of its size.
+    /// An estimate of the size of the server.
     Rough,
-    /// Its size, divided by one plus the requests per core that it had when it was last measured.
+    /// The size of the server, divided by one plus the requests per core at its last measurement.
     Live,
     /// All weights are 1.
     #[default]
@@ -32,19 +32,19 @@
 /// How upstreams report their load.
 #[derive(Default, Deserialize)]
 pub struct LoadReports {
-    /// Where the reports are found.
+    /// Which messages carry the reports.
     #[serde(rename = "How", default)]
     pub mode: LoadReporting,
 }
 
-/// Where load reports are found. An unknown value counts as none.
+/// Messages that carry load reports. An unknown value means [`None`](LoadReporting::None).
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadReporting {
-    /// In responses, and in the results of health checks.
+    /// Responses and the results of health checks.
     #[serde(rename = "answers")]
     Responses,
-    /// In the results of health checks only.
+    /// The results of health checks only.
     #[serde(rename = "probe")]
     HealthChecks,
     /// Upstreams report no load.
--- a/crates/settings/src/schema/goal.rs
+++ b/crates/settings/src/schema/goal.rs
@@ -1,14 +1,14 @@
-//! Weights of the parts of the result.
+//! Weights of the parts of the score by which the platform rates the service.
 
 use serde::Deserialize;
 
-/// Weights of the parts of the result, as fractions of it.
+/// Weights of the parts of the score by which the platform rates the service, as fractions of the score.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct GoalWeights {
-    /// Fraction of the requests that may miss their objective for `tail` to be earned.
+    /// Largest fraction of the requests that may miss their objective for `tail` to be earned.
     pub tail_miss: f64,
-    /// Weight of the part that is earned if nearly all requests meet their objective.
+    /// Weight of the part that is earned if nearly all requests meet their objective (see `tail_miss`).
     #[serde(rename = "TailPart")]
     pub tail: f64,
     /// Weight of the service of all requests together.
@@ -16,8 +16,8 @@
     pub overall: f64,
     /// Weight of the service of the worst-served class.
     pub worst_class: f64,
-    /// Weight of the service of the worst-served tenant, within its quota.
+    /// Weight of the service of the worst-served tenant, counting requests within its quota.
     pub worst_tenant: f64,
-    /// Weight of the service in the worst window of time.
+    /// Weight of the service in the worst time window.
     pub worst_window: f64,
 }
--- a/crates/settings/src/schema/limits.rs
+++ b/crates/settings/src/schema/limits.rs
@@ -1,8 +1,8 @@
-//! Limits of the site, and the figures of its safety rules.
+//! Limits of the deployment, and the parameters of its safety rules.
 
 use serde::Deserialize;
 
-/// Limits and permissions of the site.
+/// Limits and permissions of the deployment.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 #[allow(clippy::struct_excessive_bools, reason = "independent permissions, one key each on the wire")]
@@ -25,10 +25,12 @@
     /// Maximum number of attempts for one request, the first included.
     #[serde(rename = "MostTries")]
     pub max_attempts: u32,
-    /// Time after which a connection that is not established has failed, in milliseconds; 0 if unknown.
+    /// Time within which a connection must be established, or else the attempt fails, in milliseconds; 0 if
+    /// unknown.
     #[serde(default)]
     pub connect_timeout_ms: f64,
-    /// Processor time for a request and its outcomes, in microseconds; 0 for no limit.
+    /// Processor time of the balancer for a request and the outcomes of its attempts, in microseconds; 0 for
+    /// no limit.
     #[serde(rename = "CpuUsPerRequest", default)]
     pub cpu_micros_per_request: f64,
     /// Processor time of the balancer, in microseconds per second; 0 for no limit.
@@ -37,7 +39,7 @@
     /// Time after which an idle connection is closed, in milliseconds; 0 if unknown.
     #[serde(rename = "IdleCloseMs", default)]
     pub idle_timeout_ms: f64,
-    /// Maximum number of requests without a final answer; 0 for no limit.
+    /// Maximum number of requests without a final response; 0 for no limit.
     #[serde(rename = "MaxOpen", default)]
     pub max_open_requests: u32,
     /// Maximum number of concurrent attempts on one connection; 0 if unknown.
@@ -45,17 +47,17 @@
     pub max_streams: u32,
 }
 
-/// Figures of the safety rules.
+/// Parameters of the safety rules.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Rules {
-    /// Fraction of its capacity that a server has when it starts.
+    /// Fraction of its full capacity that a server has when it starts.
     #[serde(rename = "ColdFrom")]
     pub initial_capacity: f64,
-    /// Time after its start from which a server has its full capacity, in milliseconds.
+    /// Time that a server takes from its start to its full capacity, in milliseconds.
     #[serde(rename = "WarmAfterMs")]
     pub warm_up_time_ms: f64,
-    /// A server that is warming up fails when it receives more than this multiple of its current capacity for
+    /// A server that is warming up fails if it receives more than this multiple of its current capacity for
     /// [`overload_window_ms`](Rules::overload_window_ms).
     pub overload_factor: f64,
     /// Time for which a server that is warming up withstands an overload, in milliseconds.
@@ -64,8 +66,8 @@
     /// Longest time between two polls of discovery without a subscription, in milliseconds.
     #[serde(rename = "AskWithinMs", default)]
     pub max_poll_interval_ms: f64,
-    /// Time after the announcement that a server is draining within which it must stop receiving requests, in
-    /// milliseconds.
+    /// Time that a balancer has to stop sending requests to a server after the server was announced as
+    /// draining, in milliseconds.
     #[serde(default)]
     pub drain_grace_ms: f64,
     /// Time after the client's deadline within which a final response still counts, in milliseconds.
--- a/crates/settings/src/schema/mod.rs
+++ b/crates/settings/src/schema/mod.rs
@@ -1,8 +1,8 @@
 //! The schema of the platform's settings.
 //!
-//! Keys and values on the wire are fixed by the platform's wire page, section "The settings" (the `Setup`
-//! object of the `PowerOn` message). The serde attributes of this module are the only place that maps them to
-//! the terms of the field. Unknown keys are ignored: the platform adds keys without notice.
+//! The keys and values are fixed by the platform's wire protocol, section "The settings" (the `Setup` object
+//! of the `PowerOn` message). Only the serde attributes of this module map them to the names in the code.
+//! Unknown keys are ignored, since the platform adds keys without notice.
 
 mod class;
 mod endpoints;
@@ -20,7 +20,7 @@
 pub use limits::{Limits, Rules};
 pub use traits::{ClientBehavior, ServiceTraits};
 
-/// Returns the default of weights and sizes that the platform leaves out.
+/// Returns 1, the default of a weight or size that the platform leaves out.
 pub fn unit_weight() -> f64 {
     1.0
 }
@@ -29,7 +29,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Setup {
-    /// Names of all zones. Empty where the deployment has no zones.
+    /// Names of all zones. Empty if the deployment has no zones.
     #[serde(rename = "Areas")]
     pub zones: Vec<String>,
     /// Index of this balancer among those of its tier, from 0.
@@ -41,29 +41,29 @@
     /// The request classes.
     #[serde(rename = "Categories")]
     pub classes: Vec<Class>,
-    /// How the clients behave.
+    /// Behavior of the clients.
     #[serde(rename = "ClientHabits", default)]
     pub client_behavior: ClientBehavior,
-    /// How the endpoint list arrives.
+    /// How the balancer receives the endpoint list.
     pub discovery: DiscoveryMode,
-    /// Traits of this kind of service.
+    /// Properties of the service.
     #[serde(rename = "Extra", default)]
     pub service_traits: ServiceTraits,
-    /// Weights of the parts of the result.
+    /// Weights of the parts of the score by which the platform rates the service.
     #[serde(default)]
     pub goal: GoalWeights,
-    /// Shortest time between two events that carry different times, in milliseconds.
+    /// Resolution of event times: the shortest time between two different ones, in milliseconds.
     #[serde(rename = "GranularityMs")]
     pub tick_ms: f64,
-    /// Limits and permissions of the site.
+    /// Limits and permissions of the deployment.
     pub limits: Limits,
     /// Priority weight of a request beyond the quota of its tenant, as a fraction of the weight of its class.
     #[serde(rename = "OverShareWorth", default = "unit_weight")]
     pub over_quota_weight: f64,
-    /// Tenants of the service. Empty where it is not shared.
+    /// Tenants of the service. Empty if it is not shared.
     #[serde(rename = "Realms", default)]
     pub tenants: Vec<Tenant>,
-    /// Figures of the safety rules.
+    /// Parameters of the safety rules.
     pub rules: Rules,
     /// Index in `tiers` of the tier that this balancer sends to.
     #[serde(rename = "Stage", default)]
@@ -71,16 +71,16 @@
     /// How upstreams report their load.
     #[serde(rename = "Stats", default)]
     pub load_reports: LoadReports,
-    /// Price of each kind of cost, in points of the result, by the platform's name of the cost.
+    /// Price of each kind of cost, in points of the score, by the platform's name for the cost.
     #[serde(rename = "Tariffs", default)]
     pub prices: BTreeMap<String, f64>,
-    /// Names of the tiers, from the first. Empty where there is one tier.
+    /// Names of the tiers, from the first. Empty if there is only one tier.
     #[serde(default)]
     pub tiers: Vec<String>,
-    /// Meaning of the weights of the endpoint list.
+    /// Meaning of the weights in the endpoint list.
     #[serde(rename = "Weights", default)]
     pub server_weights: ServerWeights,
-    /// Unit that the priority weight of a class is counted in.
+    /// Unit that the priority weight of a class applies to.
     #[serde(rename = "WorthBy", default)]
     pub weight_basis: WeightBasis,
     /// Name of the zone of this balancer.
--- a/crates/settings/src/schema/traits.rs
+++ b/crates/settings/src/schema/traits.rs
@@ -1,12 +1,12 @@
-//! Traits of the service and of its clients.
+//! Properties of the service and of its clients.
 
 use serde::Deserialize;
 
-/// Traits of a kind of service.
+/// Properties of a service.
 #[derive(Default, Deserialize)]
 pub struct ServiceTraits {
-    /// Calls of an upstream carry the remaining time of the request that it serves instead of a full
-    /// deadline.
+    /// Upstreams that send requests to another tier pass on the remaining time of the request that they
+    /// serve. Otherwise each of their requests has the full deadline of its class.
     #[serde(rename = "PassesDeadline", default)]
     pub propagates_deadline: bool,
 }
@@ -14,7 +14,7 @@
 /// Behavior of the clients.
 #[derive(Default, Deserialize)]
 pub struct ClientBehavior {
-    /// Clients mark a request that repeats an earlier one.
+    /// Clients mark a request that retries an earlier one.
     #[serde(rename = "MarksRetry", default)]
     pub marks_retries: bool,
 }
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of the platform's settings. Each fault is reported with its key.
+//! Validation of the platform's settings. An error names the key of the invalid value.
 
 use std::fmt::Display;
 
@@ -8,21 +8,22 @@
 use crate::schema::{Class, GoalWeights, Limits, Rules, Setup, Tenant};
 use crate::units::micros_from_millis;
 
-/// A fault of the settings.
+/// An invalid value in the settings.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("settings: {key} {problem}")]
 pub struct SettingsError {
     /// Path of the key in the `Setup` object, such as `Categories[0].TargetMs`.
     pub key: String,
-    /// Requirement that the value does not meet, such as "must be 0 or more". The key is its subject.
+    /// What is wrong with the value and what it must be, such as "is -1, but must be 0 or more". The key is
+    /// the subject of the sentence.
     pub problem: String,
 }
 
-/// Settings without a fault, with the values that validation has parsed.
+/// Settings that are valid, with the values that validation has parsed.
 pub(crate) struct ValidSetup<'a> {
     /// The settings.
     pub setup: &'a Setup,
-    /// Scope within which servers drop repeats, for each class.
+    /// Group of servers that drop each other's repeats, for each class.
     pub dedup_scopes: Vec<DedupScope>,
 }
 
@@ -30,9 +31,9 @@
 ///
 /// # Errors
 ///
-/// Returns the first fault.
+/// Returns an error for the first invalid value.
 pub(crate) fn validate(setup: &Setup) -> Result<ValidSetup<'_>, SettingsError> {
-    require(!setup.classes.is_empty(), "Categories", "has no class: there is nothing to serve")?;
+    require(!setup.classes.is_empty(), "Categories", "is empty, but must have a class")?;
     let mut dedup_scopes = Vec::with_capacity(setup.classes.len());
     for index in 0..setup.classes.len() {
         dedup_scopes.push(validate_class(&setup.classes, index)?);
@@ -50,19 +51,26 @@
     Ok(ValidSetup { setup, dedup_scopes })
 }
 
-/// Validates the class at `index` and returns the scope within which servers drop its repeats.
+/// Validates the class at `index`, and returns the group of servers that drop each other's repeats of it.
 fn validate_class(classes: &[Class], index: usize) -> Result<DedupScope, SettingsError> {
     let class = &classes[index];
     let key = |name: &str| format!("Categories[{index}].{name}");
     let is_duplicate = classes[..index].iter().any(|earlier| earlier.name == class.name);
-    require(!is_duplicate, &key("Name"), format!("{:?} stands twice", class.name))?;
-    require(is_positive(class.latency_objective_ms), &key("TargetMs"), "must be over 0")?;
-    require(is_positive(class.deadline_ms), &key("DeadlineMs"), "must be over 0")?;
+    require(
+        !is_duplicate,
+        &key("Name"),
+        format!("is {:?}, the name of an earlier class, but must be unique", class.name),
+    )?;
+    require_positive(class.latency_objective_ms, &key("TargetMs"))?;
+    require_positive(class.deadline_ms, &key("DeadlineMs"))?;
     let dedup_scope = match class.dedup_scope.as_deref() {
         None | Some("all") => DedupScope::All,
         Some("zone") => DedupScope::Zone,
         Some("cell") => DedupScope::Cell,
-        Some(_) => return Err(fault(&key("Group"), "must be \"all\", \"zone\" or \"cell\"")),
+        Some(other) => {
+            let problem = format!("is {other:?}, but must be \"all\", \"zone\" or \"cell\"");
+            return Err(error(&key("Group"), problem));
+        }
     };
     require_not_negative(class.dedup_window_ms, &key("DedupWindowMs"))?;
     require_not_negative(class.late_weight, &key("LateWorth"))?;
@@ -76,20 +84,19 @@
     require_not_negative(tenant.quota_per_second, &format!("Realms[{index}].QuotaRps"))
 }
 
-/// Validates the position of this balancer in the deployment, and the figures that belong to no other
-/// section.
+/// Validates the position of this balancer in the deployment, and the values that belong to no section.
 fn validate_deployment(setup: &Setup) -> Result<(), SettingsError> {
-    require(setup.balancer_count > 0, "Balancers", "must be 1 or more")?;
+    require(setup.balancer_count > 0, "Balancers", "is 0, but must be 1 or more")?;
     let tier_count = setup.tiers.len().max(1);
     require(
         (setup.tier_index as usize) < tier_count,
         "Stage",
-        format!("must be under {tier_count}, the number of Tiers"),
+        format!("is {}, but must be below {tier_count}, the number of Tiers", setup.tier_index),
     )?;
     require(
         is_positive(setup.tick_ms) && micros_from_millis(setup.tick_ms) > 0,
         "GranularityMs",
-        "must be 0.001 or more",
+        format!("is {}, but must be 0.001 or more", setup.tick_ms),
     )?;
     require_not_negative(setup.over_quota_weight, "OverShareWorth")
 }
@@ -98,7 +105,7 @@
     require(
         limits.max_attempts > 0,
         "Limits.MostTries",
-        "must be 1 or more: no attempts allowed serves nobody",
+        "is 0, but must be 1 or more: a request needs an attempt",
     )?;
     require_not_negative(limits.max_retry_after_ms, "Limits.MaxRetryAfterMs")?;
     require_not_negative(limits.connect_timeout_ms, "Limits.ConnectTimeoutMs")?;
@@ -109,7 +116,8 @@
 
 fn validate_rules(rules: &Rules) -> Result<(), SettingsError> {
     let is_fraction = rules.initial_capacity > 0.0 && rules.initial_capacity <= 1.0;
-    require(is_fraction, "Rules.ColdFrom", "must be over 0 and at most 1")?;
+    let problem = format!("is {}, but must be above 0 and at most 1", rules.initial_capacity);
+    require(is_fraction, "Rules.ColdFrom", problem)?;
     require_not_negative(rules.warm_up_time_ms, "Rules.WarmAfterMs")?;
     require_not_negative(rules.overload_factor, "Rules.OverloadFactor")?;
     require_not_negative(rules.overload_window_ms, "Rules.TipAfterMs")?;
@@ -127,16 +135,20 @@
     require_not_negative(goal.worst_window, "Goal.WorstWindow")
 }
 
-fn fault(key: &str, problem: impl Display) -> SettingsError {
+fn error(key: &str, problem: impl Display) -> SettingsError {
     SettingsError { key: key.to_owned(), problem: problem.to_string() }
 }
 
 fn require(is_met: bool, key: &str, problem: impl Display) -> Result<(), SettingsError> {
-    if is_met { Ok(()) } else { Err(fault(key, problem)) }
+    if is_met { Ok(()) } else { Err(error(key, problem)) }
 }
 
 fn require_not_negative(value: f64, key: &str) -> Result<(), SettingsError> {
-    require(value.is_finite() && value >= 0.0, key, "must be 0 or more")
+    require(value.is_finite() && value >= 0.0, key, format!("is {value}, but must be 0 or more"))
+}
+
+fn require_positive(value: f64, key: &str) -> Result<(), SettingsError> {
+    require(is_positive(value), key, format!("is {value}, but must be above 0"))
 }
 
 fn is_positive(value: f64) -> bool {
