--- a/crates/policy/tests/common/fixtures.rs
+++ b/crates/policy/tests/common/fixtures.rs
@@ -2,12 +2,12 @@
 
 use zincstand_policy::{Class, Idempotency, Micros, Settings};
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Micros = 1_000;
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Returns a class with an objective of half a second and a deadline of two seconds.
+/// Returns a class with a latency objective of half a second and a deadline of two seconds.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         idempotency,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Returns settings of one of two balancers, with a class for each of the idempotencies.
+/// Returns the settings of one of two balancers, with one class for each element of `idempotencies`.
 pub fn settings(idempotencies: &[Idempotency]) -> Settings {
     let mut settings = Settings::new(idempotencies.iter().copied().map(class).collect());
     settings.balancer_count = 2;
--- a/crates/policy/tests/common/simulation.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -9,8 +9,11 @@
 
 use super::{MS, SECOND};
 
-/// Time after its deadline until which a request may get its final answer.
-const ANSWER_GRACE: Micros = 20 * MS;
+/// Maximum time from the deadline of a request to its final response.
+const RESPONSE_GRACE: Micros = 20 * MS;
+
+/// Time to the deadline of a request while its body is pending, longer than any test runs.
+const PENDING_BODY_DEADLINE: Micros = 3600 * SECOND;
 
 /// An attempt without an outcome.
 #[derive(Clone, Debug)]
@@ -21,9 +24,9 @@
     pub attempt: u32,
     /// Server of the attempt.
     pub server: ServerId,
-    /// Time at which it was sent, or at which the body of its request was complete.
+    /// Time at which it was sent or, if later, at which the body of its request was complete.
     pub sent_at: Micros,
-    /// Time after which it has timed out.
+    /// Duration after which it times out.
     pub limit: Micros,
 }
 
@@ -31,21 +34,21 @@
 pub enum Response {
     /// The server never responds.
     Never,
-    /// The attempt ends `duration` microseconds after its start.
+    /// The attempt ends with `outcome`, `duration` microseconds after its start.
     EndsAfter { duration: Micros, outcome: Outcome },
 }
 
-/// Returns a response that ends an attempt with an outcome after the given time.
+/// Returns a response that ends the attempt with `outcome` after `duration`.
 pub fn ends_after(duration: Micros, outcome: Outcome) -> Response {
     Response::EndsAfter { duration, outcome }
 }
 
-/// Returns a successful response after the given time.
+/// Returns a successful response after `duration`.
 pub fn ok_after(duration: Micros) -> Response {
     ends_after(duration, Outcome::Ok)
 }
 
-/// The end of an attempt at a point in time.
+/// The end of an attempt at a known time.
 struct ScheduledEnd {
     time: Micros,
     outcome: Outcome,
@@ -53,7 +56,8 @@
 }
 
 impl ScheduledEnd {
-    /// The end of an attempt: the response of its server, or a time-out if there is none within the limit.
+    /// Creates the end of an attempt: the response of its server, or a time-out if the server does not
+    /// respond within the limit.
     fn new(attempt: &AttemptInFlight, response: &Response) -> Self {
         let attempt = attempt.clone();
         match *response {
@@ -73,21 +77,22 @@
 pub(super) struct Timer {
     /// Time at which it expires.
     pub due: Micros,
-    /// Orders timers that are due at the same time by their start.
+    /// Number in the order in which timers were set, which decides between timers that are due at the same
+    /// time.
     pub sequence: u64,
-    /// Token to be returned to the balancer.
+    /// Token that the balancer gets back when the timer expires.
     pub token: u64,
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 pub(super) struct OpenRequest {
     /// Class of the request.
     pub class: usize,
-    /// Time until which its client waits.
+    /// Time at which its client stops waiting.
     pub deadline: Micros,
-    /// Number of its attempts.
+    /// Number of attempts sent for it.
     pub attempts: u32,
-    /// Earliest attempt that may have run.
+    /// Its earliest attempt that may have run, `None` if none can have run.
     pub first_run: Option<FirstRun>,
 }
 
@@ -100,7 +105,7 @@
     pub server: ServerId,
 }
 
-/// A balancer and its environment. An action that breaks a rule ends the test.
+/// A balancer and its simulated environment. An action that breaks a rule fails the test.
 pub struct Simulation {
     /// Virtual time.
     pub now: Micros,
@@ -116,24 +121,24 @@
     pub rejected: Vec<RequestId>,
     /// Requests that failed.
     pub failed: Vec<RequestId>,
-    /// Number of polls of discovery.
+    /// Number of subscriptions to discovery and fetches from it.
     pub polls: u32,
-    /// All actions with their times.
+    /// All actions so far, with their times.
     pub trace: Vec<(Micros, Action)>,
     /// Timers that have not expired.
     pub(super) timers: BTreeSet<Timer>,
-    /// Requests without a final answer.
+    /// Requests without a final response.
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
-    /// All servers that were ever listed.
+    /// The last entry of each server that was ever listed.
     pub(super) servers: BTreeMap<ServerId, ServerEntry>,
     /// Servers that are draining or removed.
     pub(super) unavailable: BTreeSet<ServerId>,
-    /// Next number for a request or a timer.
-    pub(super) next: u64,
+    /// Number of the next request or timer.
+    pub(super) next_number: u64,
 }
 
 impl Simulation {
-    /// Creates a balancer that has received a cached list of the servers.
+    /// Creates a simulation of a balancer that has received a cached snapshot of the servers.
     pub fn new(settings: Settings, servers: Vec<ServerEntry>, seed: u64) -> Simulation {
         let balancer = Balancer::new(settings.clone(), seed).expect("the settings are valid");
         let mut simulation = Simulation {
@@ -150,19 +155,19 @@
             open: BTreeMap::new(),
             servers: BTreeMap::new(),
             unavailable: BTreeSet::new(),
-            next: 0,
+            next_number: 0,
         };
         simulation.list(ListKind::CachedSnapshot, servers);
         simulation
     }
 
-    /// Delivers an event, checks the actions that follow, and returns them.
+    /// Delivers an event, then checks, applies and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for &action in &actions {
             self.trace.push((self.now, action));
-            self.check(action);
+            self.apply(action);
         }
         actions
     }
@@ -209,9 +214,10 @@
         id
     }
 
-    /// Delivers a request whose body has not arrived completely: its time has not started.
+    /// Delivers a request whose body has not arrived completely. Its time starts when the body is
+    /// complete; until then its deadline is out of reach.
     pub fn request_with_pending_body(&mut self, class: usize) -> RequestId {
-        let id = self.open_request(class, self.now + 3600 * SECOND);
+        let id = self.open_request(class, self.now + PENDING_BODY_DEADLINE);
         self.handle(Event::Request {
             id,
             class,
@@ -225,8 +231,8 @@
     }
 
     fn open_request(&mut self, class: usize, deadline: Micros) -> RequestId {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_number;
+        self.next_number += 1;
         self.open.insert(id, OpenRequest { class, deadline, attempts: 0, first_run: None });
         id
     }
@@ -247,7 +253,7 @@
         self.end_attempt(attempt, outcome, false)
     }
 
-    /// Ends an attempt whose request cannot be sent again, since its body was not retained.
+    /// Ends an attempt whose request cannot be sent again, because its body was not retained.
     pub fn end_without_body(&mut self, attempt: &AttemptInFlight, outcome: Outcome) -> Vec<Action> {
         self.end_attempt(attempt, outcome, true)
     }
@@ -274,7 +280,7 @@
         })
     }
 
-    /// Begins a streamed response.
+    /// Delivers the first byte of a streamed response, which counts as the final response.
     pub fn first_byte(&mut self, attempt: &AttemptInFlight) {
         self.open.remove(&attempt.request);
         self.handle(Event::FirstByte { request: attempt.request, attempt: attempt.attempt });
@@ -286,22 +292,22 @@
         self.handle(Event::ClientDisconnected { request });
     }
 
-    /// Whether a request has no final answer yet.
+    /// Returns whether a request has no final response yet.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.open.contains_key(&request)
     }
 
-    /// Requests without a final answer, oldest first.
+    /// Returns the requests without a final response, oldest first.
     pub fn open_requests(&self) -> Vec<RequestId> {
         self.open.keys().copied().collect()
     }
 
-    /// Number of attempts sent to a server.
+    /// Returns the number of attempts sent to a server.
     pub fn sent_to(&self, server: ServerId) -> u32 {
         self.sends.get(&server).copied().unwrap_or(0)
     }
 
-    /// Number of attempts sent to all servers.
+    /// Returns the number of attempts sent to all servers.
     pub fn total_sent(&self) -> u32 {
         self.sends.values().sum()
     }
@@ -312,16 +318,16 @@
     }
 
     /// Runs until the given time: expires timers and ends attempts. `respond` returns how the server of an
-    /// attempt ends it, `None` if it never does.
+    /// attempt responds. It is called repeatedly for an attempt in flight.
     pub fn run(&mut self, until: Micros, mut respond: impl FnMut(&AttemptInFlight) -> Response) {
         loop {
-            let timer = self.timers.first().map(|timer| timer.due);
+            let next_timer = self.timers.first().map(|timer| timer.due);
             let ends = self.in_flight.iter().map(|attempt| ScheduledEnd::new(attempt, &respond(attempt)));
             let next_end = ends.min_by_key(|end| end.time);
-            match (timer, next_end) {
+            match (next_timer, next_end) {
                 (Some(due), end) if due <= until && end.as_ref().is_none_or(|end| due <= end.time) => {
                     self.now = self.now.max(due);
-                    let Timer { token, .. } = self.timers.pop_first().expect("there is a timer");
+                    let Timer { token, .. } = self.timers.pop_first().expect("the timer that is due is set");
                     self.handle(Event::Timer { token });
                 }
                 (_, Some(end)) if end.time <= until => {
@@ -332,7 +338,7 @@
             }
         }
         self.now = until;
-        let overdue = self.open.values().filter(|open| open.deadline + ANSWER_GRACE < until).count();
-        assert_eq!(overdue, 0, "requests without a final answer");
+        let overdue = self.open.values().filter(|open| open.deadline + RESPONSE_GRACE < until).count();
+        assert_eq!(overdue, 0, "requests without a final response after their deadline and the grace period");
     }
 }
--- a/crates/policy/tests/decisions/admission.rs
+++ b/crates/policy/tests/decisions/admission.rs
@@ -1,11 +1,11 @@
-//! Queues, load shedding, the order of classes, and final answers.
+//! Queues, load shedding, the order of classes, and final responses.
 
 use crate::common::{MS, Response, SECOND, Simulation, settings};
 use crate::helpers::{draining, last_in_flight, simulation};
 use zincstand_policy::{Action, Goal, Idempotency, ListKind, Outcome, ServerEntry};
 
 #[test]
-fn queued_requests_are_checked_often_however_long_the_objectives() {
+fn queued_requests_are_checked_often_even_with_long_objectives() {
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.classes[0].latency_objective = 3600 * SECOND;
     settings.classes[0].deadline = 3600 * SECOND;
@@ -14,12 +14,12 @@
     let first = last_in_flight(&simulation);
     simulation.end(&first, Outcome::Rejected);
     simulation.run_for(100 * MS, |_| Response::Never);
-    assert_eq!(last_in_flight(&simulation).attempt, 1, "its retry waits for the next check");
+    assert_eq!(last_in_flight(&simulation).attempt, 1, "the retry was not sent at the next check");
 }
 
 #[test]
 fn a_request_that_cannot_finish_fails_and_one_shed_early_is_rejected() {
-    // A rejection makes the client retry, which is of use only while a response can still be in time.
+    // A rejection makes the client retry, which is useful only while a response can still be in time.
     let mut simulation = Simulation::new(settings(&[Idempotency::Idempotent]), Vec::new(), 7);
     let id = simulation.request(0);
     simulation.run_for(SECOND, |_| Response::Never);
@@ -27,11 +27,14 @@
     for _ in 0..30 {
         simulation.request(0);
     }
-    assert!(!simulation.rejected.is_empty(), "more than the queue may hold");
+    assert!(
+        !simulation.rejected.is_empty(),
+        "no request was rejected, although there are more than the queue may hold"
+    );
 }
 
 #[test]
-fn a_rejection_has_a_retry_after_while_a_response_is_still_of_use() {
+fn a_rejection_has_a_retry_after_while_a_response_is_still_useful() {
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.limits.retry_after = true;
     settings.limits.max_retry_after = 3 * SECOND;
@@ -40,16 +43,16 @@
         simulation.request(0);
     }
     let objective = simulation.settings.classes[0].latency_objective;
-    let wait = |action: &Action| match action {
+    let retry_after = |action: &Action| match action {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     };
-    let waits: Vec<_> = simulation.trace.iter().filter_map(|(_, action)| wait(action)).collect();
-    assert!(!waits.is_empty() && waits.iter().all(|wait| (MS..objective).contains(wait)), "{waits:?}");
+    let delays: Vec<_> = simulation.trace.iter().filter_map(|(_, action)| retry_after(action)).collect();
+    assert!(!delays.is_empty() && delays.iter().all(|delay| (MS..objective).contains(delay)), "{delays:?}");
 }
 
 #[test]
-fn with_all_servers_draining_requests_are_rejected_at_once() {
+fn requests_are_rejected_at_once_while_all_servers_are_draining() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 2);
     simulation.list(ListKind::Delta, vec![draining(0), draining(1)]);
     let rejected = simulation.request(0);
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn the_limit_queues_a_burst_and_the_class_of_greater_weight_is_sent_first() {
+fn a_burst_is_queued_and_the_class_of_greater_weight_is_sent_first() {
     let mut settings = settings(&[Idempotency::Idempotent, Idempotency::Idempotent]);
     settings.classes[1].priority_weight = 10.0;
     settings.goal = Goal { overall: 1.0, ..Goal::default() };
@@ -74,15 +77,15 @@
     assert!(simulation.in_flight.len() < 20, "{} in flight", simulation.in_flight.len());
     let first = simulation.in_flight[0].clone();
     let actions = simulation.end(&first, Outcome::Ok);
-    // Requests of class 1 have odd numbers.
-    let is_heavier = |action: &Action| matches!(action, Action::Send { request, .. } if request % 2 == 1);
-    assert!(actions.iter().any(is_heavier), "{actions:?}");
+    // Requests of class 1 have odd ids.
+    let sends_class_1 = |action: &Action| matches!(action, Action::Send { request, .. } if request % 2 == 1);
+    assert!(actions.iter().any(sends_class_1), "{actions:?}");
 }
 
 #[test]
-fn queued_requests_end_in_time_where_expiry_checks_are_far_apart() {
-    // With a check every 22 ms, final answers were up to 22 ms late where a response after the objective
-    // still earns something.
+fn queued_requests_end_in_time_even_if_expiry_checks_are_far_apart() {
+    // With a check every 22 ms, final responses were up to 22 ms late in a class whose responses after the
+    // objective still have weight.
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.classes[0].latency_objective = 1_400 * MS;
     settings.classes[0].deadline = 3_600 * MS;
@@ -93,12 +96,12 @@
         let time_left = number * 3 * MS;
         let id = simulation.request_with(0, time_left);
         simulation.run_for(time_left + 15 * MS, |_| Response::Never);
-        assert!(!simulation.is_open(id), "still open 15 ms after its {time_left} microseconds");
+        assert!(!simulation.is_open(id), "open 15 ms after its time left of {time_left} microseconds");
     }
 }
 
 #[test]
-fn a_class_of_far_greater_weight_passes_a_full_limit() {
+fn a_class_of_far_greater_weight_may_exceed_a_full_limit() {
     let mut settings = settings(&[Idempotency::Idempotent, Idempotency::Idempotent]);
     settings.classes[1].priority_weight = 12.0;
     let mut simulation = Simulation::new(settings, (0..4).map(ServerEntry::new).collect(), 3);
@@ -106,11 +109,14 @@
         simulation.request(0);
     }
     let full = simulation.in_flight.len();
-    assert!(full < 30, "the limit is full");
+    assert!(full < 30, "{full} of 40 in flight, so the limit is not full");
     for _ in 0..4 {
         let id = simulation.request(1);
-        assert!(simulation.in_flight.iter().any(|attempt| attempt.request == id), "sent at once");
+        assert!(
+            simulation.in_flight.iter().any(|attempt| attempt.request == id),
+            "a request of the class of greater weight was not sent at once"
+        );
     }
     simulation.request(0);
-    assert_eq!(simulation.in_flight.len(), full + 4, "the other class still waits");
+    assert_eq!(simulation.in_flight.len(), full + 4, "a request of the other class was sent");
 }
--- a/crates/policy/tests/decisions/concurrency_limit.rs
+++ b/crates/policy/tests/decisions/concurrency_limit.rs
@@ -5,22 +5,23 @@
 use zincstand_policy::{Idempotency, ListKind, Micros, Outcome, ServerEntry};
 
 #[test]
-fn the_slots_of_draining_servers_do_not_all_go_to_the_remaining_ones() {
-    // The limit is two slots for each server.
+fn the_remaining_servers_take_only_part_of_the_slots_of_draining_ones() {
+    // The limit is two attempts per server.
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
     simulation.list(ListKind::Delta, (1..4).map(draining).collect());
     for _ in 0..20 {
         simulation.request(0);
     }
-    assert_eq!(simulation.sends[&0], 3, "one server takes only part of the slots of four");
-    // Servers that are ready again have their own slots.
+    assert_eq!(simulation.sends[&0], 3, "one server must take only part of the slots of four");
+    // Servers that are ready again have their slots back.
     simulation.list(ListKind::Delta, (1..4).map(ServerEntry::new).collect());
     assert_eq!(simulation.in_flight.len(), 8);
 }
 
 #[test]
 fn abandoned_attempts_do_not_fill_the_limit_for_long() {
-    // They decayed with the 99th percentile, which a short slow period widens to seconds.
+    // Guards against abandoned attempts that decay with the 99th percentile, which a short slow period
+    // raises to seconds.
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 6);
     serve(&mut simulation, 0, 200, 20 * MS);
     for _ in 0..40 {
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn silent_servers_do_not_close_the_limit() {
+fn unresponsive_servers_do_not_reduce_the_limit() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 12);
     for _ in 0..300 {
         simulation.request(0);
@@ -49,15 +50,15 @@
         simulation.request(0);
     }
     let added = simulation.in_flight.len() - before;
-    assert!(added >= 18, "{added} more in flight");
+    assert!(added >= 18, "only {added} of 30 requests were sent");
 }
 
 #[test]
-fn balancers_that_outnumber_their_servers_pause() {
+fn balancers_pause_between_attempts_if_they_outnumber_the_servers() {
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.balancer_count = 100;
     let mut simulation = Simulation::new(settings, (0..2).map(ServerEntry::new).collect(), 3);
-    let mut sent_for_requests = |requests: u32| {
+    let mut count_sent = |requests: u32| {
         let before = simulation.total_sent();
         for _ in 0..requests {
             simulation.request(0);
@@ -65,14 +66,14 @@
         }
         simulation.total_sent() - before
     };
-    sent_for_requests(200);
-    let sent = sent_for_requests(100);
-    assert!(sent < 10, "one slot without pauses would allow twenty: {sent}");
+    count_sent(200);
+    let sent = count_sent(100);
+    assert!(sent < 10, "{sent} attempts, while one slot without pauses would allow twenty");
 }
 
 #[test]
-fn crowded_servers_close_the_limit_long_before_the_objective() {
-    // Servers that become slower when crowded lose capacity while all responses are still within the
+fn slow_responses_reduce_the_limit_long_before_the_objective_is_missed() {
+    // Servers that become slower under concurrent load lose capacity while all responses are still within the
     // objective.
     let mut simulation = simulation(&[Idempotency::Idempotent], 6);
     let in_flight_at = |simulation: &mut Simulation, latency: Micros| {
@@ -83,15 +84,16 @@
         }
         simulation.in_flight.len()
     };
-    let free = in_flight_at(&mut simulation, 20 * MS);
-    let crowded = in_flight_at(&mut simulation, 100 * MS);
-    assert!(free >= 2, "{free} in flight while responses are as fast as ever");
-    assert!(crowded < 10, "{crowded} in flight; two every 10 ms would be 20");
+    let fast = in_flight_at(&mut simulation, 20 * MS);
+    let slow = in_flight_at(&mut simulation, 100 * MS);
+    assert!(fast >= 2, "{fast} in flight while all responses are fast");
+    assert!(slow < 10, "{slow} in flight, while two requests every 10 ms would be 20 without a limit");
 }
 
 #[test]
 fn an_attempt_counts_as_late_if_its_client_disconnects_after_the_usual_latency() {
-    // When each of them counted, clients that disconnect early closed the limit of idle servers.
+    // Guards against counting each disconnection as late: clients that disconnect early would reduce the
+    // limit of idle servers.
     for (wait, expected) in [(10 * MS, 10..13), (400 * MS, 0..4)] {
         let mut simulation = simulation(&[Idempotency::Idempotent], 6);
         serve(&mut simulation, 0, 60, 20 * MS);
@@ -115,7 +117,7 @@
 
 #[test]
 fn a_limit_below_its_fair_share_grows_faster_than_one_above() {
-    // While all limits grew alike, the balancers that had all slots kept them.
+    // If all limits grew equally, balancers that hold all slots would keep them.
     let mut simulation = simulation(&[Idempotency::Idempotent], 6);
     let in_flight_after = |simulation: &mut Simulation, rounds: u32, latency: Micros| {
         let mut in_flight = 0;
@@ -129,12 +131,16 @@
         in_flight
     };
     in_flight_after(&mut simulation, 60, 20 * MS);
-    let closed = in_flight_after(&mut simulation, 300, 200 * MS);
-    assert!(closed < 10, "closed by responses ten times as slow: {closed}");
+    let reduced = in_flight_after(&mut simulation, 300, 200 * MS);
+    assert!(reduced < 10, "{reduced} in flight after responses ten times as slow");
     simulation.run_for(SECOND, |_| ok_after(20 * MS));
     in_flight_after(&mut simulation, 15, 20 * MS);
     for _ in 0..30 {
         simulation.request(0);
     }
-    assert!(simulation.in_flight.len() >= 9, "{} in flight soon after", simulation.in_flight.len());
+    assert!(
+        simulation.in_flight.len() >= 9,
+        "only {} in flight soon after the responses are fast again",
+        simulation.in_flight.len()
+    );
 }
--- a/crates/policy/tests/decisions/endpoints.rs
+++ b/crates/policy/tests/decisions/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and the polling of discovery.
+//! The endpoint list, and polls of discovery.
 
 use crate::common::{MS, Response, SECOND, Simulation, settings};
 use crate::helpers::{draining, simulation};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn discovery_is_polled_within_seconds_where_the_settings_allow_a_minute() {
+fn discovery_is_polled_within_seconds_even_if_the_settings_allow_a_minute() {
     for seed in 0..20 {
         let mut settings = settings(&[Idempotency::Idempotent]);
         settings.discovery = DiscoveryMode::Poll;
@@ -35,10 +35,10 @@
         let mut simulation = Simulation::new(settings, vec![ServerEntry::new(0)], seed);
         simulation.run_for(3 * SECOND, |_| Response::Never);
         assert_eq!(simulation.polls, 1);
-        for failed in 1..10 {
+        for failures in 1..10 {
             simulation.list(ListKind::Failed, Vec::new());
             simulation.run_for(1200 * MS, |_| Response::Never);
-            assert_eq!(simulation.polls, 1 + failed);
+            assert_eq!(simulation.polls, 1 + failures);
         }
     }
 }
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn events_of_unknown_requests_and_servers_are_ignored() {
+fn events_with_unknown_request_or_server_ids_are_ignored() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 2);
     let request = 99;
     let server = 77;
--- a/crates/policy/tests/decisions/helpers.rs
+++ b/crates/policy/tests/decisions/helpers.rs
@@ -1,14 +1,14 @@
-//! Steps that many tests share.
+//! Simulations, load and lookups that several tests share.
 
 use crate::common::{AttemptInFlight, MS, Simulation, ok_after, settings};
 use zincstand_policy::{Idempotency, Micros, ServerEntry, ServerId, ServerState};
 
-/// Returns a balancer with a class for each of the idempotencies, and `servers` servers.
+/// Returns a simulation with one class for each element of `idempotencies`, and `servers` servers.
 pub fn simulation(idempotencies: &[Idempotency], servers: u32) -> Simulation {
     Simulation::new(settings(idempotencies), (0..servers).map(ServerEntry::new).collect(), 7)
 }
 
-/// Serves requests of the class one after another, each with the given latency.
+/// Serves requests of a class one after another, each with the given latency.
 pub fn serve(simulation: &mut Simulation, class: usize, requests: usize, latency: Micros) {
     for _ in 0..requests {
         simulation.request(class);
@@ -16,9 +16,9 @@
     }
 }
 
-/// Serves requests one after another, of which one in five takes eight times as long. The 90th percentile is
-/// more than five medians.
-pub fn serve_with_a_tail(simulation: &mut Simulation, class: usize, requests: usize, latency: Micros) {
+/// Serves requests one after another. Every fifth one takes eight times as long as the others, so that the
+/// 90th percentile is more than five medians.
+pub fn serve_with_slow_fifth(simulation: &mut Simulation, class: usize, requests: usize, latency: Micros) {
     for number in 0..requests {
         serve(simulation, class, 1, if number % 5 == 4 { 8 * latency } else { latency });
     }
@@ -29,7 +29,7 @@
     simulation.in_flight.last().expect("an attempt is in flight").clone()
 }
 
-/// Returns the entry of a server that is draining.
+/// Returns the entry of a draining server.
 pub fn draining(id: ServerId) -> ServerEntry {
     ServerEntry { state: ServerState::Draining, ..ServerEntry::new(id) }
 }
--- a/crates/policy/tests/decisions/idle_connections.rs
+++ b/crates/policy/tests/decisions/idle_connections.rs
@@ -6,7 +6,7 @@
 use crate::helpers::serve;
 use zincstand_policy::{Action, Idempotency, Micros, RequestId, ServerEntry};
 
-/// A network that drops idle connections without notice: only calls on new connections get a response.
+/// A network that drops idle connections without notice: only attempts on new connections get a response.
 struct DroppingNetwork {
     simulation: Simulation,
     /// Requests whose first attempt was sent on a new connection.
@@ -15,19 +15,20 @@
 
 impl DroppingNetwork {
     /// Delivers requests, and returns for how many of them idle connections were closed first.
-    fn closed_for_requests(&mut self, requests: u32) -> u32 {
+    fn count_closed_first(&mut self, requests: u32) -> u32 {
         let mut closed = 0;
         for _ in 0..requests {
             let trace_start = self.simulation.trace.len();
             let id = self.simulation.request(0);
-            let is_close = |entry: &(Micros, Action)| matches!(entry.1, Action::CloseIdle { .. });
-            if self.simulation.trace[trace_start..].iter().any(is_close) {
+            let closes_idle = |entry: &(Micros, Action)| matches!(entry.1, Action::CloseIdle { .. });
+            if self.simulation.trace[trace_start..].iter().any(closes_idle) {
                 closed += 1;
                 self.on_new_connection.insert(id);
             }
             self.simulation.run_for(800 * MS, |attempt| {
-                let is_new = attempt.attempt == 0 && self.on_new_connection.contains(&attempt.request);
-                if is_new { ok_after(10 * MS) } else { Response::Never }
+                let on_new_connection =
+                    attempt.attempt == 0 && self.on_new_connection.contains(&attempt.request);
+                if on_new_connection { ok_after(10 * MS) } else { Response::Never }
             });
         }
         closed
@@ -35,12 +36,16 @@
 }
 
 #[test]
-fn idle_connections_that_lose_calls_are_closed_before_use() {
+fn idle_connections_that_lose_attempts_are_closed_before_use() {
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.classes[0].deadline = 20 * SECOND;
     let mut simulation = Simulation::new(settings, (0..12).map(ServerEntry::new).collect(), 7);
     serve(&mut simulation, 0, 200, 10 * MS);
     let mut network = DroppingNetwork { simulation, on_new_connection: BTreeSet::new() };
-    assert_eq!(network.closed_for_requests(2), 0, "two losses may be chance");
-    assert!(network.closed_for_requests(60) > 0, "an idle connection is closed before the next call on it");
+    assert_eq!(
+        network.count_closed_first(2),
+        0,
+        "idle connections are closed after two losses, which may be chance"
+    );
+    assert!(network.count_closed_first(60) > 0, "no idle connection was closed before the next attempt");
 }
--- a/crates/policy/tests/decisions/learned.rs
+++ b/crates/policy/tests/decisions/learned.rs
@@ -1,10 +1,11 @@
-//! Learned state, exported by one process and imported by the next.
+//! Learned state, which one process exports and its successor imports.
 
 use crate::common::{MS, Simulation, ends_after, settings};
 use crate::helpers::{last_in_flight, serve, simulation};
 use zincstand_policy::{Idempotency, LearnedState, LearnedZone, Outcome, ServerEntry};
 
-/// Returns a balancer that has learned latencies and that server 0 fails, with four attempts in flight.
+/// Returns a simulation whose balancer has learned latencies and that server 0 fails, with four attempts in
+/// flight.
 fn predecessor() -> Simulation {
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 3);
     serve(&mut simulation, 0, 200, 20 * MS);
@@ -24,7 +25,7 @@
     simulation.balancer.learned_state(simulation.now)
 }
 
-/// Returns a new balancer that imports the learned state when `predecessor` exports it.
+/// Returns a simulation whose new balancer imports the learned state at the time of its export.
 fn successor(predecessor: &Simulation, learned: &LearnedState) -> Simulation {
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 3);
     simulation.now = predecessor.now;
@@ -36,14 +37,14 @@
 fn a_successor_exports_what_it_has_imported() {
     let before = predecessor();
     let learned = learned_state(&before);
-    let again = learned_state(&successor(&before, &learned));
-    assert_eq!(again.all_classes, learned.all_classes);
-    assert_eq!(again.classes, learned.classes);
-    assert_eq!(again.servers, learned.servers);
+    let exported_again = learned_state(&successor(&before, &learned));
+    assert_eq!(exported_again.all_classes, learned.all_classes);
+    assert_eq!(exported_again.classes, learned.classes);
+    assert_eq!(exported_again.servers, learned.servers);
 }
 
 #[test]
-fn a_successor_knows_latencies_and_failing_servers() {
+fn a_successor_imports_latencies_and_open_breakers() {
     let before = predecessor();
     let mut after = successor(&before, &learned_state(&before));
     after.request(0);
@@ -62,17 +63,18 @@
     let mut after = successor(&before, &learned);
     let without_attempts = |zone: &LearnedZone| LearnedZone { outstanding: 0.0, ..zone.clone() };
     let zones = learned.zones.iter().map(without_attempts).collect();
-    let mut alone = successor(&before, &LearnedState { zones, ..learned });
+    let mut without_learned_attempts = successor(&before, &LearnedState { zones, ..learned });
     for _ in 0..41 {
         after.request(0);
-        alone.request(0);
+        without_learned_attempts.request(0);
     }
-    assert_eq!(alone.total_sent(), after.total_sent() + 4);
+    assert_eq!(without_learned_attempts.total_sent(), after.total_sent() + 4);
 }
 
 #[test]
 fn a_successor_pauses_a_server_that_is_warming_up_as_its_predecessor_would() {
-    // Without the learned send rate the pause lasted until the server had warmed up.
+    // Guards against a pause that lasts until the server has warmed up, because the send rate is not
+    // imported.
     let before = predecessor();
     let warming_up = ServerEntry { started: Some(before.now), ..ServerEntry::new(9) };
     let servers = vec![ServerEntry::new(1), warming_up];
--- a/crates/policy/tests/decisions/main.rs
+++ b/crates/policy/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of single decisions. The modules have the names of those of the policy.
+//! Tests of single decisions. Each module is named after the policy's module that it tests.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/policy/tests/decisions/outlier.rs
+++ b/crates/policy/tests/decisions/outlier.rs
@@ -14,17 +14,21 @@
             |attempt| if attempt.server == 2 { Response::Never } else { ok_after(20 * MS) },
         );
     }
-    let while_silent = simulation.sends[&2];
-    assert!(while_silent < 8, "{while_silent}");
+    let sent_while_unresponsive = simulation.sends[&2];
+    assert!(sent_while_unresponsive < 8, "{sent_while_unresponsive}");
     for _ in 0..600 {
         simulation.request(0);
         simulation.run_for(40 * MS, |_| ok_after(20 * MS));
     }
-    assert!(simulation.sends[&2] > while_silent + 20, "used again after a trial: {:?}", simulation.sends);
+    assert!(
+        simulation.sends[&2] > sent_while_unresponsive + 20,
+        "not used again after a trial: {:?}",
+        simulation.sends
+    );
 }
 
 #[test]
-fn a_short_time_left_opens_no_breaker() {
+fn time_outs_of_requests_with_little_time_left_open_no_breaker() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 2);
     for _ in 0..60 {
         simulation.request_with(0, 20 * MS);
@@ -42,13 +46,13 @@
 }
 
 #[test]
-fn a_time_left_far_below_the_silence_limit_opens_no_breaker() {
+fn time_outs_before_twelve_medians_open_no_breaker() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 2);
     serve(&mut simulation, 0, 20, 10 * MS);
-    // The 99th percentile is not known, so the time left sets each limit.
+    // The 99th percentile is not known yet, so the time left sets each limit.
     for _ in 0..6 {
         simulation.request_with(0, 90 * MS);
-        assert_eq!(last_in_flight(&simulation).limit, 90 * MS, "no time is reserved for a retry");
+        assert_eq!(last_in_flight(&simulation).limit, 90 * MS, "time is reserved for a retry");
         simulation.run_for(
             120 * MS,
             |attempt| if attempt.server == 1 { Response::Never } else { ok_after(10 * MS) },
@@ -63,11 +67,11 @@
 }
 
 #[test]
-fn a_retry_that_times_out_at_the_median_opens_no_breaker() {
+fn retries_that_time_out_at_the_median_open_no_breaker() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     serve(&mut simulation, 0, 40, 10 * MS);
-    // Server 1 rejects first attempts, which tells nothing, and does not respond to retries. Server 0 resets
-    // all connections.
+    // Server 1 rejects first attempts, which is not a failure, and does not respond to retries. Server 0
+    // resets all connections.
     let mut timed_out = 0;
     for _ in 0..60 {
         simulation.request(0);
@@ -81,7 +85,7 @@
             _ => ok_after(10 * MS),
         });
     }
-    assert!(timed_out >= 3, "retries timed out at the median {timed_out} times");
+    assert!(timed_out >= 3, "only {timed_out} retries timed out at the median");
     let before = simulation.sent_to(1);
     for _ in 0..20 {
         simulation.request(0);
@@ -106,13 +110,13 @@
         simulation.run_for(10 * MS, |_| ok_after(MS));
     }
     let used = simulation.sends.iter().filter(|(id, sent)| before.get(id) != Some(sent)).count();
-    assert!(used >= 5, "{used} in use");
+    assert!(used >= 5, "{used} of 9 servers in use");
 }
 
 #[test]
-fn a_lost_zone_does_not_take_every_call_in_turn() {
-    // Its servers refuse connections at once. While at most a third of them could be ejected, the others
-    // always looked free.
+fn requests_do_not_try_all_servers_of_a_lost_zone() {
+    // Servers of a lost zone refuse connections at once. While at most a third of the servers could be
+    // ejected, those that were not ejected always looked free and received attempts.
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.zone_count = 3;
     let servers = (0..24).map(|id| ServerEntry { zone: id / 8, ..ServerEntry::new(id) });
@@ -131,13 +135,13 @@
     let before = sent_to_lost(&simulation);
     deliver(&mut simulation, 100);
     let added = sent_to_lost(&simulation) - before;
-    assert!(added < 20, "{added} more");
+    assert!(added < 20, "{added} attempts to the lost zone for 100 requests");
 }
 
 #[test]
-fn a_server_that_fails_one_class_keeps_the_others() {
-    // Each success of another class reset the count of failures, so the failing class was sent there again
-    // and again.
+fn a_server_that_fails_one_class_still_receives_the_others() {
+    // Guards against one failure count for all classes: each success of another class would reset it, so the
+    // failing class would be sent to the server again and again.
     let mut simulation = simulation(&[Idempotency::Idempotent, Idempotency::Idempotent], 4);
     let mut failures_for_requests = |requests: u64| {
         let mut failures = 0;
@@ -156,14 +160,15 @@
     };
     failures_for_requests(100);
     let failures = failures_for_requests(400);
-    assert!(failures < 12, "{failures} of about 50");
+    assert!(failures < 12, "{failures} failures, about 50 if the server is not ejected");
     let served = simulation.sends[&2];
-    assert!(served > 60, "the other class is still sent there: {served}");
+    assert!(served > 60, "the server received only {served} attempts, although it serves the other class");
 }
 
 #[test]
-fn a_server_that_rejects_calls_is_paused() {
-    // It rejects at once, so it always had the fewest attempts in flight and received most of the traffic.
+fn a_server_that_rejects_attempts_is_paused() {
+    // It rejects at once, so without a pause it always has the fewest attempts in flight and receives most of
+    // the traffic.
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
     serve(&mut simulation, 0, 200, 20 * MS);
     let before = simulation.sends[&1];
@@ -174,19 +179,20 @@
         });
     }
     let rejected = simulation.sends[&1] - before;
-    assert!(rejected < 25, "{rejected} calls in a second to a server that rejects all");
+    assert!(rejected < 25, "{rejected} attempts in a second to a server that rejects all");
     let before = simulation.sends[&1];
     serve(&mut simulation, 0, 100, 20 * MS);
-    assert!(simulation.sends[&1] > before + 10, "it is used again once it serves calls");
+    assert!(simulation.sends[&1] > before + 10, "not used again after it stopped rejecting attempts");
 }
 
 #[test]
-fn silent_servers_are_ejected_before_the_99th_percentile_is_known() {
-    // The time left sets all limits then, so no time-out counted against the server.
+fn unresponsive_servers_are_ejected_before_the_99th_percentile_is_known() {
+    // The time left sets all limits while the 99th percentile is unknown. Guards against time-outs that do
+    // not count against the server for that reason.
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.classes[0].late_weight = 0.2;
     let mut simulation = Simulation::new(settings, (0..4).map(ServerEntry::new).collect(), 7);
-    let mut sent_to_silent = |requests: u32| {
+    let mut sent_to_unresponsive = |requests: u32| {
         let before = simulation.sent_to(2);
         for _ in 0..requests {
             simulation.request(0);
@@ -196,7 +202,7 @@
         }
         simulation.sent_to(2) - before
     };
-    sent_to_silent(60);
-    let later = sent_to_silent(60);
-    assert!(later <= 8, "{later} of 60 calls were sent to a server that never responds");
+    sent_to_unresponsive(60);
+    let sent = sent_to_unresponsive(60);
+    assert!(sent <= 8, "{sent} of 60 requests were sent to a server that never responds");
 }
--- a/crates/policy/tests/decisions/pending_body.rs
+++ b/crates/policy/tests/decisions/pending_body.rs
@@ -5,14 +5,17 @@
 use zincstand_policy::{Idempotency, Outcome};
 
 #[test]
-fn a_request_with_pending_body_takes_no_slot_and_no_time() {
+fn a_request_with_a_pending_body_takes_no_slot_and_none_of_its_time() {
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 1);
     let uploads: Vec<_> = (0..50).map(|_| simulation.request_with_pending_body(0)).collect();
-    assert_eq!(simulation.sends[&0], 50, "they wait for slots that they do not take");
+    assert_eq!(
+        simulation.sends[&0], 50,
+        "requests with pending bodies wait for slots, although they take none"
+    );
     simulation.now += 60 * SECOND;
     simulation.request(0);
-    assert_eq!(simulation.sends[&0], 51, "slow uploads take the slots of others");
-    // With the last byte of its body each request takes a slot.
+    assert_eq!(simulation.sends[&0], 51, "slow uploads take the slots of other requests");
+    // Each request takes a slot when the last byte of its body arrives.
     for id in uploads {
         simulation.complete_body(id);
     }
@@ -20,7 +23,7 @@
     assert_eq!(simulation.sends[&0], 51);
     assert!(
         simulation.rejected.is_empty() && simulation.failed.is_empty(),
-        "too late before their time started"
+        "rejected or failed before the time of the request started"
     );
     let in_flight = simulation.in_flight.clone();
     for attempt in &in_flight {
@@ -42,7 +45,7 @@
         simulation.end_without_body(attempt, Outcome::NotSent);
     }
     assert_eq!(simulation.rejected.len(), 25);
-    // The first limit has two slots.
+    // The initial limit is two attempts.
     for _ in 0..3 {
         simulation.request(0);
     }
--- a/crates/policy/tests/decisions/retry.rs
+++ b/crates/policy/tests/decisions/retry.rs
@@ -1,11 +1,11 @@
-//! Retries: budget, backoff, and where a request may be sent again.
+//! Retries: the budget, the backoff, and the servers that may receive a retry.
 
-use crate::common::{KEYED_CELL, MS, Response, SECOND, Simulation, ok_after, settings};
+use crate::common::{KEYED_PER_CELL, MS, Response, SECOND, Simulation, ok_after, settings};
 use crate::helpers::{last_in_flight, serve, simulation};
 use zincstand_policy::{Action, Idempotency, Outcome, ServerEntry};
 
 #[test]
-fn a_retry_follows_a_time_out_with_the_median_as_limit_and_goes_elsewhere() {
+fn a_time_out_is_followed_by_a_retry_at_another_server_limited_to_the_median() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     serve(&mut simulation, 0, 160, 10 * MS);
     simulation.request(0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn there_is_one_retry_only() {
+fn a_request_that_may_have_run_is_retried_only_once() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     let id = simulation.request(0);
     for _ in 0..2 {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_retry_budget_runs_out() {
+fn retries_are_limited_by_the_budget() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     for _ in 0..60 {
         simulation.request(0);
@@ -44,11 +44,14 @@
         }
     }
     let sent = simulation.total_sent();
-    assert!((60..=72).contains(&sent), "at most 5 and a tenth of 60 retries: {sent}");
+    assert!(
+        (60..=72).contains(&sent),
+        "60 requests may have at most 5 + 60 / 10 retries, but {sent} attempts were sent"
+    );
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_and_may_have_run_fails() {
+fn a_request_that_may_have_run_fails_if_it_is_not_idempotent() {
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
     let id = simulation.request(0);
     let attempt = last_in_flight(&simulation);
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_ran_is_retried_even_if_not_idempotent() {
+fn a_request_that_never_ran_is_retried_even_if_it_is_not_idempotent() {
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 4);
     let id = simulation.request(0);
     let attempt = last_in_flight(&simulation);
@@ -68,9 +71,9 @@
 }
 
 #[test]
-fn a_retry_with_an_idempotency_key_stays_in_its_cell() {
+fn a_retry_with_an_idempotency_key_stays_in_the_cell_of_the_first_attempt() {
     let servers = (0..6).map(|id| ServerEntry { cell: id % 2, ..ServerEntry::new(id) });
-    let mut simulation = Simulation::new(settings(&[KEYED_CELL]), servers.collect(), 1);
+    let mut simulation = Simulation::new(settings(&[KEYED_PER_CELL]), servers.collect(), 1);
     for _ in 0..20 {
         simulation.request(0);
         let first = last_in_flight(&simulation);
@@ -84,9 +87,9 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_sent_again_gets_its_final_answer_at_once() {
+fn a_request_whose_body_is_not_retained_gets_its_final_response_at_once() {
     for (outcome, rejected) in [(Outcome::Rejected, 1), (Outcome::ConnectFailed, 1), (Outcome::Reset, 0)] {
-        let mut simulation = simulation(&[KEYED_CELL], 3);
+        let mut simulation = simulation(&[KEYED_PER_CELL], 3);
         simulation.request_with_pending_body(0);
         let attempt = last_in_flight(&simulation);
         simulation.end_without_body(&attempt, outcome);
@@ -96,8 +99,8 @@
 }
 
 #[test]
-fn a_request_with_pending_body_is_sent_again_while_its_body_is_retained() {
-    let mut simulation = simulation(&[KEYED_CELL], 3);
+fn a_request_with_a_pending_body_is_sent_again_while_its_body_is_retained() {
+    let mut simulation = simulation(&[KEYED_PER_CELL], 3);
     simulation.request_with_pending_body(0);
     let attempt = last_in_flight(&simulation);
     simulation.end(&attempt, Outcome::Rejected);
--- a/crates/policy/tests/decisions/selection.rs
+++ b/crates/policy/tests/decisions/selection.rs
@@ -5,16 +5,16 @@
 use zincstand_policy::{Idempotency, ServerEntry};
 
 #[test]
-fn selection_takes_the_server_with_the_fewest_own_attempts_in_flight() {
+fn selection_prefers_the_server_with_the_fewest_attempts_in_flight() {
     let mut simulation = simulation(&[Idempotency::Idempotent], 4);
     for _ in 0..4 {
         simulation.request(0);
     }
-    assert_eq!(simulation.sends.len(), 4, "one each: {:?}", simulation.sends);
+    assert_eq!(simulation.sends.len(), 4, "not one attempt for each server: {:?}", simulation.sends);
 }
 
 #[test]
-fn attempts_leave_the_own_zone_only_when_it_is_full() {
+fn attempts_leave_the_zone_of_the_balancer_only_when_it_is_full() {
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.zone_count = 2;
     settings.prices.cross_zone = 0.2;
@@ -31,12 +31,16 @@
 
 #[test]
 fn other_servers_are_not_ranked_while_a_preferred_server_is_free() {
-    // Ranking all servers of a large fleet for each call exceeded the limit on processor time.
+    // Ranking all servers of a large fleet for each request exceeds the limit on processor time.
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.balancer_count = 40;
     let mut simulation = Simulation::new(settings, (0..160).map(ServerEntry::new).collect(), 3);
     serve(&mut simulation, 0, 400, 10 * MS);
-    assert_eq!(simulation.sends.len(), 16, "four balancers prefer each server");
+    assert_eq!(
+        simulation.sends.len(),
+        16,
+        "each server is preferred by four balancers, so each balancer prefers 16"
+    );
     for _ in 0..60 {
         for _ in 0..20 {
             simulation.request(0);
@@ -45,6 +49,6 @@
     }
     assert!(
         simulation.sends.len() > 16,
-        "others are as good while all preferred servers have attempts in flight"
+        "no other server was used while all preferred servers had attempts in flight"
     );
 }
--- a/crates/policy/tests/module_size.rs
+++ b/crates/policy/tests/module_size.rs
@@ -1,5 +1,5 @@
-//! Limits on the source files that make the decisions, as `deploy/balancer.toml` lists them: they stay short
-//! enough to be reviewed one concern at a time. The other source files hold data structures and make no
+//! Limits on the size of the source files that make decisions, which `deploy/balancer.toml` lists, so that
+//! each file can be reviewed as one concern. The other source files hold data structures and make no
 //! decisions.
 
 use std::collections::BTreeSet;
@@ -13,9 +13,9 @@
 /// Maximum number of characters of a line.
 const MAX_LINE_LENGTH: usize = 110;
 
-/// The public interface, and the types and data structures that make no decisions. They may hold no tuning
-/// constants and may draw no random numbers.
-const BESIDE_DECISIONS: [&str; 17] = [
+/// The files of the public interface and of the data structures. They make no decisions, so they must not
+/// have tuning constants or draw random numbers.
+const FILES_WITHOUT_DECISIONS: [&str; 17] = [
     "circuit_breaker.rs",
     "context.rs",
     "decaying_rate.rs",
@@ -35,7 +35,7 @@
     "settings/validation.rs",
 ];
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -44,16 +44,18 @@
 }
 
 fn read(path: &Path) -> String {
-    fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+    fs::read_to_string(path).unwrap_or_else(|error| panic!("cannot read {}: {error}", path.display()))
 }
 
-/// Names of the files that `deploy/balancer.toml` lists under `policy`, all of this crate's `src`.
+/// Returns the files that `deploy/balancer.toml` lists under `policy`, relative to this crate's `src`.
 fn decision_files() -> BTreeSet<String> {
-    let deploy: toml::Table = read(&root().join("deploy/balancer.toml")).parse().expect("it is TOML");
+    let deploy: toml::Table = read(&workspace_root().join("deploy/balancer.toml"))
+        .parse()
+        .expect("deploy/balancer.toml is valid TOML");
     let listed = deploy["policy"].as_array().expect("`policy` is a list");
     let name = |path: &toml::Value| {
-        let path = path.as_str().expect("`policy` lists paths");
-        let name = path.strip_prefix("crates/policy/src/").expect("a decision file is in crates/policy/src");
+        let path = path.as_str().expect("`policy` is a list of strings");
+        let name = path.strip_prefix("crates/policy/src/").expect("a listed file is in crates/policy/src");
         name.to_owned()
     };
     let names: BTreeSet<String> = listed.iter().map(name).collect();
@@ -61,25 +63,25 @@
     names
 }
 
-/// Names of all files below `src`, relative to it, but for unit tests.
+/// Returns all files in `src` and its subdirectories except unit tests, relative to `src`.
 fn source_files() -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     let mut directories = vec![source_directory()];
     while let Some(directory) = directories.pop() {
-        for entry in fs::read_dir(&directory).expect("the directory can be read") {
-            let path = entry.expect("its entries can be read").path();
+        for entry in fs::read_dir(&directory).expect("the directory is readable") {
+            let path = entry.expect("the directory entry is readable").path();
             if path.is_dir() {
                 directories.push(path);
             } else if path.file_name().is_some_and(|name| name != "tests.rs") {
-                let name = path.strip_prefix(source_directory()).expect("it is below src");
-                names.insert(name.to_str().expect("its name is UTF-8").to_owned());
+                let name = path.strip_prefix(source_directory()).expect("the file is in src");
+                names.insert(name.to_str().expect("the file name is UTF-8").to_owned());
             }
         }
     }
     names
 }
 
-/// A function of a source file that is formatted by `rustfmt`.
+/// A function in a source file that `rustfmt` has formatted.
 struct Function {
     /// Number of the line of its signature, from 1.
     line: usize,
@@ -87,14 +89,14 @@
     length: usize,
 }
 
-/// Returns whether a line begins the signature of a function.
+/// Returns whether a function's signature begins on the line.
 fn begins_function(line: &str) -> bool {
     let mut words = line.split_whitespace();
     words.find(|word| !word.starts_with("pub") && !["const", "async", "unsafe"].contains(word)) == Some("fn")
 }
 
-/// Returns the functions of a source file. The closing brace of a function has the indentation of its
-/// signature.
+/// Returns the functions of a source file. A function ends at the first closing brace with the indentation
+/// of its signature.
 fn functions(text: &str) -> Vec<Function> {
     let lines: Vec<&str> = text.lines().collect();
     let mut functions = Vec::new();
@@ -105,7 +107,7 @@
             1
         } else {
             let end = lines[index..].iter().position(|line| *line == closing);
-            end.unwrap_or_else(|| panic!("no end of the function in line {}", index + 1)) + 1
+            end.unwrap_or_else(|| panic!("the function that begins in line {} has no end", index + 1)) + 1
         };
         functions.push(Function { line: index + 1, length });
     }
@@ -117,7 +119,7 @@
     for name in decision_files() {
         let text = read(&source_directory().join(&name));
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_FILE_LINES, "{name} has {lines} lines that are not blank");
+        assert!(lines <= MAX_FILE_LINES, "{name} has {lines} non-blank lines, more than {MAX_FILE_LINES}");
     }
 }
 
@@ -127,7 +129,11 @@
         let text = read(&source_directory().join(&name));
         for (number, line) in text.lines().enumerate() {
             let length = line.chars().count();
-            assert!(length <= MAX_LINE_LENGTH, "{name}:{} has {length} characters", number + 1);
+            assert!(
+                length <= MAX_LINE_LENGTH,
+                "{name}:{} has {length} characters, more than {MAX_LINE_LENGTH}",
+                number + 1
+            );
         }
     }
 }
@@ -137,7 +143,10 @@
     let mut count = 0;
     for name in decision_files() {
         for Function { line, length } in functions(&read(&source_directory().join(&name))) {
-            assert!(length <= MAX_FUNCTION_LINES, "{name}:{line} begins a function of {length} lines");
+            assert!(
+                length <= MAX_FUNCTION_LINES,
+                "{name}:{line} begins a function of {length} lines, more than {MAX_FUNCTION_LINES}"
+            );
             count += 1;
         }
     }
@@ -145,7 +154,7 @@
 }
 
 #[test]
-fn the_lines_of_functions_are_counted() {
+fn functions_are_found_with_their_lines() {
     let text =
         "impl A {\n    pub(super) const fn one() {\n        if a {\n        }\n    }\n\n    fn two() {}\n}\n";
     let found: Vec<_> = functions(text).iter().map(|function| [function.line, function.length]).collect();
@@ -153,16 +162,20 @@
 }
 
 #[test]
-fn every_file_is_a_decision_or_known_to_stand_beside_them() {
+fn every_file_is_listed_as_with_or_without_decisions() {
     let listed = decision_files();
-    let beside = BESIDE_DECISIONS.map(str::to_owned);
-    let known: BTreeSet<String> = listed.iter().cloned().chain(beside).collect();
-    assert_eq!(known.len(), listed.len() + BESIDE_DECISIONS.len(), "a file is both");
+    let without_decisions = FILES_WITHOUT_DECISIONS.map(str::to_owned);
+    let known: BTreeSet<String> = listed.iter().cloned().chain(without_decisions).collect();
+    assert_eq!(
+        known.len(),
+        listed.len() + FILES_WITHOUT_DECISIONS.len(),
+        "a file is listed both as with and as without decisions"
+    );
     assert_eq!(known, source_files());
 }
 
 #[test]
-fn the_balancer_and_every_part_of_it_is_listed() {
+fn every_file_that_implements_the_balancer_is_listed() {
     let listed = decision_files();
     assert!(listed.contains("balancer/mod.rs"));
     for name in source_files() {
@@ -172,13 +185,13 @@
 }
 
 #[test]
-fn what_stands_beside_the_decisions_tunes_nothing() {
-    for name in BESIDE_DECISIONS {
+fn files_without_decisions_have_no_tuning_constants_or_random_numbers() {
+    for name in FILES_WITHOUT_DECISIONS {
         let text = read(&source_directory().join(name));
-        let tunes =
+        let is_tuning_constant =
             |line: &&str| line.contains("const ") && (line.contains("f64") || line.contains("Micros"));
-        let constant = text.lines().find(tunes);
-        assert_eq!(constant, None, "{name} has a constant that belongs to a decision file");
+        let constant = text.lines().find(is_tuning_constant);
+        assert_eq!(constant, None, "{name} has a tuning constant, which belongs in a decision file");
         assert!(!text.contains("rng."), "{name} draws random numbers");
     }
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Random legal sequences of events under random settings: every request gets one final answer in time, and
-//! no action breaks a rule. `common::checker` has the rules.
+//! Random valid sequences of events under random settings: every request gets one final response in time, and
+//! no action breaks a rule. The rules are in `common::checker`.
 
 mod common;
 
@@ -12,10 +12,10 @@
     ServerEntry, ServerState, Settings,
 };
 
-/// Number of steps of a sequence.
+/// Number of steps in a sequence.
 const STEPS: u64 = 400;
 /// Duration of a step.
-const STEP: Micros = 10 * MS;
+const STEP_DURATION: Micros = 10 * MS;
 
 fn any_idempotency() -> impl Strategy<Value = Idempotency> {
     let window = (50 * MS)..(3 * SECOND);
@@ -30,14 +30,14 @@
 prop_compose! {
     fn any_class()(
         idempotency in any_idempotency(),
-        objective in 50_u64..1_000,
+        objective_ms in 50_u64..1_000,
         deadline_in_objectives in 1_u64..4,
         streaming in any::<bool>(),
         weight in 0.0..1.0_f64,
     ) -> Class {
         Class {
-            latency_objective: objective * MS,
-            deadline: objective * deadline_in_objectives * MS,
+            latency_objective: objective_ms * MS,
+            deadline: objective_ms * deadline_in_objectives * MS,
             streaming,
             late_weight: if weight > 0.7 { weight } else { 0.0 },
             priority_weight: 1.0 + 10.0 * weight,
@@ -100,8 +100,8 @@
     rng: fastrand::Rng,
     /// Number of servers at the start.
     servers: u32,
-    /// One server in four fails: those whose id has this remainder.
-    faulty: u32,
+    /// One server in four is faulty: those whose id modulo 4 is this number.
+    faulty_remainder: u32,
     /// Longest latency of a successful response, in milliseconds.
     max_latency_ms: u64,
 }
@@ -111,12 +111,12 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let entries = (0..servers).map(|id| random_entry(id, &mut rng)).collect();
         let simulation = Simulation::new(settings, entries, seed);
-        let faulty = rng.u32(..4);
+        let faulty_remainder = rng.u32(..4);
         let max_latency_ms = 10 + rng.u64(..200);
-        Sequence { simulation, rng, servers, faulty, max_latency_ms }
+        Sequence { simulation, rng, servers, faulty_remainder, max_latency_ms }
     }
 
-    /// Returns true once in `n` times on average.
+    /// Returns true with a probability of one in `n`.
     fn one_in(&mut self, n: u32) -> bool {
         self.rng.u32(..n) == 0
     }
@@ -127,9 +127,9 @@
             self.send_requests();
             self.change_endpoints();
             self.disconnect_client();
-            self.send_unknown_events();
-            self.begin_stream();
-            self.run_until(start + step * STEP);
+            self.send_events_of_unknown_ids();
+            self.begin_response();
+            self.run_until(start + step * STEP_DURATION);
         }
         let end = self.simulation.now + 10 * SECOND;
         self.simulation.run(end, |_| Response::Never);
@@ -177,7 +177,7 @@
         }
     }
 
-    fn send_unknown_events(&mut self) {
+    fn send_events_of_unknown_ids(&mut self) {
         if self.one_in(10) {
             self.simulation.handle(Event::Timer { token: self.rng.u64(..) });
             self.simulation.handle(Event::ClientDisconnected { request: u64::MAX });
@@ -190,26 +190,26 @@
         }
     }
 
-    /// Begins the response of the oldest attempt, if all classes stream their responses.
-    fn begin_stream(&mut self) {
-        let all_stream = self.simulation.settings.classes.iter().all(|class| class.streaming);
+    /// Begins the response to the oldest attempt if all classes have streamed responses.
+    fn begin_response(&mut self) {
+        let all_streaming = self.simulation.settings.classes.iter().all(|class| class.streaming);
         if let Some(attempt) = self.simulation.in_flight.first().cloned()
-            && all_stream
+            && all_streaming
             && self.simulation.is_open(attempt.request)
         {
             self.simulation.first_byte(&attempt);
         }
     }
 
-    /// Runs until the given time. The responses depend on the attempt and on one random number only, since
-    /// they are asked for more than once.
+    /// Runs until the given time. The simulation asks for the response to an attempt more than once, so a
+    /// response depends only on the attempt and on one random number per run.
     fn run_until(&mut self, until: Micros) {
         let seed = self.rng.u64(..);
-        let faulty = self.faulty;
+        let faulty_remainder = self.faulty_remainder;
         let max_latency_ms = self.max_latency_ms;
         self.simulation.run(until, |attempt| {
             let mut rng = attempt_rng(seed, attempt);
-            if attempt.server % 4 == faulty && rng.u32(..3) > 0 {
+            if attempt.server % 4 == faulty_remainder && rng.u32(..3) > 0 {
                 let outcomes = [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
                 if rng.u32(..2) > 0 {
                     return Response::Never;
@@ -222,6 +222,7 @@
     }
 }
 
+/// Returns a generator that gives the same random numbers for the same attempt.
 fn attempt_rng(seed: u64, attempt: &AttemptInFlight) -> fastrand::Rng {
     fastrand::Rng::with_seed(seed ^ attempt.request ^ u64::from(attempt.attempt) << 32)
 }
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Cost of a call as the endpoint list grows, in servers examined, which does not depend on the machine.
+//! Cost of a request as the endpoint list grows. It is measured in servers examined, so that the result does
+//! not depend on the machine.
 
 #[path = "common/fixtures.rs"]
 mod fixtures;
@@ -11,10 +12,10 @@
     ServerState,
 };
 
-/// Number of calls that the cost is measured over.
-const CALLS: u64 = 1_000;
+/// Number of requests over which the cost is measured.
+const REQUESTS: u64 = 1_000;
 
-/// Returns one of `balancers` balancers, which knows the given number of servers in `zones` zones.
+/// Returns one of `balancers` balancers, with an endpoint list of `servers` servers in `zones` zones.
 fn balancer(servers: u32, zones: u32, balancers: u32) -> Balancer {
     let mut settings = settings(&[Idempotency::Idempotent]);
     settings.zone_count = zones;
@@ -27,13 +28,13 @@
 
 /// An attempt that the balancer has sent.
 #[derive(Debug, PartialEq)]
-struct Sent {
+struct SentAttempt {
     request: RequestId,
     server: ServerId,
 }
 
-/// Delivers a request and returns the attempts that follow.
-fn request(balancer: &mut Balancer, now: Micros, id: RequestId) -> Vec<Sent> {
+/// Delivers a request and returns the attempts that the balancer sends in response.
+fn request(balancer: &mut Balancer, now: Micros, id: RequestId) -> Vec<SentAttempt> {
     let event = Event::Request {
         id,
         class: 0,
@@ -46,8 +47,8 @@
     handle(balancer, now, event)
 }
 
-/// Ends an attempt successfully and returns the attempts that follow.
-fn end(balancer: &mut Balancer, now: Micros, attempt: &Sent) -> Vec<Sent> {
+/// Ends an attempt successfully and returns the attempts that the balancer sends in response.
+fn end(balancer: &mut Balancer, now: Micros, attempt: &SentAttempt) -> Vec<SentAttempt> {
     let event = Event::Outcome {
         request: attempt.request,
         attempt: 0,
@@ -61,55 +62,56 @@
     handle(balancer, now, event)
 }
 
-fn handle(balancer: &mut Balancer, now: Micros, event: Event) -> Vec<Sent> {
+fn handle(balancer: &mut Balancer, now: Micros, event: Event) -> Vec<SentAttempt> {
     let mut actions = Vec::new();
     balancer.handle(now, event, &mut actions);
-    let sent = |action: &Action| match action {
-        Action::Send { request, server, .. } => Some(Sent { request: *request, server: *server }),
+    let sent_attempt = |action: &Action| match action {
+        Action::Send { request, server, .. } => Some(SentAttempt { request: *request, server: *server }),
         _ => None,
     };
-    actions.iter().filter_map(sent).collect()
+    actions.iter().filter_map(sent_attempt).collect()
 }
 
-/// Returns the servers examined for each call, with as many attempts in flight or queued as there are slots.
-fn servers_examined_per_call(servers: u32, zones: u32, balancers: u32) -> f64 {
+/// Returns the mean number of servers examined per request. An attempt ends at every second request, and at
+/// every request while 20 attempts are in flight, so that the concurrency limits fill up.
+fn servers_examined_per_request(servers: u32, zones: u32, balancers: u32) -> f64 {
     let mut balancer = balancer(servers, zones, balancers);
     let mut in_flight = VecDeque::new();
     let before = balancer.servers_examined();
-    for call in 1..=CALLS {
-        let now = SECOND + call * MS;
-        in_flight.extend(request(&mut balancer, now, call - 1));
-        if in_flight.len() >= 20 || call % 2 == 0 {
+    for number in 1..=REQUESTS {
+        let now = SECOND + number * MS;
+        in_flight.extend(request(&mut balancer, now, number - 1));
+        if in_flight.len() >= 20 || number % 2 == 0 {
             let oldest = in_flight.pop_front().expect("an attempt is in flight");
             in_flight.extend(end(&mut balancer, now, &oldest));
         }
     }
-    (balancer.servers_examined() - before) as f64 / CALLS as f64
+    (balancer.servers_examined() - before) as f64 / REQUESTS as f64
 }
 
 #[test]
-fn no_cost_of_a_call_grows_with_the_list() {
+fn the_cost_of_a_request_does_not_grow_with_the_endpoint_list() {
     for zones in [1, 14] {
-        for alone in [true, false] {
+        for single_balancer in [true, false] {
             let examined = |servers: u32| {
-                let balancers = if alone { 1 } else { servers };
-                servers_examined_per_call(servers, zones, balancers)
+                let balancers = if single_balancer { 1 } else { servers };
+                servers_examined_per_request(servers, zones, balancers)
             };
             let with_few = examined(64 * zones);
             let with_many = examined(4_096 * zones);
             assert!(
                 with_many <= 1.5 * with_few + 2.0,
-                "{zones} zones, alone {alone}: {with_few} and {with_many} servers a call"
+                "{zones} zones (single balancer: {single_balancer}): {with_few} and {with_many} examined"
             );
         }
     }
 }
 
 #[test]
-fn the_one_ready_server_is_found_among_thousands_that_are_draining() {
+fn the_only_ready_server_is_found_among_thousands_of_draining_ones() {
     let mut balancer = balancer(3_000, 1, 3_000);
     let draining = |id| ServerEntry { state: ServerState::Draining, ..ServerEntry::new(id) };
     let entries = (0..3_000).filter(|id| *id != 1_777).map(draining).collect();
     balancer.handle(SECOND, Event::EndpointList { kind: ListKind::Delta, entries }, &mut Vec::new());
-    assert_eq!(request(&mut balancer, 2 * SECOND, 1), [Sent { request: 1, server: 1_777 }]);
+    assert_eq!(request(&mut balancer, 2 * SECOND, 1), [SentAttempt { request: 1, server: 1_777 }]);
 }
