--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -37,7 +37,7 @@
     /// Zone of the server.
     pub zone: ZoneId,
     /// Kind of machine that the server runs on.
-    pub kind: MachineKindId,
+    pub machine_kind: MachineKindId,
     /// Cell of the server: a group of servers that drop each other's repeats.
     pub cell: u32,
     /// Hash of the address of the server, the same at every balancer. It decides which servers a balancer
--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -36,7 +36,7 @@
         policy::ServerEntry {
             id,
             zone: self.zone,
-            kind: self.kind,
+            machine_kind: self.kind,
             cell: endpoint.cell,
             // The position on the hash ring has to be the same at every balancer. Address and id differ between
             // balancers, so it is derived from the instance's name.
--- a/crates/simulator-adapter/src/host/balancer.rs
+++ b/crates/simulator-adapter/src/host/balancer.rs
@@ -171,7 +171,7 @@
         policy::ServerEntry {
             id: self.servers.intern(&entry.address),
             zone: self.zones.intern(&entry.zone),
-            kind: self.machine_kinds.intern(&entry.machine_kind),
+            machine_kind: self.machine_kinds.intern(&entry.machine_kind),
             cell: entry.cell,
             ring_position: ring_position(&entry.address),
             state: server_state(entry.state),
