--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -208,7 +208,7 @@
 ) -> Option<Micros> {
     let idempotency = context.settings.classes[request.class()].idempotency;
     let may_reject = request.first_run().is_none() || retry::repeatable_anywhere(idempotency);
-    let spare_time = request.useful_until() as f64 - request.clock(context.now()) as f64 - median;
+    let spare_time = request.useful_until() as f64 - request.effective_now(context.now()) as f64 - median;
     let wait = queue_drain_time.min(context.settings.limits.max_retry_after as f64);
     (may_reject && spare_time > 0.0).then(|| wait.min(spare_time) as Micros)
 }
--- a/crates/policy/src/balancer/admit.rs
+++ b/crates/policy/src/balancer/admit.rs
@@ -32,7 +32,7 @@
     pub(super) fn complete_body(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id).filter(|request| request.body_pending()) {
             request.complete_body(self.context.now());
-            self.fleet.take_slot_of(request.server_in_use());
+            self.fleet.take_slot_by_id(request.current_server());
         }
     }
 
@@ -45,14 +45,14 @@
         let Some(request) = self.requests.remove(&id) else { return };
         if request.body_pending() {
             // The attempt has no slot yet, but its outcome releases one.
-            self.fleet.take_slot_of(request.server_in_use());
+            self.fleet.take_slot_by_id(request.current_server());
             return;
         }
-        let Some(origin) = request.attempt_origin() else { return };
+        let Some(placement) = request.attempt_placement() else { return };
         let expected_latency = self.latencies.lowest_median(request.class()) * request.work_scale();
-        let elapsed = self.context.now().saturating_sub(origin.sent_at) as f64;
+        let elapsed = self.context.now().saturating_sub(placement.sent_at) as f64;
         if elapsed > expected_latency
-            && let Some(zone) = self.fleet.zone_mut(origin.zone)
+            && let Some(zone) = self.fleet.zone_mut(placement.zone)
         {
             zone.limit.record_late_cancel();
         }
--- a/crates/policy/src/balancer/complete.rs
+++ b/crates/policy/src/balancer/complete.rs
@@ -19,7 +19,7 @@
         let queue_signal = if request.body_pending() {
             // The attempt has no slot yet, but `record_at_server` releases one. Its latency is unknown, since
             // it would include the upload.
-            self.fleet.take_slot_of(request.server_in_use());
+            self.fleet.take_slot_by_id(request.current_server());
             QueueSignal::Unknown
         } else {
             self.latencies.record(&self.context.settings, request, &end)
@@ -28,7 +28,7 @@
             // Without a queue signal the attempt was too short to tell anything about its server, so its
             // time-out counts against nobody.
             if queue_signal != QueueSignal::Unknown {
-                end.timeout_blame = attempt.timeout_blame;
+                end.timeout_attribution = attempt.timeout_attribution;
             }
             self.idle_connections.record(attempt.idle_bucket, &end, self.latencies.overall_median());
         }
@@ -45,7 +45,7 @@
                 }
                 self.requests.remove(&id);
             }
-            Continuation::AnswerOnly => self.reject(id),
+            Continuation::FinalAnswerOnly => self.reject(id),
             Continuation::Any => self.retry_or_reject(id, end.outcome),
         }
     }
@@ -53,7 +53,7 @@
     /// Updates the slots, idle connections and circuit breakers of the attempt's server, and the limit of its
     /// zone. `class` is `None` if the request has already ended.
     fn record_at_server(&mut self, class: Option<ClassId>, end: &AttemptEnd, queue_signal: QueueSignal) {
-        let may_eject = outlier::may_eject(end.outcome, self.fleet.ejected(), self.fleet.len());
+        let may_eject = outlier::may_eject(end.outcome, self.fleet.ejected_servers(), self.fleet.len());
         let Some(mut target) = self.fleet.server_in_zone(end.server) else { return };
         let availability_before = target.server.availability();
         if let QueueSignal::Lateness(lateness) = queue_signal {
--- a/crates/policy/src/balancer/decay.rs
+++ b/crates/policy/src/balancer/decay.rs
@@ -36,7 +36,7 @@
         let mut learned = LearnedState {
             saved_at: now,
             first_started_at: self.send_rate.started_at(),
-            recent_sends: self.send_rate.recent(),
+            recent_sends: self.send_rate.recent_count(),
             classes: vec![LearnedClass::default(); self.latencies.class_count()],
             ..LearnedState::default()
         };
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -152,7 +152,7 @@
     /// by its current capacity.
     fn warm_up_interval(&self) -> f64 {
         let rules = &self.context.settings.rules;
-        slow_start::warm_up_interval(self.mean_send_interval(), self.fleet.ready(), rules)
+        slow_start::warm_up_interval(self.mean_send_interval(), self.fleet.ready_servers(), rules)
     }
 
     /// Whether no attempt can succeed any more: too little time is left, or all servers are draining.
--- a/crates/policy/src/balancer/send.rs
+++ b/crates/policy/src/balancer/send.rs
@@ -108,7 +108,7 @@
         if request.attempts() == 0 {
             self.retry_budget.deposit();
         }
-        request.start_attempt(now, server.entry(), limit.timeout_blame, idle_bucket);
+        request.start_attempt(now, server.entry(), limit.timeout_attribution, idle_bucket);
         self.actions.push(Action::Send { request: id, server: server.entry().id, limit: limit.duration });
     }
 }
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -63,13 +63,13 @@
 
 /// Whether breakers let an attempt pass.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Admission {
+pub(crate) enum BreakerPermission {
     /// The attempt may pass.
-    Admitted,
+    Granted,
     /// The attempt may pass as the one trial of a breaker whose open time is over.
     Trial,
     /// The attempt may not pass.
-    Blocked,
+    Denied,
 }
 
 /// The circuit breakers of a server: the common one of all classes first, then one for each class, because a
@@ -89,20 +89,20 @@
     }
 
     /// Returns whether the common breaker and that of the class let an attempt pass.
-    pub fn admission(&self, class: ClassId, now: Micros) -> Admission {
-        let mut admission = Admission::Admitted;
+    pub fn permission(&self, class: ClassId, now: Micros) -> BreakerPermission {
+        let mut permission = BreakerPermission::Granted;
         for breaker in [&self.0[0], &self.0[class + 1]] {
-            admission = match breaker.state {
-                BreakerState::Closed => admission,
-                BreakerState::Open { until } if now >= until => Admission::Trial,
-                BreakerState::Open { .. } | BreakerState::HalfOpen => return Admission::Blocked,
+            permission = match breaker.state {
+                BreakerState::Closed => permission,
+                BreakerState::Open { until } if now >= until => BreakerPermission::Trial,
+                BreakerState::Open { .. } | BreakerState::HalfOpen => return BreakerPermission::Denied,
             };
         }
-        admission
+        permission
     }
 
     /// Whether the common breaker is closed.
-    pub fn all_classes_closed(&self) -> bool {
+    pub fn common_closed(&self) -> bool {
         self.0[0].state == BreakerState::Closed
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Returns the common breaker, then that of the class unless it is `None`.
-    pub fn common_and_own(&mut self, class: Option<ClassId>) -> impl Iterator<Item = &mut Breaker> {
+    pub fn common_and_class(&mut self, class: Option<ClassId>) -> impl Iterator<Item = &mut Breaker> {
         let own = class.map(|class| class + 1);
         let wanted = move |index: usize| index == 0 || Some(index) == own;
         let breakers = self.0.iter_mut().enumerate();
--- a/crates/policy/src/decaying_rate.rs
+++ b/crates/policy/src/decaying_rate.rs
@@ -5,7 +5,7 @@
 /// Rate of recent events, from a count that decays with time.
 pub(crate) struct DecayingRate {
     /// Decayed number of events.
-    recent: f64,
+    recent_count: f64,
     /// Time from which events are counted.
     started_at: Micros,
     /// Time after which half of the count remains, in microseconds.
@@ -15,7 +15,7 @@
 impl DecayingRate {
     /// Creates a rate without events. `half_life` is in microseconds.
     pub fn new(half_life: f64) -> Self {
-        DecayingRate { recent: 0.0, started_at: 0, half_life }
+        DecayingRate { recent_count: 0.0, started_at: 0, half_life }
     }
 
     /// Starts counting at `now`.
@@ -25,12 +25,12 @@
 
     /// Counts an event.
     pub fn record(&mut self) {
-        self.recent += 1.0;
+        self.recent_count += 1.0;
     }
 
     /// Multiplies the count by `remaining`.
     pub fn decay(&mut self, remaining: f64) {
-        self.recent *= remaining;
+        self.recent_count *= remaining;
     }
 
     /// Time after which half of the count remains, in microseconds.
@@ -44,14 +44,14 @@
     }
 
     /// Decayed number of events.
-    pub fn recent(&self) -> f64 {
-        self.recent
+    pub fn recent_count(&self) -> f64 {
+        self.recent_count
     }
 
     /// Continues the count of an earlier process, which began at `started_at`.
-    pub fn import(&mut self, started_at: Micros, recent: f64) {
+    pub fn import(&mut self, started_at: Micros, recent_count: f64) {
         self.started_at = started_at;
-        self.recent = recent;
+        self.recent_count = recent_count;
     }
 
     /// Mean interval between two events, in microseconds.
@@ -60,8 +60,8 @@
     /// `min_events` it is the interval of a rate that has run for long.
     pub fn mean_interval(&self, now: Micros, min_events: f64) -> f64 {
         let undecayed = 0.5_f64.powf((now - self.started_at) as f64 / self.half_life);
-        let decayed = if self.recent < min_events { 1.0 } else { 1.0 - undecayed };
-        self.half_life * std::f64::consts::LOG2_E * decayed / self.recent.max(1.0)
+        let decayed = if self.recent_count < min_events { 1.0 } else { 1.0 - undecayed };
+        self.half_life * std::f64::consts::LOG2_E * decayed / self.recent_count.max(1.0)
     }
 }
 
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -51,7 +51,7 @@
             self.apply_entry(context, entry, send_interval);
         }
         if kind != ListKind::CachedSnapshot {
-            self.record_discovery();
+            self.mark_received_from_discovery();
         }
         self.drop_removed();
         self.recount_zones();
@@ -69,7 +69,7 @@
             self.update_entry(index, entry);
             return;
         }
-        let others_ready = self.ready_besides(index);
+        let others_ready = self.other_ready_servers(index);
         let warm_up_interval =
             slow_start::warm_up_interval(send_interval, others_ready, &context.settings.rules);
         let start = slow_start::effective_start(context.now(), entry.started, self.received_from_discovery());
--- a/crates/policy/src/failure_by_gap.rs
+++ b/crates/policy/src/failure_by_idle_time.rs
@@ -9,15 +9,15 @@
 ///
 /// A failure after a gap counts for all longer gaps too, a success for all shorter ones: a connection that
 /// was dropped after some idle time stays dropped.
-pub(crate) struct FailureByGap {
+pub(crate) struct FailureByIdleTime {
     /// Share of the failed calls in each bucket, from 0 to 1.
     shares: [f64; BUCKETS],
 }
 
-impl FailureByGap {
+impl FailureByIdleTime {
     /// Creates averages without failures.
     pub fn new() -> Self {
-        FailureByGap { shares: [0.0; BUCKETS] }
+        FailureByIdleTime { shares: [0.0; BUCKETS] }
     }
 
     /// Returns the bucket of a gap: the number of times that `shortest` can be doubled within it. Gaps
--- a/crates/policy/src/failure_by_gap/tests.rs
+++ b/crates/policy/src/failure_by_idle_time/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_failure_counts_for_longer_gaps_and_a_success_for_shorter_ones() {
-    let mut shares = FailureByGap::new();
+    let mut shares = FailureByIdleTime::new();
     shares.record(10, true, 0.5);
     assert_eq!([shares.share(9), shares.share(10), shares.share(63)], [0.0, 0.5, 0.5]);
     shares.record(12, false, 0.5);
@@ -11,6 +11,6 @@
 
 #[test]
 fn gaps_fall_into_buckets_of_a_doubling() {
-    let buckets = [0, 127, 128, 255, 256].map(|gap| FailureByGap::bucket(gap, 64));
+    let buckets = [0, 127, 128, 255, 256].map(|gap| FailureByIdleTime::bucket(gap, 64));
     assert_eq!(buckets, [0, 0, 1, 1, 2]);
 }
--- a/crates/policy/src/fleet/mod.rs
+++ b/crates/policy/src/fleet/mod.rs
@@ -40,9 +40,9 @@
     index_by_id: HashMap<ServerId, usize>,
     zones: BTreeMap<ZoneId, Zone>,
     /// Number of ready servers.
-    ready: usize,
+    ready_servers: usize,
     /// Number of servers with a breaker that is not closed.
-    ejected: usize,
+    ejected_servers: usize,
     /// Whether there are servers and all of them are draining.
     all_draining: bool,
     /// Whether a list has been received from discovery itself, and not only from the cache.
@@ -93,18 +93,18 @@
     }
 
     /// Number of ready servers.
-    pub fn ready(&self) -> usize {
-        self.ready
+    pub fn ready_servers(&self) -> usize {
+        self.ready_servers
     }
 
     /// Number of ready servers besides that at `index`.
-    pub fn ready_besides(&self, index: usize) -> usize {
-        self.ready - usize::from(self.servers[index].is_ready())
+    pub fn other_ready_servers(&self, index: usize) -> usize {
+        self.ready_servers - usize::from(self.servers[index].is_ready())
     }
 
     /// Number of servers with a breaker that is not closed.
-    pub fn ejected(&self) -> usize {
-        self.ejected
+    pub fn ejected_servers(&self) -> usize {
+        self.ejected_servers
     }
 
     /// Whether there are servers and all of them are draining.
@@ -118,12 +118,12 @@
     }
 
     /// Records that a list has been received from discovery itself.
-    pub fn record_discovery(&mut self) {
+    pub fn mark_received_from_discovery(&mut self) {
         self.received_from_discovery = true;
     }
 
     /// Takes a slot for an attempt at the server, unless there is none or it is unknown.
-    pub fn take_slot_of(&mut self, server: Option<ServerId>) {
+    pub fn take_slot_by_id(&mut self, server: Option<ServerId>) {
         if let Some(&index) = server.and_then(|id| self.index_by_id.get(&id)) {
             self.take_slot(index);
         }
@@ -147,9 +147,9 @@
 
     /// Updates the entry of the server at `index`, whose process is still the same.
     pub fn update_entry(&mut self, index: usize, entry: ServerEntry) {
-        let others_ready = self.ready_besides(index);
+        let others_ready = self.other_ready_servers(index);
         self.servers[index].update_entry(entry);
-        self.ready = others_ready + usize::from(self.servers[index].is_ready());
+        self.ready_servers = others_ready + usize::from(self.servers[index].is_ready());
     }
 
     /// Replaces the server at `index` by a new process without a history. Only its attempts in flight remain.
@@ -160,9 +160,9 @@
         effective_start: Option<Micros>,
         breakers: Breakers,
     ) {
-        let others_ready = self.ready_besides(index);
+        let others_ready = self.other_ready_servers(index);
         self.servers[index].replace_process(entry, effective_start, breakers);
-        self.ready = others_ready + usize::from(self.servers[index].is_ready());
+        self.ready_servers = others_ready + usize::from(self.servers[index].is_ready());
     }
 
     /// Marks the servers that a complete list does not contain as removed.
@@ -187,15 +187,15 @@
         for server in self.servers.iter().filter(|server| server.is_usable()) {
             self.zones.entry(server.entry().zone).or_default().count_usable_server();
         }
-        self.ready = self.servers.iter().filter(|server| server.is_ready()).count();
-        self.ejected = self.servers.iter().filter(|server| server.breakers.ejected()).count();
+        self.ready_servers = self.servers.iter().filter(|server| server.is_ready()).count();
+        self.ejected_servers = self.servers.iter().filter(|server| server.breakers.ejected()).count();
     }
 
     /// Counts the servers and slots of each zone again, drops zones without servers, and records whether all
     /// servers are draining.
     pub fn recount_zones(&mut self) {
         for zone in self.zones.values_mut() {
-            zone.reset_servers();
+            zone.reset_counts();
         }
         for server in &self.servers {
             self.zones.entry(server.entry().zone).or_default().count_server(server.in_flight());
--- a/crates/policy/src/fleet/server.rs
+++ b/crates/policy/src/fleet/server.rs
@@ -71,7 +71,7 @@
 
     /// Whether it counts as capacity of its zone.
     pub fn is_usable(&self) -> bool {
-        self.is_ready() && self.breakers.all_classes_closed()
+        self.is_ready() && self.breakers.common_closed()
     }
 
     /// Whether it is ready and not paused.
--- a/crates/policy/src/fleet/zone.rs
+++ b/crates/policy/src/fleet/zone.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub(crate) struct Zone {
     /// Number of its servers.
-    servers: u32,
+    server_count: u32,
     /// Indexes of the servers that this balancer prefers.
     preferred: Vec<usize>,
     /// Indexes of the other servers.
@@ -20,7 +20,7 @@
 impl Zone {
     /// Whether it has no servers.
     pub fn is_empty(&self) -> bool {
-        self.servers == 0
+        self.server_count == 0
     }
 
     /// Indexes of the servers that this balancer prefers.
@@ -34,20 +34,20 @@
     }
 
     /// Starts a new count of its servers and their attempts in flight.
-    pub fn reset_servers(&mut self) {
-        self.servers = 0;
+    pub fn reset_counts(&mut self) {
+        self.server_count = 0;
         self.limit.reset_slots();
     }
 
     /// Counts a server with its attempts in flight.
     pub fn count_server(&mut self, in_flight: u32) {
-        self.servers += 1;
+        self.server_count += 1;
         self.limit.add_slots(in_flight);
     }
 
     /// Counts a usable server.
     pub fn count_usable_server(&mut self) {
-        self.limit.add_usable_server(self.servers);
+        self.limit.add_usable_server(self.server_count);
     }
 
     /// Starts new lists of the indexes of its servers.
@@ -64,7 +64,7 @@
 
     /// Updates the fair share of this balancer in the concurrency limit.
     pub fn update_fair_share(&mut self, settings: &Settings, id: ZoneId) {
-        self.limit.update_fair_share(settings, id, self.servers);
+        self.limit.update_fair_share(settings, id, self.server_count);
     }
 }
 
--- a/crates/policy/src/histogram.rs
+++ b/crates/policy/src/histogram.rs
@@ -4,22 +4,22 @@
 use crate::learned::{LatencyHistogram, LearnedBucket};
 
 /// Resolution of a histogram, and the numbers of samples from which it answers.
-pub(crate) struct HistogramTuning {
+pub(crate) struct HistogramConfig {
     /// Lower edge of the first bucket.
-    pub lowest: f64,
+    pub lowest_edge: f64,
     /// Number of buckets in which values double. All buckets have the same ratio of upper to lower edge.
     pub buckets_per_doubling: f64,
     /// Number of buckets. Values above the last bucket are counted in it.
-    pub buckets: usize,
+    pub bucket_count: usize,
     /// A decay is put off while it would leave more than this share of the samples: a pass over all buckets
     /// would cost more than it is worth.
     pub max_remaining: f64,
     /// Number of samples that remain whatever their age.
-    pub retained_samples: f64,
+    pub min_retained_samples: f64,
     /// Number of samples from which the 99th percentile is known. With fewer it is infinite.
-    pub tail_samples: f64,
+    pub min_tail_samples: f64,
     /// Share of the values that may be cut off before the 99th percentile is widened.
-    pub cut_off_share: f64,
+    pub max_censored_share: f64,
     /// Factor on the 99th percentile for each value cut off beyond that share.
     pub tail_widening: f64,
     /// Upper bound of the factor on the 99th percentile.
@@ -32,12 +32,12 @@
     /// The value was measured to its end.
     Complete,
     /// A time limit ended the measurement: the true value is larger.
-    CutOff,
+    Censored,
 }
 
 /// Percentiles of recent values, from a histogram with buckets of equal ratio whose samples decay with time.
 pub(crate) struct DecayingHistogram {
-    tuning: &'static HistogramTuning,
+    config: &'static HistogramConfig,
     /// Decayed number of samples in each bucket.
     counts: Vec<f64>,
     /// Decayed number of samples in all buckets.
@@ -54,10 +54,10 @@
 
 impl DecayingHistogram {
     /// Creates an empty histogram.
-    pub fn new(tuning: &'static HistogramTuning) -> Self {
+    pub fn new(config: &'static HistogramConfig) -> Self {
         DecayingHistogram {
-            tuning,
-            counts: vec![0.0; tuning.buckets],
+            config,
+            counts: vec![0.0; config.bucket_count],
             total: 0.0,
             tail_factor: 1.0,
             median: 0.0,
@@ -94,9 +94,9 @@
     pub fn decay(&mut self, now: Micros, half_life: f64) {
         let elapsed = now - self.decayed_at.min(now);
         let by_age = 0.5_f64.powf(elapsed as f64 / half_life);
-        let retained = self.tuning.retained_samples;
+        let retained = self.config.min_retained_samples;
         let remaining = by_age.max(retained / self.total.max(retained));
-        if remaining < self.tuning.max_remaining {
+        if remaining < self.config.max_remaining {
             self.counts.iter_mut().for_each(|count| *count *= remaining);
             self.total *= remaining;
             self.decayed_at = now;
@@ -107,15 +107,15 @@
     ///
     /// A value that was cut off is counted as it is, although the true value is larger. The time limit that
     /// cuts values off is set from the 99th percentile, so the percentile would shrink with each of them. It
-    /// is widened instead while more than [`HistogramTuning::cut_off_share`] of the values are cut off.
+    /// is widened instead while more than [`HistogramConfig::max_censored_share`] of the values are cut off.
     pub fn record(&mut self, value: f64, sample: Sample) {
-        let lowest = self.tuning.lowest;
-        let bucket = (self.tuning.buckets_per_doubling * (value.max(lowest) / lowest).log2()) as usize;
-        self.counts[bucket.min(self.tuning.buckets - 1)] += 1.0;
+        let lowest = self.config.lowest_edge;
+        let bucket = (self.config.buckets_per_doubling * (value.max(lowest) / lowest).log2()) as usize;
+        self.counts[bucket.min(self.config.bucket_count - 1)] += 1.0;
         self.total += 1.0;
-        let step = if sample == Sample::CutOff { 1.0 } else { -self.tuning.cut_off_share };
-        let widened = self.tail_factor * self.tuning.tail_widening.powf(step);
-        self.tail_factor = widened.clamp(1.0, self.tuning.max_tail_factor);
+        let step = if sample == Sample::Censored { 1.0 } else { -self.config.max_censored_share };
+        let widened = self.tail_factor * self.config.tail_widening.powf(step);
+        self.tail_factor = widened.clamp(1.0, self.config.max_tail_factor);
         self.update_percentiles();
     }
 
@@ -131,10 +131,10 @@
     /// Adds the samples of a histogram of the same tuning that was exported at `saved_at`.
     pub fn import(&mut self, saved_at: Micros, saved: &LatencyHistogram) {
         for bucket in saved.counts.iter().filter(|bucket| bucket.count > 0.0) {
-            self.counts[bucket.index.min(self.tuning.buckets - 1)] += bucket.count;
+            self.counts[bucket.index.min(self.config.bucket_count - 1)] += bucket.count;
             self.total += bucket.count;
         }
-        self.tail_factor = saved.tail_factor.clamp(1.0, self.tuning.max_tail_factor);
+        self.tail_factor = saved.tail_factor.clamp(1.0, self.config.max_tail_factor);
         self.decayed_at = saved_at;
         self.update_percentiles();
     }
@@ -142,7 +142,7 @@
     fn update_percentiles(&mut self) {
         self.median = self.quantile(0.5);
         self.p90 = self.quantile(0.9);
-        let tail_known = self.total >= self.tuning.tail_samples;
+        let tail_known = self.total >= self.config.min_tail_samples;
         self.p99 = if tail_known { self.quantile(0.99) * self.tail_factor } else { f64::INFINITY };
     }
 
@@ -153,8 +153,8 @@
             remaining -= count;
             remaining <= 0.0
         });
-        let middle = bucket.unwrap_or(self.tuning.buckets - 1) as f64 + 0.5;
-        self.tuning.lowest * (middle / self.tuning.buckets_per_doubling).exp2()
+        let middle = bucket.unwrap_or(self.config.bucket_count - 1) as f64 + 0.5;
+        self.config.lowest_edge * (middle / self.config.buckets_per_doubling).exp2()
     }
 }
 
--- a/crates/policy/src/histogram/tests.rs
+++ b/crates/policy/src/histogram/tests.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-const TUNING: HistogramTuning = HistogramTuning {
-    lowest: 1.0,
+const CONFIG: HistogramConfig = HistogramConfig {
+    lowest_edge: 1.0,
     buckets_per_doubling: 8.0,
-    buckets: 80,
+    bucket_count: 80,
     max_remaining: 0.95,
-    retained_samples: 10.0,
-    tail_samples: 50.0,
-    cut_off_share: 0.01,
+    min_retained_samples: 10.0,
+    min_tail_samples: 50.0,
+    max_censored_share: 0.01,
     tail_widening: 1.5,
     max_tail_factor: 4.0,
 };
 
 fn histogram(values: impl IntoIterator<Item = u32>) -> DecayingHistogram {
-    let mut histogram = DecayingHistogram::new(&TUNING);
+    let mut histogram = DecayingHistogram::new(&CONFIG);
     for value in values {
         histogram.record(f64::from(value), Sample::Complete);
     }
     histogram
 }
 
-fn within_a_tenth(actual: f64, expected: f64) -> bool {
+fn within_ten_percent(actual: f64, expected: f64) -> bool {
     (actual / expected - 1.0).abs() < 0.1
 }
 
 #[test]
 fn percentiles_are_right_to_within_a_tenth() {
     let histogram = histogram(1..=100);
-    assert!(within_a_tenth(histogram.median, 50.0), "{}", histogram.median);
-    assert!(within_a_tenth(histogram.p90, 90.0), "{}", histogram.p90);
-    assert!(within_a_tenth(histogram.p99, 99.0), "{}", histogram.p99);
+    assert!(within_ten_percent(histogram.median, 50.0), "{}", histogram.median);
+    assert!(within_ten_percent(histogram.p90, 90.0), "{}", histogram.p90);
+    assert!(within_ten_percent(histogram.p99, 99.0), "{}", histogram.p99);
 }
 
 #[test]
@@ -42,10 +42,10 @@
 fn values_cut_off_widen_the_99th_percentile_up_to_a_bound() {
     let mut histogram = histogram(std::iter::repeat_n(10, 100));
     let before = histogram.p99;
-    histogram.record(10.0, Sample::CutOff);
-    assert!(within_a_tenth(histogram.p99, 1.5 * before), "{}", histogram.p99);
+    histogram.record(10.0, Sample::Censored);
+    assert!(within_ten_percent(histogram.p99, 1.5 * before), "{}", histogram.p99);
     for _ in 0..100 {
-        histogram.record(10.0, Sample::CutOff);
+        histogram.record(10.0, Sample::Censored);
     }
     assert_eq!(histogram.tail_factor, 4.0);
 }
@@ -62,7 +62,7 @@
 #[test]
 fn a_restored_histogram_has_the_percentiles_of_the_saved_one() {
     let saved = histogram(1..=100);
-    let mut restored = DecayingHistogram::new(&TUNING);
+    let mut restored = DecayingHistogram::new(&CONFIG);
     restored.import(0, &saved.export());
     assert_eq!((restored.median, restored.p90, restored.p99), (saved.median, saved.p90, saved.p99));
 }
--- a/crates/policy/src/idle_connections.rs
+++ b/crates/policy/src/idle_connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections: after how long an idle time calls on them fail, and when to close them before use.
 
 use crate::event::{Micros, Outcome};
-use crate::failure_by_gap::FailureByGap;
+use crate::failure_by_idle_time::FailureByIdleTime;
 use crate::request::AttemptEnd;
 use crate::settings::Idempotency;
 
@@ -21,20 +21,20 @@
 /// Shares of the calls that failed on idle connections, by their idle time.
 pub(crate) struct IdleConnections {
     /// Calls that broke immediately or timed out.
-    failed: FailureByGap,
+    failed: FailureByIdleTime,
     /// Calls that broke immediately.
-    broken: FailureByGap,
+    broken: FailureByIdleTime,
 }
 
 impl IdleConnections {
     /// Creates shares without failures.
     pub fn new() -> Self {
-        IdleConnections { failed: FailureByGap::new(), broken: FailureByGap::new() }
+        IdleConnections { failed: FailureByIdleTime::new(), broken: FailureByIdleTime::new() }
     }
 
     /// Returns the bucket of an idle time. Bucket 0 also stands for a new connection.
     pub fn bucket(idle_time: Micros) -> usize {
-        FailureByGap::bucket(idle_time, SHORTEST_GAP)
+        FailureByIdleTime::bucket(idle_time, SHORTEST_GAP)
     }
 
     /// Returns whether the idle connections to a server must be closed before a call, because connections
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -2,7 +2,7 @@
 
 use crate::concurrency_limit::QueueSignal;
 use crate::event::{ClassId, Micros, Outcome};
-use crate::histogram::{DecayingHistogram, HistogramTuning, Sample};
+use crate::histogram::{DecayingHistogram, HistogramConfig, Sample};
 use crate::learned::LearnedState;
 use crate::request::{AttemptEnd, Request};
 use crate::settings::Settings;
@@ -14,14 +14,14 @@
 const RETAINED_SAMPLES: f64 = 20.0;
 /// The buckets reach from 64 microseconds, far below any call over a network, to more than any deadline, with
 /// a resolution of a tenth. A 99th percentile takes at least a hundred samples.
-const LATENCY_HISTOGRAM: HistogramTuning = HistogramTuning {
-    lowest: 64.0,
+const LATENCY_HISTOGRAM: HistogramConfig = HistogramConfig {
+    lowest_edge: 64.0,
     buckets_per_doubling: 8.0,
-    buckets: 176,
+    bucket_count: 176,
     max_remaining: 0.95,
-    retained_samples: RETAINED_SAMPLES,
-    tail_samples: 100.0,
-    cut_off_share: 0.01,
+    min_retained_samples: RETAINED_SAMPLES,
+    min_tail_samples: 100.0,
+    max_censored_share: 0.01,
     tail_widening: 1.15,
     max_tail_factor: 8.0,
 };
@@ -130,7 +130,7 @@
         let latency = end.latency as f64;
         let work_scale = request.work_scale();
         if matches!(end.outcome, Outcome::Ok | Outcome::TimedOut) {
-            let sample = if end.outcome == Outcome::Ok { Sample::Complete } else { Sample::CutOff };
+            let sample = if end.outcome == Outcome::Ok { Sample::Complete } else { Sample::Censored };
             class.histogram.record(latency / work_scale, sample);
             self.all.record(latency / work_scale, sample);
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -68,7 +68,7 @@
 mod decaying_rate;
 mod endpoints;
 mod event;
-mod failure_by_gap;
+mod failure_by_idle_time;
 mod fleet;
 mod histogram;
 mod idle_connections;
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -6,7 +6,7 @@
 use crate::event::{ClassId, Micros, Outcome};
 use crate::jitter::jitter;
 use crate::learned::LearnedState;
-use crate::request::{AttemptEnd, TimeoutBlame};
+use crate::request::{AttemptEnd, TimeoutAttribution};
 
 /// A breaker opens when its consecutive failures would occur by chance with less than this probability.
 const CHANCE_PROBABILITY: f64 = 0.01;
@@ -30,7 +30,7 @@
 
 /// Returns whether the end of an attempt counts as a failure of its server.
 pub(crate) fn is_failure(end: &AttemptEnd) -> bool {
-    let timed_out = end.outcome == Outcome::TimedOut && end.timeout_blame == TimeoutBlame::Server;
+    let timed_out = end.outcome == Outcome::TimedOut && end.timeout_attribution == TimeoutAttribution::Server;
     timed_out || matches!(end.outcome, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed)
 }
 
@@ -68,7 +68,7 @@
     /// Records an attempt that succeeded, and closes the breakers that it passed.
     pub fn record_success(&mut self, breakers: &mut Breakers, class: Option<ClassId>) {
         self.failure_share += FAILURE_SHARE_WEIGHT * (0.0 - self.failure_share);
-        for breaker in breakers.common_and_own(class) {
+        for breaker in breakers.common_and_class(class) {
             breaker.record_success();
         }
     }
@@ -85,7 +85,7 @@
         self.failure_share += FAILURE_SHARE_WEIGHT * (1.0 - self.failure_share);
         let max_failures = self.failures_beyond_chance();
         let may_eject = may_eject || breakers.ejected();
-        for breaker in breakers.common_and_own(class) {
+        for breaker in breakers.common_and_class(class) {
             let failures = f64::from(breaker.record_failure());
             let failed_too_often = failures >= max_failures && may_eject;
             if breaker.is_half_open() || failed_too_often {
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -6,7 +6,7 @@
 pub(crate) struct Request {
     class: ClassId,
     /// Time at which its clock started: its arrival, or the end of its body.
-    arrived_at: Micros,
+    started_at: Micros,
     /// Time after which a response earns nothing.
     useful_until: Micros,
     /// Time until which its client waits.
@@ -18,7 +18,7 @@
     /// Expected latency relative to a request with the mean work of its class; 1 without a hint.
     work_scale: f64,
     /// Earliest attempt that may have run.
-    first_run: Option<AttemptOrigin>,
+    first_run: Option<AttemptPlacement>,
     /// Attempt in flight.
     attempt: Option<AttemptInFlight>,
     /// Server of the latest attempt.
@@ -48,7 +48,7 @@
     pub fn new(new: &NewRequest, now: Micros, useful_time: Micros, work_scale: f64) -> Self {
         Request {
             class: new.class,
-            arrived_at: now,
+            started_at: now,
             useful_until: now + useful_time.min(new.time_left),
             deadline: now + new.time_left,
             attempts: 0,
@@ -68,8 +68,8 @@
     }
 
     /// Time at which its clock started: its arrival, or the end of its body.
-    pub fn arrived_at(&self) -> Micros {
-        self.arrived_at
+    pub fn started_at(&self) -> Micros {
+        self.started_at
     }
 
     /// Time after which a response earns nothing.
@@ -98,13 +98,13 @@
     }
 
     /// Earliest attempt that may have run, `None` if none has.
-    pub fn first_run(&self) -> Option<AttemptOrigin> {
+    pub fn first_run(&self) -> Option<AttemptPlacement> {
         self.first_run
     }
 
     /// Time and place of the attempt in flight, `None` without one.
-    pub fn attempt_origin(&self) -> Option<AttemptOrigin> {
-        self.attempt.as_ref().map(|attempt| attempt.origin)
+    pub fn attempt_placement(&self) -> Option<AttemptPlacement> {
+        self.attempt.as_ref().map(|attempt| attempt.placement)
     }
 
     /// Server of the latest attempt, `None` before the first one.
@@ -113,7 +113,7 @@
     }
 
     /// Server of the attempt in flight, `None` without one.
-    pub fn server_in_use(&self) -> Option<ServerId> {
+    pub fn current_server(&self) -> Option<ServerId> {
         self.last_server.filter(|_| self.attempt.is_some())
     }
 
@@ -128,8 +128,8 @@
     }
 
     /// Returns the time that counts for this request: `now`, or its arrival while its clock has not started.
-    pub fn clock(&self, now: Micros) -> Micros {
-        if self.body_pending { self.arrived_at } else { now }
+    pub fn effective_now(&self, now: Micros) -> Micros {
+        if self.body_pending { self.started_at } else { now }
     }
 
     /// Records the start of an attempt.
@@ -137,26 +137,26 @@
         &mut self,
         now: Micros,
         server: &ServerEntry,
-        timeout_blame: TimeoutBlame,
+        timeout_attribution: TimeoutAttribution,
         idle_bucket: usize,
     ) {
-        let origin = AttemptOrigin { sent_at: now, zone: server.zone, cell: server.cell };
+        let placement = AttemptPlacement { sent_at: now, zone: server.zone, cell: server.cell };
         self.attempts += 1;
         self.last_server = Some(server.id);
-        self.attempt = Some(AttemptInFlight { origin, timeout_blame, idle_bucket });
+        self.attempt = Some(AttemptInFlight { placement, timeout_attribution, idle_bucket });
     }
 
     /// Records the end of the attempt in flight and returns that attempt, `None` without one.
     pub fn end_attempt(&mut self, outcome: Outcome) -> Option<AttemptInFlight> {
         let attempt = self.attempt.take()?;
         if !outcome.never_ran() {
-            self.first_run.get_or_insert(attempt.origin);
+            self.first_run.get_or_insert(attempt.placement);
         }
         Some(attempt)
     }
 
     /// Records that its one retry of an attempt that may have run is used.
-    pub fn use_retry(&mut self) {
+    pub fn mark_retried(&mut self) {
         self.retried = true;
     }
 
@@ -167,13 +167,13 @@
 
     /// Starts its clock: its body has arrived completely.
     pub fn complete_body(&mut self, now: Micros) {
-        let upload_time = now - self.arrived_at;
-        self.arrived_at = now;
+        let upload_time = now - self.started_at;
+        self.started_at = now;
         self.body_pending = false;
         self.useful_until += upload_time;
         self.deadline += upload_time;
         if let Some(attempt) = &mut self.attempt {
-            attempt.origin.sent_at = now;
+            attempt.placement.sent_at = now;
         }
     }
 }
@@ -189,7 +189,7 @@
 
 /// When and where an attempt was sent.
 #[derive(Clone, Copy)]
-pub(crate) struct AttemptOrigin {
+pub(crate) struct AttemptPlacement {
     /// Time at which it was sent, or at which the body of its request was complete if that was later.
     pub sent_at: Micros,
     /// Zone of its server.
@@ -200,12 +200,12 @@
 
 /// Attribution of a time-out.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum TimeoutBlame {
+pub(crate) enum TimeoutAttribution {
     /// The time-out counts against the server, which took longer than usual.
     Server,
     /// The time-out counts against nobody: the remaining time of the request, or the short limit of a retry,
     /// ended the attempt.
-    Nobody,
+    None,
 }
 
 /// The time limit of an attempt.
@@ -213,15 +213,15 @@
     /// Maximum duration in microseconds.
     pub duration: Micros,
     /// Attribution of a time-out at this limit.
-    pub timeout_blame: TimeoutBlame,
+    pub timeout_attribution: TimeoutAttribution,
 }
 
 /// An attempt without an outcome.
 pub(crate) struct AttemptInFlight {
     /// When and where it was sent.
-    pub origin: AttemptOrigin,
+    pub placement: AttemptPlacement,
     /// Attribution of its time-out.
-    pub timeout_blame: TimeoutBlame,
+    pub timeout_attribution: TimeoutAttribution,
     /// Bucket of the time for which its connection had been idle, see [`crate::idle_connections`].
     pub idle_bucket: usize,
 }
@@ -232,7 +232,7 @@
     Finished,
     /// Only a final answer may follow: the body of the request was forwarded and not retained, so the request
     /// cannot be sent again.
-    AnswerOnly,
+    FinalAnswerOnly,
     /// A retry or a final answer may follow.
     Any,
 }
@@ -243,7 +243,7 @@
     pub fn new(finished: bool, body_consumed: bool) -> Self {
         match (finished, body_consumed) {
             (true, _) => Continuation::Finished,
-            (false, true) => Continuation::AnswerOnly,
+            (false, true) => Continuation::FinalAnswerOnly,
             (false, false) => Continuation::Any,
         }
     }
@@ -260,12 +260,12 @@
     /// Steps that may follow for its request.
     pub continuation: Continuation,
     /// Attribution of a time-out: nobody, unless the limit of the attempt says otherwise.
-    pub timeout_blame: TimeoutBlame,
+    pub timeout_attribution: TimeoutAttribution,
 }
 
 impl AttemptEnd {
     /// Creates the end of an attempt whose time-out counts against nobody.
     pub fn new(server: ServerId, outcome: Outcome, latency: Micros, continuation: Continuation) -> Self {
-        AttemptEnd { server, outcome, latency, continuation, timeout_blame: TimeoutBlame::Nobody }
+        AttemptEnd { server, outcome, latency, continuation, timeout_attribution: TimeoutAttribution::None }
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -45,7 +45,7 @@
         let allowed = !request.retried() && repeatable && self.balance >= 1.0;
         if allowed {
             self.balance -= 1.0;
-            request.use_retry();
+            request.mark_retried();
         }
         allowed
     }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,6 +1,6 @@
 //! Selection: which server an attempt goes to.
 
-use crate::circuit_breaker::Admission;
+use crate::circuit_breaker::BreakerPermission;
 use crate::context::Context;
 use crate::event::ZoneId;
 use crate::fleet::{Fleet, Zone};
@@ -22,7 +22,7 @@
 /// Returns whether the request may leave its zone: it has waited long enough in proportion to the price of an
 /// attempt across zones. `median` is the median latency.
 pub(crate) fn may_cross_zones(context: &Context, request: &Request, median: Option<f64>) -> bool {
-    let waited = (context.now() - request.arrived_at()) as f64;
+    let waited = (context.now() - request.started_at()) as f64;
     waited >= context.settings.prices.cross_zone * median.unwrap_or(1.0)
 }
 
@@ -127,8 +127,8 @@
         if !ready || !retry::in_dedup_scope(&self.context.settings, self.request, entry) {
             return None;
         }
-        let admission = server.breakers.admission(self.request.class(), self.context.now());
-        if admission == Admission::Blocked {
+        let permission = server.breakers.permission(self.request.class(), self.context.now());
+        if permission == BreakerPermission::Denied {
             return None;
         }
         let size = entry.weight * slow_start::capacity_share(self.context, entry);
@@ -137,7 +137,7 @@
         // The random part spreads attempts over servers with equally many in flight.
         let spread = self.context.rng.f64() + if server.is_preferred() { 0.0 } else { NOT_PREFERRED };
         let load = (f64::from(server.in_flight()) + spread) * same_server_factor / size;
-        let score = if admission == Admission::Trial { TRIAL_SCORE } else { load };
+        let score = if permission == BreakerPermission::Trial { TRIAL_SCORE } else { load };
         Some(Candidate { remote: entry.zone != self.context.settings.zone, score, index })
     }
 }
--- a/crates/policy/src/time_limits.rs
+++ b/crates/policy/src/time_limits.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::event::{ClassId, Micros};
 use crate::latency::Latencies;
-use crate::request::{AttemptLimit, Request, TimeoutBlame};
+use crate::request::{AttemptLimit, Request, TimeoutAttribution};
 use crate::retry;
 use crate::settings::{Class, Idempotency, Settings};
 
@@ -34,7 +34,7 @@
     request: &Request,
     expiry_interval: Micros,
 ) -> bool {
-    let now = request.clock(context.now());
+    let now = request.effective_now(context.now());
     let time_left = request.useful_until().saturating_sub(now) as f64;
     let objective = tier_objective(&context.settings, request.class());
     let known = latencies.known(request.class());
@@ -51,7 +51,7 @@
     let mut limit = learned_limit(latencies, context, request);
     let median = latencies.known_median(request.class()).unwrap_or(f64::INFINITY);
     if limit.duration as f64 > median * request.work_scale() * SILENCE_LIMIT {
-        limit.timeout_blame = TimeoutBlame::Server;
+        limit.timeout_attribution = TimeoutAttribution::Server;
     }
     limit
 }
@@ -63,17 +63,17 @@
 /// for a retry: half of all attempts take longer than the median. Callers with little time would otherwise
 /// open breakers.
 fn learned_limit(latencies: &Latencies, context: &Context, request: &Request) -> AttemptLimit {
-    let time_left = (request.useful_until() - request.clock(context.now())) as f64;
+    let time_left = (request.useful_until() - request.effective_now(context.now())) as f64;
     // Only the class's own histogram counts. While a class of long requests is rare, the histogram of all
     // classes would cut its attempts short.
     let Some(histogram) = latencies.known_in_class(request.class()) else {
-        return AttemptLimit { duration: time_left as Micros, timeout_blame: TimeoutBlame::Nobody };
+        return AttemptLimit { duration: time_left as Micros, timeout_attribution: TimeoutAttribution::None };
     };
     let median = histogram.median() * request.work_scale();
     let tail = histogram.p99() * request.work_scale();
     if request.retried() {
         let limit = shorter_limit(median, time_left, time_left);
-        return AttemptLimit { timeout_blame: TimeoutBlame::Nobody, ..limit };
+        return AttemptLimit { timeout_attribution: TimeoutAttribution::None, ..limit };
     }
     if context.settings.classes[request.class()].idempotency == Idempotency::NotIdempotent {
         return shorter_limit(tail * LAST_ATTEMPT_FACTOR, time_left, time_left);
@@ -89,7 +89,11 @@
 fn shorter_limit(learned: f64, available: f64, time_left: f64) -> AttemptLimit {
     AttemptLimit {
         duration: learned.min(available).min(time_left).max(1.0) as Micros,
-        timeout_blame: if learned < available { TimeoutBlame::Server } else { TimeoutBlame::Nobody },
+        timeout_attribution: if learned < available {
+            TimeoutAttribution::Server
+        } else {
+            TimeoutAttribution::None
+        },
     }
 }
 
--- a/crates/policy/tests/module_size.rs
+++ b/crates/policy/tests/module_size.rs
@@ -20,7 +20,7 @@
     "context.rs",
     "decaying_rate.rs",
     "event.rs",
-    "failure_by_gap.rs",
+    "failure_by_idle_time.rs",
     "fleet/mod.rs",
     "fleet/server.rs",
     "fleet/zone.rs",
