--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Exports each breaker. A breaker with a trial in flight is exported as due for the next one.
+    /// Exports each breaker. A breaker with a trial in flight is exported as ready for the next one.
     pub fn export(&self, now: Micros) -> Vec<LearnedBreaker> {
         self.0.iter().map(|breaker| breaker.export(now)).collect()
     }
--- a/crates/policy/src/circuit_breaker/tests.rs
+++ b/crates/policy/src/circuit_breaker/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn open(until: Micros) -> Breaker {
+fn open_breaker(until: Micros) -> Breaker {
     Breaker { state: BreakerState::Open { until }, failures: 2 }
 }
 
 #[test]
-fn an_open_breaker_lets_one_trial_through_once_its_time_is_over() {
+fn an_open_breaker_allows_one_trial_after_its_open_time() {
     let mut breakers = Breakers::new(2);
-    breakers.0[0] = open(100);
+    breakers.0[0] = open_breaker(100);
     assert_eq!(breakers.permission(0, 99), BreakerPermission::Denied);
     assert_eq!(breakers.permission(0, 100), BreakerPermission::Trial);
     breakers.start_attempt(0);
@@ -17,16 +17,16 @@
 }
 
 #[test]
-fn the_breaker_of_a_class_blocks_that_class_alone() {
+fn a_class_breaker_blocks_only_its_class() {
     let mut breakers = Breakers::new(2);
-    breakers.0[2] = open(100);
+    breakers.0[2] = open_breaker(100);
     assert_eq!(breakers.permission(0, 0), BreakerPermission::Granted);
     assert_eq!(breakers.permission(1, 0), BreakerPermission::Denied);
     assert!(breakers.ejected() && breakers.common_closed());
 }
 
 #[test]
-fn an_unknown_class_has_the_common_breaker_alone() {
+fn an_unknown_class_has_only_the_common_breaker() {
     let mut breakers = Breakers::new(3);
     breakers.common_and_class(None).for_each(|breaker| breaker.failures = 1);
     breakers.common_and_class(Some(1)).for_each(|breaker| breaker.failures += 1);
--- a/crates/policy/src/decaying_rate.rs
+++ b/crates/policy/src/decaying_rate.rs
@@ -8,7 +8,7 @@
     recent_count: f64,
     /// Time from which events are counted.
     started_at: Micros,
-    /// Time after which half of the count remains, in microseconds.
+    /// Half-life of the count, in microseconds.
     half_life: f64,
 }
 
@@ -33,7 +33,7 @@
         self.recent_count *= remaining;
     }
 
-    /// Time after which half of the count remains, in microseconds.
+    /// Half-life of the count, in microseconds.
     pub fn half_life(&self) -> f64 {
         self.half_life
     }
@@ -56,12 +56,12 @@
 
     /// Mean interval between two events, in microseconds.
     ///
-    /// Shortly after the start no event has decayed yet, and the interval allows for that. With fewer than
-    /// `min_events` it is the interval of a rate that has run for long.
+    /// Shortly after the start the count is below that of a steady rate, and the interval is corrected for
+    /// that. With fewer than `min_events` it is not corrected.
     pub fn mean_interval(&self, now: Micros, min_events: f64) -> f64 {
-        let undecayed = 0.5_f64.powf((now - self.started_at) as f64 / self.half_life);
-        let decayed = if self.recent_count < min_events { 1.0 } else { 1.0 - undecayed };
-        self.half_life * std::f64::consts::LOG2_E * decayed / self.recent_count.max(1.0)
+        let remaining = 0.5_f64.powf((now - self.started_at) as f64 / self.half_life);
+        let steady_share = if self.recent_count < min_events { 1.0 } else { 1.0 - remaining };
+        self.half_life * std::f64::consts::LOG2_E * steady_share / self.recent_count.max(1.0)
     }
 }
 
--- a/crates/policy/src/decaying_rate/tests.rs
+++ b/crates/policy/src/decaying_rate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_steady_rate_gives_its_interval_once_it_ran_for_long() {
+fn a_steady_rate_yields_its_interval_after_many_half_lives() {
     let half_life = 1_000_000.0;
     let interval: Micros = 10_000;
     let mut rate = DecayingRate { recent_count: 0.0, started_at: 0, half_life };
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_rate_that_started_a_moment_ago_allows_for_its_short_time() {
+fn the_interval_is_corrected_shortly_after_the_start() {
     let rate = DecayingRate { recent_count: 10.0, started_at: 0, half_life: 1_000_000.0 };
     let measured = rate.mean_interval(100_000, 6.0);
     assert!((measured / 10_000.0 - 1.0).abs() < 0.05, "{measured}");
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,12 +1,12 @@
 //! Events that a balancer handles, actions that it returns, and the ids in them.
 //!
-//! The caller assigns all ids. Times are microseconds of any clock that never goes back.
+//! The caller assigns all ids. Times are microseconds of any monotonic clock.
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
 /// Id of a server. It stays the same when the process of the server restarts.
 pub type ServerId = u32;
-/// Id of a request. A [`Balancer`](crate::Balancer) never gets the same id twice.
+/// Id of a request. The caller never reuses an id for the same [`Balancer`](crate::Balancer).
 pub type RequestId = u64;
 /// Index of a class in [`Settings::classes`](crate::Settings::classes).
 pub type ClassId = usize;
@@ -23,7 +23,7 @@
     /// The server accepts requests.
     #[default]
     Ready,
-    /// The server finishes the requests that it has and must receive no others.
+    /// The server finishes its open requests and must receive no new ones.
     Draining,
     /// The server no longer exists.
     Removed,
@@ -38,7 +38,7 @@
     pub zone: ZoneId,
     /// Kind of machine that the server runs on.
     pub machine_kind: MachineKindId,
-    /// Cell of the server: a group of servers that drop each other's repeats.
+    /// Cell of the server: a group of servers that recognize and drop repeats of each other's requests.
     pub cell: u32,
     /// Hash of the address of the server, the same at every balancer. It decides which servers a balancer
     /// prefers.
@@ -47,12 +47,12 @@
     pub state: ServerState,
     /// Size of the server relative to others. A weight that is not above 0 counts as 1.
     pub weight: f64,
-    /// Time at which its process last started, `None` for long ago.
+    /// Start time of the server's current process, `None` if it started long ago.
     pub started: Option<Micros>,
 }
 
 impl ServerEntry {
-    /// Creates the entry of a ready server of zone, kind and cell 0 that started long ago.
+    /// Creates the entry of a ready server of zone, machine kind and cell 0 that started long ago.
     pub fn new(id: ServerId) -> ServerEntry {
         ServerEntry { id, ring_position: u64::from(id), weight: 1.0, ..ServerEntry::default() }
     }
@@ -123,7 +123,7 @@
 /// * [`EndpointList`](Event::EndpointList), [`Timer`](Event::Timer) and
 ///   [`HealthChecked`](Event::HealthChecked) may come at any time.
 /// * [`Request`](Event::Request) opens a request. If its body is pending, one
-///   [`BodyComplete`](Event::BodyComplete) follows, unless the request ends before.
+///   [`BodyComplete`](Event::BodyComplete) follows, unless the request ends first.
 /// * One [`Outcome`](Event::Outcome) follows each [`Action::Send`], also after the request has ended. For a
 ///   streamed response, [`FirstByte`](Event::FirstByte) comes before it.
 /// * A request ends with an outcome that is `finished`, with [`FirstByte`](Event::FirstByte), with
@@ -138,7 +138,8 @@
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A request arrived. The balancer owes one final answer.
+    /// A request arrived. It must get exactly one final answer: the response of a server,
+    /// [`Action::Reject`] or [`Action::Fail`].
     Request {
         /// Id of the request.
         id: RequestId,
@@ -152,8 +153,8 @@
         work: Option<Micros>,
         /// The client marks the request as a retry.
         marked_retry: bool,
-        /// The body has not arrived completely, and is forwarded as it arrives. The time of the request
-        /// starts with [`Event::BodyComplete`]; a server has no work from it before.
+        /// The body has not arrived completely, and is forwarded as it arrives. The time limits of the
+        /// request start with [`Event::BodyComplete`]; its server does no work for it before then.
         body_pending: bool,
     },
     /// The last byte of a pending body arrived.
@@ -161,7 +162,8 @@
         /// The request.
         request: RequestId,
     },
-    /// A streamed response has begun. From now on no limit and no retry applies to the attempt.
+    /// The first byte of a streamed response arrived. From then on the attempt has no time limit and is not
+    /// retried.
     FirstByte {
         /// The request.
         request: RequestId,
@@ -180,14 +182,14 @@
         outcome: Outcome,
         /// Time from the start of the attempt to its end.
         latency: Micros,
-        /// The request is finished. No final answer is owed any more.
+        /// The request has its final answer. The balancer must not send another.
         finished: bool,
         /// The body was forwarded and not retained, so the request cannot be sent again.
         body_consumed: bool,
         /// Load report of the server, `None` if it sent none.
         load: Option<LoadReport>,
     },
-    /// The client disconnected. No final answer is owed any more.
+    /// The client disconnected. The request no longer needs a final answer.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -210,7 +212,7 @@
     },
 }
 
-/// An action that the caller carries out. Actions must be carried out in their order.
+/// An action that the caller carries out. Actions must be carried out in the order returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
--- a/crates/policy/src/fleet/mod.rs
+++ b/crates/policy/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The known servers and their zones: tables with an index, and counts that follow from them. Makes no
+//! The known servers and their zones, with an index by id and counts derived from them. This module makes no
 //! decisions.
 
 mod server;
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub(crate) struct Fleet {
     servers: Vec<Server>,
-    /// Index of each server. Without it, each event about a server would search the whole list.
+    /// Index of each server in `servers`. Without it, each event about a server would search the whole list.
     index_by_id: HashMap<ServerId, usize>,
     zones: BTreeMap<ZoneId, Zone>,
     /// Number of ready servers.
@@ -97,7 +97,7 @@
         self.ready_servers
     }
 
-    /// Number of ready servers besides that at `index`.
+    /// Number of ready servers other than the one at `index`.
     pub fn other_ready_servers(&self, index: usize) -> usize {
         self.ready_servers - usize::from(self.servers[index].is_ready())
     }
@@ -122,7 +122,7 @@
         self.received_from_discovery = true;
     }
 
-    /// Takes a slot for an attempt at the server, unless there is none or it is unknown.
+    /// Takes a slot for an attempt at the server. Does nothing if the server is `None` or unknown.
     pub fn take_slot_by_id(&mut self, server: Option<ServerId>) {
         if let Some(&index) = server.and_then(|id| self.index_by_id.get(&id)) {
             self.take_slot(index);
@@ -145,14 +145,15 @@
         index
     }
 
-    /// Updates the entry of the server at `index`, whose process is still the same.
+    /// Updates the entry of the server at `index`, whose process has not changed.
     pub fn update_entry(&mut self, index: usize, entry: ServerEntry) {
         let others_ready = self.other_ready_servers(index);
         self.servers[index].update_entry(entry);
         self.ready_servers = others_ready + usize::from(self.servers[index].is_ready());
     }
 
-    /// Replaces the server at `index` by a new process without a history. Only its attempts in flight remain.
+    /// Replaces the process of the server at `index` by a new one about which nothing is learned yet. Only the
+    /// number of attempts in flight is kept.
     pub fn replace_process(
         &mut self,
         index: usize,
@@ -178,7 +179,7 @@
         self.servers.retain(|server| !server.is_removed());
     }
 
-    /// Counts the ready, ejected and usable servers again, after a list or a breaker has changed.
+    /// Recounts the ready, ejected and usable servers after a list or a breaker has changed.
     pub fn recount_servers(&mut self, context: &mut Context) {
         context.count_examined(self.servers.len());
         for zone in self.zones.values_mut() {
@@ -191,7 +192,7 @@
         self.ejected_servers = self.servers.iter().filter(|server| server.breakers.ejected()).count();
     }
 
-    /// Counts the servers and slots of each zone again, drops zones without servers, and records whether all
+    /// Recounts the servers and slots of each zone, drops zones without servers, and records whether all
     /// servers are draining.
     pub fn recount_zones(&mut self) {
         for zone in self.zones.values_mut() {
--- a/crates/policy/src/fleet/server.rs
+++ b/crates/policy/src/fleet/server.rs
@@ -4,13 +4,13 @@
 use crate::event::{Micros, ServerEntry, ServerState};
 use crate::learned::LearnedServer;
 
-/// A server, and what this balancer's own attempts tell about it.
+/// A server, and what this balancer learned about it from its own attempts.
 #[derive(Default)]
 pub(crate) struct Server {
     /// Its entry of the endpoint list. `started` is the effective start, see
     /// [`crate::slow_start::effective_start`].
     entry: ServerEntry,
-    /// Start of its process as listed. It tells one process from the next.
+    /// Start time of its process as listed. A new process has another start time.
     listed_start: Option<Micros>,
     /// Attempts of this balancer in flight to it.
     in_flight: u32,
@@ -25,7 +25,7 @@
     preferred: bool,
 }
 
-/// Contribution of a server to the counts of its fleet.
+/// The state of a server that the counts of its fleet depend on.
 #[derive(PartialEq)]
 pub(crate) struct Availability {
     usable: bool,
@@ -33,7 +33,7 @@
 }
 
 impl Server {
-    /// Creates a server that is not known yet: it counts as removed, and has no breakers.
+    /// Creates a server that was not known before: it counts as removed, and has no breakers.
     pub fn placeholder(entry: &ServerEntry) -> Self {
         let entry = ServerEntry { state: ServerState::Removed, ..entry.clone() };
         Server { entry, ..Server::default() }
@@ -79,23 +79,24 @@
         self.is_ready() && now >= self.not_before
     }
 
-    /// Returns its contribution to the counts of its fleet.
+    /// Returns the state that the counts of its fleet depend on.
     pub fn availability(&self) -> Availability {
         Availability { usable: self.is_usable(), ejected: self.breakers.ejected() }
     }
 
-    /// Whether a listed entry is about the process that is known already.
+    /// Whether a listed entry describes the process that is already known.
     pub fn is_same_process(&self, listed: &ServerEntry) -> bool {
         self.listed_start == listed.started && !self.breakers.is_empty()
     }
 
-    /// Updates its entry. Its process is still the same, and so is the effective start.
+    /// Updates its entry. The effective start is kept because the process has not changed.
     pub fn update_entry(&mut self, mut entry: ServerEntry) {
         entry.started = self.entry.started;
         self.entry = entry;
     }
 
-    /// Replaces it by a new process without a history. Only its attempts in flight remain.
+    /// Replaces its process by a new one about which nothing is learned yet. Only the number of attempts in
+    /// flight is kept.
     pub fn replace_process(
         &mut self,
         mut entry: ServerEntry,
@@ -122,7 +123,7 @@
         self.in_flight += 1;
     }
 
-    /// Ends the count of an attempt in flight. Returns false if none was counted.
+    /// Stops counting an attempt in flight. Returns false if none was counted.
     pub fn release_slot(&mut self) -> bool {
         let has_slot = self.in_flight > 0;
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -134,7 +135,7 @@
         self.not_before = time;
     }
 
-    /// Takes the connection that became idle last, and returns for how long it was idle: 0 if there is none.
+    /// Takes the connection that became idle last, and returns how long it was idle, 0 if there is none.
     pub fn take_idle_connection(&mut self, now: Micros) -> Micros {
         self.idle_since.pop().map_or(0, |since| now - since)
     }
--- a/crates/policy/src/fleet/zone.rs
+++ b/crates/policy/src/fleet/zone.rs
@@ -33,7 +33,7 @@
         &self.others
     }
 
-    /// Starts a new count of its servers and their attempts in flight.
+    /// Resets the counts of its servers and their attempts in flight.
     pub fn reset_counts(&mut self) {
         self.server_count = 0;
         self.limit.reset_slots();
@@ -50,7 +50,7 @@
         self.limit.add_usable_server(self.server_count);
     }
 
-    /// Starts new lists of the indexes of its servers.
+    /// Clears the indexes of its servers.
     pub fn clear_indexes(&mut self) {
         self.preferred.clear();
         self.others.clear();
--- a/crates/policy/src/histogram.rs
+++ b/crates/policy/src/histogram.rs
@@ -3,24 +3,25 @@
 use crate::event::Micros;
 use crate::learned::{LatencyHistogram, LearnedBucket};
 
-/// Resolution of a histogram, and the numbers of samples from which it answers.
+/// Configuration of a histogram: its resolution, its decay and the samples that it needs.
 pub(crate) struct HistogramConfig {
     /// Lower edge of the first bucket.
     pub lowest_edge: f64,
-    /// Number of buckets in which values double. All buckets have the same ratio of upper to lower edge.
+    /// Number of buckets for each doubling of the value. All buckets have the same ratio of upper to lower
+    /// edge.
     pub buckets_per_doubling: f64,
     /// Number of buckets. Values above the last bucket are counted in it.
     pub bucket_count: usize,
-    /// A decay is put off while it would leave more than this share of the samples: a pass over all buckets
-    /// would cost more than it is worth.
+    /// A decay is postponed while it would leave more than this share of the samples: a pass over all buckets
+    /// would cost more than the gain in accuracy.
     pub max_remaining: f64,
-    /// Number of samples that remain whatever their age.
+    /// Number of samples that are kept regardless of their age.
     pub min_retained_samples: f64,
-    /// Number of samples from which the 99th percentile is known. With fewer it is infinite.
+    /// Minimum number of samples for the 99th percentile. With fewer it is infinite.
     pub min_tail_samples: f64,
-    /// Share of the values that may be cut off before the 99th percentile is widened.
+    /// Share of the values that may be censored before the 99th percentile is widened.
     pub max_censored_share: f64,
-    /// Factor on the 99th percentile for each value cut off beyond that share.
+    /// Factor on the 99th percentile for each censored value beyond that share.
     pub tail_widening: f64,
     /// Upper bound of the factor on the 99th percentile.
     pub max_tail_factor: f64,
@@ -42,7 +43,7 @@
     counts: Vec<f64>,
     /// Decayed number of samples in all buckets.
     total: f64,
-    /// Factor on the 99th percentile, raised by values that were cut off.
+    /// Factor on the 99th percentile, raised by censored values.
     tail_factor: f64,
     median: f64,
     p90: f64,
@@ -89,13 +90,13 @@
 
     /// Decays the samples up to `now`: half of them remain after `half_life` microseconds.
     ///
-    /// The last few samples remain whatever their age. A source with few values would otherwise lose each
-    /// one before the next arrives.
+    /// The last [`HistogramConfig::min_retained_samples`] are kept regardless of their age. A source with few
+    /// values would otherwise lose each one before the next arrives.
     pub fn decay(&mut self, now: Micros, half_life: f64) {
         let elapsed = now - self.decayed_at.min(now);
-        let by_age = 0.5_f64.powf(elapsed as f64 / half_life);
+        let age_factor = 0.5_f64.powf(elapsed as f64 / half_life);
         let retained = self.config.min_retained_samples;
-        let remaining = by_age.max(retained / self.total.max(retained));
+        let remaining = age_factor.max(retained / self.total.max(retained));
         if remaining < self.config.max_remaining {
             self.counts.iter_mut().for_each(|count| *count *= remaining);
             self.total *= remaining;
@@ -105,9 +106,10 @@
 
     /// Adds a value.
     ///
-    /// A value that was cut off is counted as it is, although the true value is larger. The time limit that
-    /// cuts values off is set from the 99th percentile, so the percentile would shrink with each of them. It
-    /// is widened instead while more than [`HistogramConfig::max_censored_share`] of the values are cut off.
+    /// A censored value is counted as measured, although the true value is larger. The time limit that
+    /// censors values is derived from the 99th percentile, so the percentile would shrink with each of them.
+    /// To prevent this it is widened while more than [`HistogramConfig::max_censored_share`] of the values
+    /// are censored.
     pub fn record(&mut self, value: f64, sample: Sample) {
         let lowest = self.config.lowest_edge;
         let bucket = (self.config.buckets_per_doubling * (value.max(lowest) / lowest).log2()) as usize;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Adds the samples of a histogram of the same tuning that was exported at `saved_at`.
+    /// Adds the samples of a histogram of the same configuration that was exported at `saved_at`.
     pub fn import(&mut self, saved_at: Micros, saved: &LatencyHistogram) {
         for bucket in saved.counts.iter().filter(|bucket| bucket.count > 0.0) {
             self.counts[bucket.index.min(self.config.bucket_count - 1)] += bucket.count;
--- a/crates/policy/src/histogram/tests.rs
+++ b/crates/policy/src/histogram/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn percentiles_are_right_to_within_a_tenth() {
+fn percentiles_are_accurate_to_ten_percent() {
     let histogram = histogram(1..=100);
     assert!(within_ten_percent(histogram.median, 50.0), "{}", histogram.median);
     assert!(within_ten_percent(histogram.p90, 90.0), "{}", histogram.p90);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn values_cut_off_widen_the_99th_percentile_up_to_a_bound() {
+fn censored_values_widen_the_99th_percentile_up_to_a_bound() {
     let mut histogram = histogram(std::iter::repeat_n(10, 100));
     let before = histogram.p99;
     histogram.record(10.0, Sample::Censored);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn samples_decay_by_half_over_the_half_life_but_for_the_last_few() {
+fn samples_halve_per_half_life_down_to_the_retained_minimum() {
     let mut histogram = histogram(std::iter::repeat_n(10, 100));
     histogram.decay(1_000, 1_000.0);
     assert!((histogram.total - 50.0).abs() < 1e-9, "{}", histogram.total);
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -1,7 +1,7 @@
 //! The learned state of a balancer, as exported for the process that replaces it.
 //!
-//! The state is stored as JSON, which processes of older versions read too: their names of the fields are
-//! fixed, and the serde attributes here map them to the names in the code.
+//! The state is stored as JSON. Its field names are fixed because processes of older versions read it too;
+//! the serde attributes map them to the names in the code.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     /// Time of the export.
     #[serde(rename = "at")]
     pub saved_at: Micros,
-    /// Time at which the first of the processes that replaced each other started.
+    /// Start time of the first process in the chain of processes that replaced each other.
     #[serde(rename = "began")]
     pub first_started_at: Micros,
     /// Decayed number of attempts sent.
@@ -114,7 +114,7 @@
 pub struct LearnedBreaker {
     /// Consecutive failures.
     pub failures: u32,
-    /// End of the open time, `None` if the breaker is closed.
+    /// Time from which a trial is allowed, `None` if the breaker is closed.
     pub open_until: Option<Micros>,
 }
 
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -5,15 +5,15 @@
 /// A request that has no final answer yet.
 pub(crate) struct Request {
     class: ClassId,
-    /// Time at which its clock started: its arrival, or the end of its body.
+    /// Time from which its duration counts: its arrival, or the end of its body if that was pending.
     started_at: Micros,
-    /// Time after which a response earns nothing.
+    /// Time after which a response has no utility.
     useful_until: Micros,
     /// Time until which its client waits.
     deadline: Micros,
     /// Number of attempts sent so far.
     attempts: u32,
-    /// Its one retry of an attempt that may have run has been sent or is scheduled.
+    /// Whether a retry after an attempt that may have run has been sent or scheduled. At most one is allowed.
     retried: bool,
     /// Expected latency relative to a request with the mean work of its class; 1 without a hint.
     work_scale: f64,
@@ -25,26 +25,26 @@
     last_server: Option<ServerId>,
     /// Time before which no retry is sent.
     not_before: Micros,
-    /// Its body has not arrived completely. Until then its clock has not started, and its attempt takes no
-    /// slot.
+    /// Whether its body has not arrived completely. Until it has, the duration of the request does not count,
+    /// and its attempt takes no slot.
     body_pending: bool,
 }
 
 /// A request at its arrival.
 pub(crate) struct NewRequest {
-    /// Class of the request, which may not exist.
+    /// Class of the request. It may be unknown.
     pub class: ClassId,
     /// How long its client waits, in microseconds.
     pub time_left: Micros,
     /// Hinted work in microseconds, `None` without a hint.
     pub work: Option<Micros>,
-    /// Its body has not arrived completely.
+    /// Whether its body has not arrived completely.
     pub body_pending: bool,
 }
 
 impl Request {
-    /// Creates a request without attempts. Its response is of use for `useful_time` microseconds, or for as
-    /// long as its client waits if that is less.
+    /// Creates a request without attempts. Its response has utility for `useful_time` microseconds, or until
+    /// its deadline if that is earlier.
     pub fn new(new: &NewRequest, now: Micros, useful_time: Micros, work_scale: f64) -> Self {
         Request {
             class: new.class,
@@ -67,12 +67,12 @@
         self.class
     }
 
-    /// Time at which its clock started: its arrival, or the end of its body.
+    /// Time from which its duration counts: its arrival, or the end of its body if that was pending.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Time after which a response earns nothing.
+    /// Time after which a response has no utility.
     pub fn useful_until(&self) -> Micros {
         self.useful_until
     }
@@ -87,7 +87,7 @@
         self.attempts
     }
 
-    /// Whether its one retry of an attempt that may have run has been sent or is scheduled.
+    /// Whether a retry after an attempt that may have run has been sent or scheduled. At most one is allowed.
     pub fn retried(&self) -> bool {
         self.retried
     }
@@ -102,7 +102,7 @@
         self.first_run
     }
 
-    /// Time and place of the attempt in flight, `None` without one.
+    /// Time, zone and cell of the attempt in flight, `None` without one.
     pub fn attempt_placement(&self) -> Option<AttemptPlacement> {
         self.attempt.as_ref().map(|attempt| attempt.placement)
     }
@@ -127,7 +127,8 @@
         self.body_pending
     }
 
-    /// Returns the time that counts for this request: `now`, or its arrival while its clock has not started.
+    /// Returns the time that its time limits are compared with: `now`, or its arrival while its body is
+    /// pending.
     pub fn effective_now(&self, now: Micros) -> Micros {
         if self.body_pending { self.started_at } else { now }
     }
@@ -155,17 +156,18 @@
         Some(attempt)
     }
 
-    /// Records that its one retry of an attempt that may have run is used.
+    /// Records that a retry after an attempt that may have run is sent or scheduled.
     pub fn mark_retried(&mut self) {
         self.retried = true;
     }
 
-    /// Puts off the next attempt until `time`.
+    /// Delays the next attempt until `time`.
     pub fn delay_until(&mut self, time: Micros) {
         self.not_before = time;
     }
 
-    /// Starts its clock: its body has arrived completely.
+    /// Records that its body has arrived completely: its duration counts from `now`, so its deadlines move by
+    /// the duration of the upload.
     pub fn complete_body(&mut self, now: Micros) {
         let upload_time = now - self.started_at;
         self.started_at = now;
@@ -181,9 +183,9 @@
 /// Whether a request may exceed a full concurrency limit.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Priority {
-    /// The request keeps to the limit.
+    /// The request must not exceed the limit.
     Normal,
-    /// The request may exceed the limit: its class earns much for little work.
+    /// The request may exceed the limit: its class has much utility for little work.
     Express,
 }
 
@@ -198,13 +200,13 @@
     pub cell: u32,
 }
 
-/// Attribution of a time-out.
+/// Whether a timeout of an attempt counts against its server.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum TimeoutAttribution {
-    /// The time-out counts against the server, which took longer than usual.
+    /// The timeout counts against the server, which took longer than usual.
     Server,
-    /// The time-out counts against nobody: the remaining time of the request, or the short limit of a retry,
-    /// ended the attempt.
+    /// The timeout does not count against the server: the remaining time of the request, or the short limit
+    /// of a retry, ended the attempt.
     None,
 }
 
@@ -212,7 +214,7 @@
 pub(crate) struct AttemptLimit {
     /// Maximum duration in microseconds.
     pub duration: Micros,
-    /// Attribution of a time-out at this limit.
+    /// Whether a timeout at this limit counts against the server.
     pub timeout_attribution: TimeoutAttribution,
 }
 
@@ -220,7 +222,7 @@
 pub(crate) struct AttemptInFlight {
     /// When and where it was sent.
     pub placement: AttemptPlacement,
-    /// Attribution of its time-out.
+    /// Whether its timeout counts against the server.
     pub timeout_attribution: TimeoutAttribution,
     /// Bucket of the time for which its connection had been idle, see [`crate::idle_connections`].
     pub idle_bucket: usize,
@@ -259,12 +261,12 @@
     pub latency: Micros,
     /// Steps that may follow for its request.
     pub continuation: Continuation,
-    /// Attribution of a time-out: nobody, unless the limit of the attempt says otherwise.
+    /// Whether a timeout counts against the server. It does not unless the limit of the attempt says so.
     pub timeout_attribution: TimeoutAttribution,
 }
 
 impl AttemptEnd {
-    /// Creates the end of an attempt whose time-out counts against nobody.
+    /// Creates the end of an attempt whose timeout does not count against the server.
     pub fn new(server: ServerId, outcome: Outcome, latency: Micros, continuation: Continuation) -> Self {
         AttemptEnd { server, outcome, latency, continuation, timeout_attribution: TimeoutAttribution::None }
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -27,7 +27,7 @@
     pub tier: u32,
     /// Number of tiers.
     pub tier_count: u32,
-    /// A call from a tier above carries the remaining time of its caller instead of the deadline of its
+    /// A call from an earlier tier carries the remaining time of its caller instead of the deadline of its
     /// class.
     pub propagates_deadline: bool,
     /// Classes of requests, by their ids. At least one.
@@ -52,7 +52,7 @@
     pub rules: Rules,
     /// Prices of resources and failures.
     pub prices: Prices,
-    /// Weights of the parts of the result.
+    /// Weights of the components of the score.
     pub goal: Goal,
     /// Shortest time between two calls of [`Balancer::handle`](crate::Balancer::handle) with different times.
     /// Above 0.
@@ -60,8 +60,8 @@
 }
 
 impl Settings {
-    /// Creates settings of a single balancer for one tier in one zone, without prices, which may send
-    /// attempts and nothing else.
+    /// Creates settings of a single balancer for one tier in one zone, without prices and with all optional
+    /// actions disabled.
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
             balancer_index: 0,
--- a/crates/policy/src/settings/class.rs
+++ b/crates/policy/src/settings/class.rs
@@ -10,7 +10,7 @@
     /// They carry an idempotency key: the servers of a scope drop repeats within a window, which begins with
     /// the earliest attempt that may have run.
     WithKey {
-        /// The servers that drop each other's repeats.
+        /// The servers that drop repeats of each other's requests.
         scope: DedupScope,
         /// Length of the window.
         window: Micros,
@@ -19,7 +19,7 @@
     NotIdempotent,
 }
 
-/// The servers that drop each other's repeats of a request with an idempotency key.
+/// The servers that recognize and drop repeats of each other's requests with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers of the tier.
@@ -35,7 +35,7 @@
 pub struct Class {
     /// Whether and where its requests may be repeated.
     pub idempotency: Idempotency,
-    /// A response within this time earns the full [`priority_weight`](Class::priority_weight). Above 0.
+    /// A response within this time counts with the full [`priority_weight`](Class::priority_weight). Above 0.
     pub latency_objective: Micros,
     /// The latency objective grows by this multiple of the hinted work of a request. Not negative.
     pub objective_per_work: f64,
@@ -45,7 +45,7 @@
     /// [`Settings::weight_by_work`](crate::Settings::weight_by_work)), relative to other classes. Not
     /// negative.
     pub priority_weight: f64,
-    /// Share of the weight that a response after the latency objective still earns. Not negative.
+    /// Share of the weight with which a response after the latency objective counts. Not negative.
     pub late_weight: f64,
     /// The response is a stream: [`Event::FirstByte`](crate::Event::FirstByte) marks its start.
     pub streaming: bool,
@@ -56,8 +56,7 @@
 pub struct Tenant {
     /// Share of the service that the tenant has. Not negative.
     pub share: f64,
-    /// Requests per second of all balancers that are within the share. A request beyond them has
-    /// [`Settings::over_quota_weight`](crate::Settings::over_quota_weight) of the weight of its class. Not
-    /// negative.
+    /// Requests per second within the share, over all balancers. The weight of a request beyond them is
+    /// multiplied by [`Settings::over_quota_weight`](crate::Settings::over_quota_weight). Not negative.
     pub quota: f64,
 }
--- a/crates/policy/src/settings/deployment.rs
+++ b/crates/policy/src/settings/deployment.rs
@@ -19,7 +19,7 @@
 /// How the endpoint list arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery sends changes by itself.
+    /// Discovery sends changes without being polled.
     Push,
     /// Discovery sends the list after [`Action::Watch`](crate::Action::Watch) or
     /// [`Action::Fetch`](crate::Action::Fetch) only.
@@ -62,7 +62,7 @@
     pub max_streams: u32,
     /// Time after which an idle connection is closed; 0 if unknown.
     pub idle_timeout: Micros,
-    /// Time after which a connection that is not established is an
+    /// Time after which establishing a connection fails with
     /// [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed); 0 if unknown.
     pub connect_timeout: Micros,
     /// Processor time of the balancer per second; 0 for no limit.
@@ -72,7 +72,7 @@
 }
 
 impl Limits {
-    /// Limits that allow to send attempts and nothing else.
+    /// Creates limits with all optional actions disabled.
     pub(super) fn sending_only() -> Limits {
         Limits {
             cancel: false,
@@ -105,15 +105,15 @@
     pub overload_window: Micros,
     /// Longest time between two polls of discovery without a subscription.
     pub max_poll_interval: Micros,
-    /// Time after the announcement that a server is removed or draining within which it must stop receiving
-    /// requests.
+    /// Time within which a server must stop receiving requests after discovery announces it as removed or
+    /// draining.
     pub drain_grace: Micros,
     /// Time after the client's deadline within which a final answer still counts.
     pub response_grace: Micros,
 }
 
 impl Rules {
-    /// Rules of a typical deployment.
+    /// Creates the rules of a typical deployment.
     pub(super) fn typical() -> Rules {
         Rules {
             initial_capacity: 0.1,
--- a/crates/policy/src/settings/goal.rs
+++ b/crates/policy/src/settings/goal.rs
@@ -1,13 +1,13 @@
-//! The goal: weights of the parts of the result, and prices.
+//! The goal: weights of the components of the score, and prices.
 
-/// Prices of resources and failures, in points of the result. None is negative.
+/// Prices of resources and failures, in points of the score. None is negative.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
     /// Price of attempts across zones, per request.
     pub cross_zone: f64,
     /// Price of health checks, per request.
     pub health_check: f64,
-    /// Price of priority weight whose request fails after its latency objective.
+    /// Price of the priority weight of requests that fail after their latency objective.
     pub late_fail: f64,
     /// Price of server work without a served response, per offered work.
     pub waste: f64,
@@ -19,20 +19,20 @@
     pub discovery: f64,
 }
 
-/// Weights of the parts of the result. None is negative.
+/// Weights of the components of the score. None is negative.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Goal {
-    /// Weight of the service of all requests together.
+    /// Weight of the share of utility over all requests.
     pub overall: f64,
-    /// Weight of the service in the worst window of time.
+    /// Weight of the share of utility in the worst window of time.
     pub worst_window: f64,
-    /// Weight of the service of the worst-served class.
+    /// Weight of the share of utility of the worst-served class.
     pub worst_class: f64,
-    /// Weight of the service of the worst-served tenant, within its share of the service.
+    /// Weight of the share of utility of the worst-served tenant, within its share of the service.
     pub worst_tenant: f64,
-    /// Weight that counts in full only while few requests miss their latency objective.
+    /// Weight of the latency tail. It counts in full only while few requests miss their latency objective.
     pub tail: f64,
-    /// Share of the requests that may miss their objective for `tail` to count in full. An early rejection is
-    /// no miss.
+    /// Share of the requests that may miss their objective for `tail` to count in full. An early rejection
+    /// does not count as a miss.
     pub tail_miss: f64,
 }
