--- a/crates/policy/src/fleet/mod.rs
+++ b/crates/policy/src/fleet/mod.rs
@@ -152,8 +152,8 @@
         self.ready_servers = others_ready + usize::from(self.servers[index].is_ready());
     }
 
-    /// Replaces the process of the server at `index` by a new one about which nothing is learned yet. Only the
-    /// number of attempts in flight is kept.
+    /// Replaces the process of the server at `index` by a new one about which nothing is learned yet. Only
+    /// the number of attempts in flight is kept.
     pub fn replace_process(
         &mut self,
         index: usize,
