--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin API: the second address of a balancer, where operators send requests. Its connections have descriptors of
-//! their own, so clients can neither use them up nor delay an admin request.
+//! The admin API: the second address of a balancer, where operators send requests. Descriptors are reserved for
+//! its connections, so that client connections cannot exhaust them or delay an admin request.
 
 mod request;
 mod response;
--- a/crates/proxy/src/admin/request.rs
+++ b/crates/proxy/src/admin/request.rs
@@ -3,7 +3,7 @@
 use hyper::{Method, StatusCode, Uri};
 
 /// Maximum length of an upstream name, in bytes. Names in discovery are far shorter.
-pub(super) const MAX_NAME_LENGTH: usize = 256;
+pub(super) const MAX_NAME_BYTES: usize = 256;
 
 /// A valid request of the admin API.
 #[derive(Debug, PartialEq)]
@@ -14,7 +14,7 @@
     Exclude(String),
     /// Includes the named upstream again.
     Include(String),
-    /// Evacuates the balancer: clients are to use another one.
+    /// Evacuates the balancer, so that clients use another one.
     Evacuate,
     /// Ends an evacuation.
     Rejoin,
@@ -29,13 +29,13 @@
     /// The upstream name is empty, too long, wrongly encoded or contains control characters.
     #[error("no upstream's name")]
     InvalidName,
-    /// The path takes another method.
+    /// The path does not accept the method of the request.
     #[error("another method")]
     WrongMethod {
-        /// The only method that the path takes.
+        /// The only method that the path accepts.
         allowed: Method,
     },
-    /// The URI has a query, which no request takes.
+    /// The URI has a query, which no request accepts.
     #[error("a call has no query")]
     UnexpectedQuery,
     /// The body is too large or was not received completely.
@@ -67,7 +67,7 @@
     /// Parses the method and the URI of a request.
     ///
     /// # Errors
-    /// Returns the first fault in the order path, name, method, query.
+    /// The request is invalid. The checks run in the order path, name, method, query, and the first error is returned.
     pub(super) fn parse(method: &Method, uri: &Uri) -> Result<AdminRequest, AdminRequestError> {
         let request = AdminRequest::parse_path(uri.path())?;
         let allowed = request.method();
@@ -96,7 +96,7 @@
         Err(AdminRequestError::UnknownPath)
     }
 
-    /// Returns the only method that the request takes.
+    /// Returns the only method that the request accepts.
     fn method(&self) -> Method {
         match self {
             AdminRequest::Ready => Method::GET,
@@ -112,13 +112,14 @@
 fn decode_name(segment: &str) -> Result<String, AdminRequestError> {
     let decoded = decode_segment(segment).ok_or(AdminRequestError::InvalidName)?;
     let name = String::from_utf8(decoded).map_err(|_| AdminRequestError::InvalidName)?;
-    if name.is_empty() || name.len() > MAX_NAME_LENGTH || name.chars().any(char::is_control) {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
         return Err(AdminRequestError::InvalidName);
     }
     Ok(name)
 }
 
-/// Returns the bytes of a percent-encoded path segment, or `None` if the encoding is wrong or the text contains a slash.
+/// Returns the bytes of a percent-encoded path segment, or `None` if the encoding is invalid or the segment contains a
+/// slash.
 fn decode_segment(segment: &str) -> Option<Vec<u8>> {
     let mut decoded = Vec::with_capacity(segment.len());
     let mut bytes = segment.bytes();
@@ -137,7 +138,7 @@
     Some(decoded)
 }
 
-/// Returns the value of a hexadecimal digit, or `None` if `byte` is none.
+/// Returns the value of a hexadecimal digit, or `None` if `byte` is not one.
 fn hex_digit(byte: u8) -> Option<u8> {
     let digit = char::from(byte).to_digit(16)?;
     u8::try_from(digit).ok()
--- a/crates/proxy/src/admin/response.rs
+++ b/crates/proxy/src/admin/response.rs
@@ -28,7 +28,7 @@
         /// The upstream's name.
         upstream: String,
     },
-    /// No endpoint list has named the upstream.
+    /// No endpoint list has contained the upstream.
     UnknownUpstream {
         /// The name in the request.
         upstream: String,
@@ -80,7 +80,7 @@
     response
 }
 
-/// Returns the response to a request whose override could not be saved and is not in force.
+/// Returns the response to a request whose override could not be saved and does not take effect.
 pub(super) fn not_saved(error: &OverrideError) -> TextResponse {
     text_response(StatusCode::INTERNAL_SERVER_ERROR, &format!("not kept: {error}"))
 }
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -23,21 +23,22 @@
 use crate::log::log_line;
 use crate::sockets::{Socket, accept};
 
-/// Maximum number of connections. One more closes the oldest, so that idle connections delay no request.
+/// Maximum number of connections. A further connection closes the oldest one, so that idle connections cannot delay a
+/// request.
 const MAX_CONNECTIONS: usize = 12;
-/// Time limit of a connection, from its start until the response was read.
+/// Time limit of a connection, from its start until the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
 /// Maximum size of a request head, in bytes: the smallest limit that the HTTP library accepts.
-const MAX_HEAD_SIZE: usize = 8192;
+const MAX_HEAD_BYTES: usize = 8192;
 /// Maximum size of a request body, in bytes. No request needs a body, but HTTP clients may send one with a POST.
-const MAX_BODY_SIZE: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
 
 /// Serves the admin API.
 pub struct AdminServer<T: Transport> {
     dispatcher: Rc<Dispatcher<T>>,
     lifecycle: Rc<Lifecycle>,
-    /// The tasks of the open connections, oldest first. Borrowed only in `start_connection`, which runs no foreign code
-    /// meanwhile.
+    /// The tasks of the open connections, oldest first. Borrowed only in `start_connection`, which during the borrow runs no
+    /// code that could borrow it again.
     connections: RefCell<VecDeque<AbortHandle>>,
 }
 
@@ -73,9 +74,9 @@
             async move { Ok::<TextResponse, Infallible>(server.answer(request).await) }
         });
         let mut builder = http1::Builder::new();
-        builder.keep_alive(false).max_buf_size(MAX_HEAD_SIZE);
+        builder.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
         let connection = builder.serve_connection(stream, service);
-        // The connection is over in either case, so an error cannot be reported to the operator.
+        // The connection has ended in either case, so an error cannot be reported to the operator.
         let _ = timeout(CONNECTION_TIMEOUT, connection).await;
     }
 
@@ -83,7 +84,7 @@
         let parsed = AdminRequest::parse(request.method(), request.uri());
         // The body is read even if the request is invalid: closing a connection with unread bytes resets the connection and
         // discards the response.
-        let body = Limited::new(request.into_body(), MAX_BODY_SIZE).collect().await;
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
         if body.is_err() {
             return response::request_error(&AdminRequestError::UnreadableBody);
         }
@@ -100,10 +101,10 @@
         }
     }
 
-    /// Executes a request. Its effect is in force once this returns.
+    /// Executes a request. The request has taken effect once this returns.
     ///
     /// # Errors
-    /// An override cannot be saved and is not in force.
+    /// An override cannot be saved and does not take effect.
     async fn execute(&self, request: AdminRequest) -> Result<AdminResponse, OverrideError> {
         match request {
             AdminRequest::Ready if self.is_ready() => Ok(AdminResponse::Ready),
@@ -122,7 +123,8 @@
     }
 
     fn is_ready(&self) -> bool {
-        !self.lifecycle.is_shutting_down() && self.lifecycle.may_serve(self.dispatcher.has_endpoint_list())
+        !self.lifecycle.is_shutting_down()
+            && self.lifecycle.may_report_ready(self.dispatcher.has_endpoint_list())
     }
 
     async fn exclude(&self, upstream: String) -> Result<AdminResponse, OverrideError> {
--- a/crates/proxy/src/admin/tests.rs
+++ b/crates/proxy/src/admin/tests.rs
@@ -1,16 +1,16 @@
 use hyper::Method;
 
-use super::request::{AdminRequest, MAX_NAME_LENGTH};
+use super::request::{AdminRequest, MAX_NAME_BYTES};
 
 /// Returns the parsed request, or the status of its rejection.
 fn parse(method: &str, path: &str) -> Result<AdminRequest, u16> {
-    let method = Method::from_bytes(method.as_bytes()).expect("a method");
-    let uri = path.parse().expect("a path");
+    let method = Method::from_bytes(method.as_bytes()).expect("the method is valid");
+    let uri = path.parse().expect("the path is valid");
     AdminRequest::parse(&method, &uri).map_err(|error| error.status().as_u16())
 }
 
 #[test]
-fn only_the_documented_calls_are_accepted() {
+fn only_documented_requests_are_accepted() {
     assert_eq!(parse("GET", "/api/ready"), Ok(AdminRequest::Ready));
     assert_eq!(parse("POST", "/api/evacuate"), Ok(AdminRequest::Evacuate));
     assert_eq!(parse("POST", "/api/rejoin"), Ok(AdminRequest::Rejoin));
@@ -43,5 +43,5 @@
     ] {
         assert_eq!(parse(method, path), Err(status), "{method} {path}");
     }
-    assert_eq!(parse("POST", &format!("/api/exclude/{}", "s".repeat(MAX_NAME_LENGTH + 1))), Err(400));
+    assert_eq!(parse("POST", &format!("/api/exclude/{}", "s".repeat(MAX_NAME_BYTES + 1))), Err(400));
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -11,9 +11,9 @@
 use crate::discovery::EndpointList;
 
 /// Maximum number of file descriptors if the configuration sets no limit.
-const DEFAULT_DESCRIPTORS: usize = 1024;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 /// Maximum memory if the configuration sets no limit, in MiB.
-const DEFAULT_MEMORY_MIB: f64 = 192.0;
+const DEFAULT_MAX_MEMORY_MIB: f64 = 192.0;
 /// Bytes in one MiB.
 const BYTES_PER_MIB: f64 = (1 << 20) as f64;
 
@@ -32,7 +32,7 @@
         source: io::Error,
     },
     /// The configuration file is not valid JSON, or a key is missing or has a value of the wrong type.
-    #[error("EDGE_CONFIG {path:?} is not a valid configuration; correct what follows")]
+    #[error("EDGE_CONFIG {path:?} is not a valid configuration; correct the error that follows")]
     InvalidFile {
         /// The value of `EDGE_CONFIG`.
         path: String,
@@ -50,24 +50,26 @@
         key: &'static str,
     },
     /// An address cannot be parsed.
-    #[error("{variable}: {text:?} is no address with a port; use the form 127.0.0.1:8000 or [::1]:8000")]
+    #[error("{variable}: {text:?} is not an address with a port; use the form 127.0.0.1:8000 or [::1]:8000")]
     InvalidAddress {
         /// The environment variable of the address, even if the address is from the file.
         variable: &'static str,
         /// The text that cannot be parsed.
         text: String,
     },
-    /// The configuration allows no descriptors.
-    #[error("limits.sockets is 0, so that no client could connect; set at least 1, or leave it out")]
+    /// The configured number of descriptors is 0.
+    #[error("limits.sockets is 0, but connections need descriptors; set at least 1, or remove the key")]
     NoDescriptors,
     /// The configured memory limit is not a positive number.
-    #[error("limits.memory_mb is {megabytes}, so that no request could be held; set a number above 0")]
+    #[error(
+        "limits.memory_mb is {mebibytes}, but requests need memory; set a number above 0, or remove the key"
+    )]
     NoMemory {
         /// The value of `limits.memory_mb`, in MiB.
-        megabytes: f64,
+        mebibytes: f64,
     },
     /// The seed of the random numbers cannot be parsed.
-    #[error("seed: {text:?} is no hexadecimal number; use at most 16 hexadecimal digits")]
+    #[error("seed: {text:?} is not a 64-bit hexadecimal number; use at most 16 hexadecimal digits")]
     InvalidSeed {
         /// The text that cannot be parsed.
         text: String,
@@ -94,28 +96,28 @@
 /// The limits of the process in the form of the configuration file.
 #[derive(Default, Deserialize)]
 struct FileLimits {
-    /// Maximum number of file descriptors, or `None` for [`DEFAULT_DESCRIPTORS`].
+    /// Maximum number of file descriptors, or `None` for [`DEFAULT_MAX_DESCRIPTORS`].
     sockets: Option<usize>,
-    /// Maximum memory in MiB, or `None` for [`DEFAULT_MEMORY_MIB`].
+    /// Maximum memory in MiB, or `None` for [`DEFAULT_MAX_MEMORY_MIB`].
     memory_mb: Option<f64>,
 }
 
 impl FileLimits {
     /// Returns how many descriptors the balancer may use.
-    fn descriptors(&self) -> Result<usize, ConfigError> {
+    fn max_descriptors(&self) -> Result<usize, ConfigError> {
         match self.sockets {
             Some(0) => Err(ConfigError::NoDescriptors),
-            sockets => Ok(sockets.unwrap_or(DEFAULT_DESCRIPTORS)),
+            sockets => Ok(sockets.unwrap_or(DEFAULT_MAX_DESCRIPTORS)),
         }
     }
 
     /// Returns how much memory the balancer may use, in bytes.
-    fn memory(&self) -> Result<usize, ConfigError> {
-        let megabytes = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MIB);
-        if megabytes.is_finite() && megabytes > 0.0 {
-            Ok((megabytes * BYTES_PER_MIB) as usize)
+    fn max_memory_bytes(&self) -> Result<usize, ConfigError> {
+        let mebibytes = self.memory_mb.unwrap_or(DEFAULT_MAX_MEMORY_MIB);
+        if mebibytes.is_finite() && mebibytes > 0.0 {
+            Ok((mebibytes * BYTES_PER_MIB) as usize)
         } else {
-            Err(ConfigError::NoMemory { megabytes })
+            Err(ConfigError::NoMemory { mebibytes })
         }
     }
 }
@@ -124,18 +126,18 @@
 pub struct Config {
     /// The balancer's name, which stays the same after a restart. Empty if no name is set.
     pub name: String,
-    /// The address for clients, unless the platform passes a listening socket.
+    /// The address for clients. Not used if the platform passes a listening socket.
     pub listen_address: SocketAddr,
     /// The address of discovery.
     pub discovery_address: SocketAddr,
-    /// The address of the admin API, or `None` if it is not served.
+    /// The address of the admin API, or `None` if the API is disabled.
     pub admin_address: Option<SocketAddr>,
     /// The seed of the random numbers.
     pub seed: u64,
     /// How many descriptors all processes of the balancer together may use.
     pub max_descriptors: usize,
     /// How much memory all processes of the balancer together may use, in bytes.
-    pub max_memory: usize,
+    pub max_memory_bytes: usize,
     /// The endpoint list that was known when the file was written, or `None` if the file contains none.
     pub cached_list: Option<EndpointList>,
     /// The settings of the policy, in the platform's form.
@@ -169,8 +171,8 @@
         discovery: Option<String>,
     ) -> Result<Config, ConfigError> {
         let file = ConfigFile::read(variable("EDGE_CONFIG"))?;
-        let max_descriptors = file.limits.descriptors()?;
-        let max_memory = file.limits.memory()?;
+        let max_descriptors = file.limits.max_descriptors()?;
+        let max_memory_bytes = file.limits.max_memory_bytes()?;
         let listen = variable("EDGE_LISTEN").or(file.listen);
         let admin = variable("EDGE_MANAGEMENT").or(file.management).filter(|text| !text.is_empty());
         Ok(Config {
@@ -180,7 +182,7 @@
             admin_address: admin.map(|text| parse_address("EDGE_MANAGEMENT", text)).transpose()?,
             seed: parse_seed(file.seed)?,
             max_descriptors,
-            max_memory,
+            max_memory_bytes,
             cached_list: file.cached_list,
             setup: file.setup,
         })
--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -63,10 +63,10 @@
         // While the successor of this process runs, the address continues to accept clients.
         let accepting = match self.lifecycle.apply_overrides() {
             Phase::Running => true,
-            Phase::Draining | Phase::HandingOver => self.lifecycle.is_sibling_running(),
+            Phase::Draining | Phase::HandingOver => self.lifecycle.is_other_process_running(),
             Phase::Evacuated | Phase::ClosingListener => false,
         };
-        if accepting && self.lifecycle.may_serve(self.dispatcher.has_endpoint_list()) {
+        if accepting && self.lifecycle.may_report_ready(self.dispatcher.has_endpoint_list()) {
             plain_text(StatusCode::OK, "ready")
         } else {
             plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready")
--- a/crates/proxy/src/lifecycle/hot_restart/inherited_listener.rs
+++ b/crates/proxy/src/lifecycle/hot_restart/inherited_listener.rs
@@ -6,17 +6,21 @@
 
 use socket2::{Domain, SockRef, Type};
 
-/// `EDGE_FD` names no listening socket. Each message begins with the value of `EDGE_FD`.
+/// `EDGE_FD` does not name a listening socket. Each message begins with the value of `EDGE_FD`.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedListenerError {
     /// The value is not a number, or is negative.
-    #[error("EDGE_FD: {value:?} is no descriptor; set it to the number of an inherited listening TCP socket")]
+    #[error(
+        "EDGE_FD: {value:?} is not a descriptor; set it to the number of an inherited listening TCP socket"
+    )]
     NotADescriptor {
         /// The value of `EDGE_FD`.
         value: String,
     },
     /// The descriptor is closed or does not belong to a socket.
-    #[error("EDGE_FD: {value:?} is no open socket; pass the number of one that the platform holds open")]
+    #[error(
+        "EDGE_FD: {value:?} is not an open socket; set it to the number of an inherited listening TCP socket"
+    )]
     NotASocket {
         /// The value of `EDGE_FD`.
         value: String,
@@ -24,7 +28,7 @@
         source: io::Error,
     },
     /// The socket is not a TCP socket or does not listen.
-    #[error("EDGE_FD: {value:?} is no listening TCP socket; pass the number of one")]
+    #[error("EDGE_FD: {value:?} is not a listening TCP socket; set it to the number of one")]
     NotListening {
         /// The value of `EDGE_FD`.
         value: String,
@@ -35,11 +39,11 @@
 /// any file or socket is opened: a number that was not inherited could by then be the descriptor of another file.
 ///
 /// # Errors
-/// `value` names no open and listening TCP socket.
+/// `value` is not the number of an open and listening TCP socket.
 pub fn inherit_listener(value: &str) -> Result<TcpListener, InheritedListenerError> {
     let descriptor = parse_descriptor(value)?;
     // SAFETY: no other code in this process owns or closes the descriptor. If it is not open, each call on it fails and
-    // it is not taken over.
+    // this function returns an error.
     #[allow(unsafe_code)]
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     let not_a_socket = |source| InheritedListenerError::NotASocket { value: value.to_owned(), source };
--- a/crates/proxy/src/lifecycle/hot_restart/process_presence.rs
+++ b/crates/proxy/src/lifecycle/hot_restart/process_registration.rs
@@ -1,4 +1,4 @@
-//! The presence of this process, by which the other processes of the same balancer count it.
+//! The registration of the running processes of a balancer, by which they count each other.
 
 use std::fs::{File, TryLockError};
 use std::io;
@@ -6,19 +6,20 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Maximum number of processes of one balancer that run at once: one that shuts down, its successor and two in reserve.
+/// Maximum number of processes of one balancer that run at the same time: one that shuts down, its successor and two
+/// spare ones.
 const MAX_PROCESSES: usize = 4;
-/// Maximum number of attempts to lock a free file at the start. With the pause between them they take half a second,
-/// which is far less than a start may take.
+/// Maximum number of attempts to lock a free file at the start. Together with their pauses they take half a second, which
+/// is far less than the start of a process may take.
 const MAX_LOCK_ATTEMPTS: u32 = 25;
 /// Pause between two attempts to lock a free file.
 const LOCK_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// This process cannot make itself known to the other processes of the balancer.
+/// This process cannot register itself with the other processes of the balancer.
 #[derive(Debug, thiserror::Error)]
-pub enum ProcessPresenceError {
+pub enum ProcessRegistrationError {
     /// A lock file cannot be created.
-    #[error("TMPDIR: {} cannot be created", path.display())]
+    #[error("TMPDIR: lock file {} cannot be created", path.display())]
     LockFile {
         /// The lock file.
         path: PathBuf,
@@ -32,54 +33,54 @@
     TooManyProcesses,
 }
 
-/// The lock files of this process and of the others. Each running process holds the lock on one file; the operating
+/// The lock files of this process and of the other processes. Each running process holds the lock on one file; the operating
 /// system releases the lock when the process ends for whatever reason.
-pub struct ProcessPresence {
-    _own: File,
-    others: Vec<File>,
+pub struct ProcessRegistration {
+    _own_lock: File,
+    other_locks: Vec<File>,
 }
 
-impl ProcessPresence {
-    /// Makes this process known in `folder`.
+impl ProcessRegistration {
+    /// Registers this process: locks one of the lock files in `folder`.
     ///
     /// # Errors
     /// A lock file cannot be created, or all of them are locked by other processes.
-    pub fn enter(folder: &Path) -> Result<ProcessPresence, ProcessPresenceError> {
+    pub fn register(folder: &Path) -> Result<ProcessRegistration, ProcessRegistrationError> {
         let mut files: Vec<File> = (0..MAX_PROCESSES)
             .map(|number| create_lock_file(folder, number))
-            .collect::<Result<_, ProcessPresenceError>>()?;
-        let own = files.remove(lock_free_file(&files)?);
-        Ok(ProcessPresence { _own: own, others: files })
+            .collect::<Result<_, ProcessRegistrationError>>()?;
+        let own_lock = files.remove(lock_free_file(&files)?);
+        Ok(ProcessRegistration { _own_lock: own_lock, other_locks: files })
     }
 
     /// Returns how many other processes of this balancer are running.
-    pub fn others(&self) -> usize {
-        self.others.iter().filter(|file| is_locked(file)).count()
+    pub fn count_others(&self) -> usize {
+        self.other_locks.iter().filter(|file| is_locked(file)).count()
     }
 }
 
-/// Locks a free file and returns its index. While another process counts the others it locks each free file for a moment,
-/// so an attempt that finds no free file is repeated.
+/// Locks a free file and returns its index. While another process counts the running processes, it briefly locks each free
+/// file, so an attempt that finds no free file is repeated.
 ///
 /// # Errors
 /// All files are locked by running processes.
-fn lock_free_file(files: &[File]) -> Result<usize, ProcessPresenceError> {
+fn lock_free_file(files: &[File]) -> Result<usize, ProcessRegistrationError> {
     for _ in 0..MAX_LOCK_ATTEMPTS {
         if let Some(free) = files.iter().position(|file| file.try_lock().is_ok()) {
             return Ok(free);
         }
         sleep(LOCK_RETRY_PAUSE);
     }
-    Err(ProcessPresenceError::TooManyProcesses)
+    Err(ProcessRegistrationError::TooManyProcesses)
 }
 
-fn create_lock_file(folder: &Path, number: usize) -> Result<File, ProcessPresenceError> {
+fn create_lock_file(folder: &Path, number: usize) -> Result<File, ProcessRegistrationError> {
     let path = folder.join(format!("sloeline-process-{number}.lock"));
-    File::create(&path).map_err(|source| ProcessPresenceError::LockFile { path, source })
+    File::create(&path).map_err(|source| ProcessRegistrationError::LockFile { path, source })
 }
 
-/// Returns whether another process holds the lock on `file`. The test takes a shared lock for a moment, so that processes
-/// that test the same file at once do not count each other. A file that cannot be tested counts as free.
+/// Returns whether another process holds the lock on `file`. The check briefly takes a shared lock, so that processes
+/// that check the same file at the same time do not count each other. A file that cannot be checked counts as free.
 fn is_locked(file: &File) -> bool {
     match file.try_lock_shared() {
         Ok(()) => file.unlock().is_err(),
--- a/crates/proxy/src/lifecycle/overrides/mod.rs
+++ b/crates/proxy/src/lifecycle/overrides/mod.rs
@@ -1,5 +1,5 @@
-//! Operator overrides: excluded upstreams and the evacuation of the balancer. Overrides are in force in every process of
-//! this balancer and outlive each of them, so they are stored in one file that all processes read.
+//! Operator overrides: excluded upstreams and the evacuation of the balancer. Overrides apply to every process of
+//! this balancer and outlive each process, so they are stored in one file that all processes read.
 
 mod file_version;
 mod operator_overrides;
--- a/crates/proxy/src/lifecycle/overrides/operator_overrides.rs
+++ b/crates/proxy/src/lifecycle/overrides/operator_overrides.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 use zincstand_policy::Micros;
 
-/// Retention of the time of an inclusion, in microseconds: one hour. The upstream has long finished slow start by then.
+/// How long the time of an inclusion is kept, in microseconds: one hour. Slow start takes far less time.
 const INCLUSION_RETENTION: Micros = 3_600_000_000;
 
-/// The overrides in force. The keys in the file keep their old names, since a process of an older version may run
-/// beside this one during a hot restart and reads the same file.
+/// The overrides in effect. The keys in the file keep their old names, since a process of an older version may run
+/// at the same time as this one during a hot restart and reads the same file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OperatorOverrides {
@@ -19,7 +19,7 @@
     /// Times at which excluded upstreams were included again, by name, in microseconds of Unix time.
     #[serde(rename = "back")]
     pub included_at: BTreeMap<String, Micros>,
-    /// Whether the balancer is evacuated, that is, whether clients are to use another one.
+    /// Whether the balancer is evacuated, so that clients use another one.
     pub evacuated: bool,
 }
 
--- a/crates/proxy/src/lifecycle/overrides/override_file.rs
+++ b/crates/proxy/src/lifecycle/overrides/override_file.rs
@@ -12,10 +12,10 @@
 use crate::lifecycle::atomic_file;
 use crate::lifecycle::overrides::OperatorOverrides;
 
-/// File name of the overrides. Processes of older versions, which may run beside this one, use the same name.
+/// File name of the overrides. Processes of older versions, which may run at the same time as this one, use the same name.
 pub(super) const OVERRIDES_FILE: &str = "sloeline-orders.json";
-/// File name of the backup copy, which has a checksum and is used if the file cannot be read. Older versions do not have
-/// it.
+/// File name of the backup copy, which has a checksum and is used if the overrides file cannot be read. Older versions do
+/// not write it.
 pub(super) const BACKUP_FILE: &str = "sloeline-orders.copy.json";
 /// File that a process locks while it changes the overrides.
 const LOCK_FILE: &str = "sloeline-orders.lock";
@@ -63,28 +63,28 @@
     is_intact.then(|| serde_json::from_str(&stored.content).ok()).flatten()
 }
 
-/// Changes the overrides in both files and returns them. `known` is used if neither file can be read. Once this returns,
+/// Changes the overrides in both files and returns them. `fallback` is used if neither file can be read. Once this returns,
 /// the change survives a crash of the process or the machine.
 ///
 /// # Errors
-/// Another process holds the lock for too long, or a file cannot be written. The overrides have not changed then.
+/// Another process holds the lock for too long, or a file cannot be written. The overrides are then unchanged.
 pub(super) fn change(
     folder: &Path,
-    known: OperatorOverrides,
+    fallback: OperatorOverrides,
     change: impl FnOnce(&mut OperatorOverrides),
 ) -> Result<OperatorOverrides, OverrideError> {
     // Dropping the file at the end of this scope releases the lock.
     let _lock = acquire_lock(folder)?;
     let before = match read(folder) {
         Ok(overrides) => overrides,
-        Err(_) => read_backup(folder).unwrap_or(known),
+        Err(_) => read_backup(folder).unwrap_or(fallback),
     };
     let mut overrides = before.clone();
     change(&mut overrides);
     // Other processes apply the change as soon as the overrides file is replaced, so the backup copy is written first.
     let written = write_backup(folder, &overrides).and_then(|()| write(folder, &overrides));
     if let Err(source) = written {
-        // The operator gets an error, so the backup copy must not put the change in force later.
+        // The operator gets an error, so a process that reads the backup copy later must not apply the change.
         let _ = write_backup(folder, &before);
         return Err(source.into());
     }
--- a/crates/proxy/src/lifecycle/overrides/override_store.rs
+++ b/crates/proxy/src/lifecycle/overrides/override_store.rs
@@ -17,7 +17,7 @@
 pub struct OverrideStore {
     /// The folder of the files, or `None` if the overrides are not stored in files.
     folder: Option<PathBuf>,
-    /// Replaced only in `set`; readers must end their borrow before they call this store again.
+    /// Replaced only in `set`, so readers must end their borrow before they call a method that changes the overrides.
     overrides: RefCell<OperatorOverrides>,
     /// The version of the file that was read last, or `None` if no file was read.
     file_version: Cell<Option<FileVersion>>,
@@ -28,7 +28,7 @@
 }
 
 impl OverrideStore {
-    /// Reads the overrides in `folder`. If the file is not complete, the overrides confirmed last are read from the backup
+    /// Reads the overrides in `folder`. If the file cannot be read, the last confirmed overrides are read from the backup
     /// copy. If `folder` is `None`, the overrides are not stored in files.
     pub fn open(folder: Option<&Path>) -> OverrideStore {
         let store = OverrideStore { folder: folder.map(Path::to_owned), ..OverrideStore::default() };
@@ -74,23 +74,24 @@
         }
     }
 
-    /// Changes the overrides. The change is stored, and in force in all processes of this balancer, once this returns.
+    /// Changes the overrides. Once this returns, the change is stored and in effect in this process, and each
+    /// other process of the balancer applies it when it next reads the overrides.
     ///
     /// # Errors
-    /// See [`OverrideError`]. The overrides have not changed then.
+    /// See [`OverrideError`]. The overrides are then unchanged.
     pub async fn change(
         &self,
         change: impl FnOnce(&mut OperatorOverrides) + Send + 'static,
     ) -> Result<(), OverrideError> {
-        let mut known = self.current().clone();
+        let mut overrides = self.current().clone();
         let Some(folder) = self.folder.clone() else {
-            change(&mut known);
-            self.set(known);
+            change(&mut overrides);
+            self.set(overrides);
             return Ok(());
         };
         // The disk may be slow and another process may hold the lock, so the files are written on a blocking thread while
         // this thread serves clients.
-        let written = spawn_blocking(move || override_file::change(&folder, known, change)).await;
+        let written = spawn_blocking(move || override_file::change(&folder, overrides, change)).await;
         let overrides = written.map_err(io::Error::from)??;
         self.set(overrides);
         // Another process may have replaced the file since the lock was released.
--- a/crates/proxy/src/lifecycle/process_lifecycle.rs
+++ b/crates/proxy/src/lifecycle/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The present phase of the process, which shutdown requests and operator overrides change.
+//! The current phase of the process, which shutdown requests and operator overrides change.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 
 /// The phase of this process and the state that determines it.
 pub struct Lifecycle {
-    phases: watch::Sender<Phase>,
+    phase_sender: watch::Sender<Phase>,
     overrides: Rc<OverrideStore>,
     /// Whether another process of this balancer is running.
-    sibling_running: Cell<bool>,
-    /// When shutdown was first requested, or `None` if it was not.
+    other_process_running: Cell<bool>,
+    /// When shutdown was first requested, or `None` before the first request.
     shutdown_requested_at: Cell<Option<Instant>>,
     started_at: Instant,
 }
@@ -31,9 +31,9 @@
     /// balancer.
     pub fn new(overrides: Rc<OverrideStore>) -> Rc<Lifecycle> {
         let lifecycle = Lifecycle {
-            phases: watch::Sender::new(Phase::Running),
+            phase_sender: watch::Sender::new(Phase::Running),
             overrides,
-            sibling_running: Cell::default(),
+            other_process_running: Cell::default(),
             shutdown_requested_at: Cell::default(),
             started_at: Instant::now(),
         };
@@ -41,19 +41,19 @@
         Rc::new(lifecycle)
     }
 
-    /// Returns the present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
-        *self.phases.borrow()
+        *self.phase_sender.borrow()
     }
 
-    /// Returns a receiver of later phases.
+    /// Returns a receiver that is notified of each later phase.
     pub fn subscribe(&self) -> watch::Receiver<Phase> {
-        self.phases.subscribe()
+        self.phase_sender.subscribe()
     }
 
     /// Enters a phase.
     pub fn enter(&self, phase: Phase) {
-        self.phases.send_replace(phase);
+        self.phase_sender.send_replace(phase);
     }
 
     /// Reads the operator overrides again and enters or leaves [`Phase::Evacuated`] accordingly. Returns the
@@ -61,7 +61,7 @@
     pub fn apply_overrides(&self) -> Phase {
         self.overrides.refresh();
         let evacuated = self.overrides.current().evacuated;
-        self.phases.send_if_modified(|phase| {
+        self.phase_sender.send_if_modified(|phase| {
             let next = match *phase {
                 Phase::Running if evacuated => Phase::Evacuated,
                 Phase::Evacuated if !evacuated => Phase::Running,
@@ -90,7 +90,7 @@
 
     /// Requests shutdown, which begins with [`Phase::Draining`]. A second request has no effect.
     pub fn request_shutdown(&self) {
-        self.phases.send_if_modified(|phase| {
+        self.phase_sender.send_if_modified(|phase| {
             if phase.is_shutting_down() {
                 return false;
             }
@@ -100,24 +100,24 @@
         });
     }
 
-    /// Returns when shutdown was first requested, or `None` if it was not.
+    /// Returns when shutdown was first requested, or `None` before the first request.
     pub fn shutdown_requested_at(&self) -> Option<Instant> {
         self.shutdown_requested_at.get()
     }
 
     /// Records whether another process of this balancer is running.
-    pub fn set_sibling_running(&self, running: bool) {
-        self.sibling_running.set(running);
+    pub fn set_other_process_running(&self, running: bool) {
+        self.other_process_running.set(running);
     }
 
     /// Returns whether another process of this balancer is running, as last recorded.
-    pub fn is_sibling_running(&self) -> bool {
-        self.sibling_running.get()
+    pub fn is_other_process_running(&self) -> bool {
+        self.other_process_running.get()
     }
 
-    /// Returns whether the process may report that it is ready. Without an endpoint list it may do so a few seconds after
-    /// its start.
-    pub fn may_serve(&self, has_endpoint_list: bool) -> bool {
+    /// Returns whether the process may report that it is ready. A process without an endpoint list may do so
+    /// [`ENDPOINT_LIST_WAIT`] after its start.
+    pub fn may_report_ready(&self, has_endpoint_list: bool) -> bool {
         has_endpoint_list || self.started_at.elapsed() > ENDPOINT_LIST_WAIT
     }
 
--- a/crates/proxy/src/lifecycle/state_folder.rs
+++ b/crates/proxy/src/lifecycle/state_folder.rs
@@ -4,9 +4,12 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// `TMPDIR` names no folder that this process can use.
+/// `TMPDIR` does not name a folder that this process can use.
 #[derive(Debug, thiserror::Error)]
-#[error("TMPDIR {}: cannot be used; name a folder that this process may write to, or none", path.display())]
+#[error(
+    "TMPDIR {}: not a usable folder; name a folder that this process may write to, or unset TMPDIR",
+    path.display()
+)]
 pub struct StateFolderError {
     path: PathBuf,
     source: io::Error,
--- a/crates/proxy/src/limits/mod.rs
+++ b/crates/proxy/src/limits/mod.rs
@@ -1,11 +1,11 @@
-//! A limit on a countable resource, and permits for parts of it. The limit can be changed while permits are in use.
+//! A limit on a countable resource, and permits for amounts of it. The limit can be changed while permits are in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// A limit on a resource, with the amount in use. The unit is the user's: connections or bytes.
+/// A limit on a resource, with the amount in use. The unit depends on the use: connections or bytes.
 pub struct ResizableLimit {
     used: Cell<usize>,
     limit: Cell<usize>,
@@ -20,7 +20,7 @@
 }
 
 impl ResizableLimit {
-    /// Creates a limit of which nothing is in use.
+    /// Creates a limit with an amount in use of 0.
     pub fn new(limit: usize) -> Rc<ResizableLimit> {
         Rc::new(ResizableLimit { used: Cell::new(0), limit: Cell::new(limit), released: Notify::new() })
     }
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -28,9 +28,10 @@
 }
 
 /// Number of lines dropped since the last line was written.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Writes a line to the log. Takes the arguments of [`format!`]. Never waits and never panics.
+/// Writes a line to the log. Takes the arguments of [`format!`]. Never panics, and waits for standard error
+/// only if the writer thread could not be started.
 ///
 /// Each message of the sources is listed in the table "Log lines" of `docs/operations.md`; a test compares them. A message
 /// names its placeholders, so that the table can use the same text.
@@ -44,7 +45,7 @@
 pub(crate) fn write_line(line: Arguments<'_>) {
     let Some(writer) = writer() else { return write_now(&line.to_string()) };
     if writer.try_send(Message::Line(line.to_string())).is_err() {
-        DROPPED.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     }
 }
 
@@ -75,7 +76,7 @@
         match message {
             Message::Line(line) => {
                 write_now(&line);
-                let dropped = DROPPED.swap(0, Ordering::Relaxed);
+                let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
                 if dropped > 0 {
                     write_now(&format!("log: {dropped} lines dropped because standard error was not read"));
                 }
--- a/crates/proxy/src/process/core.rs
+++ b/crates/proxy/src/process/core.rs
@@ -54,8 +54,8 @@
         Ok(Rc::new(Core { upstreams, discovery, dispatcher, expects_push }))
     }
 
-    /// Applies the cached endpoint list, restores the state that the predecessor has learned, and starts the dispatcher.
-    /// The list comes first, because state of endpoints that are not listed is dropped.
+    /// Applies the cached endpoint list, restores the predecessor's learned state, and starts the dispatcher.
+    /// The list is applied first, because the state of endpoints that are not listed is dropped.
     pub fn start(&self, cached_list: Option<EndpointList>, hot_restart_folder: Option<&Path>) {
         match cached_list {
             Some(list) => self.dispatcher.update_endpoints(ListKind::CachedSnapshot, list.into_endpoints()),
--- a/crates/proxy/src/process/error.rs
+++ b/crates/proxy/src/process/error.rs
@@ -8,14 +8,14 @@
 use zincstand_settings::SettingsError;
 
 use crate::config::ConfigError;
-use crate::lifecycle::hot_restart::{InheritedListenerError, ProcessPresenceError};
+use crate::lifecycle::hot_restart::{InheritedListenerError, ProcessRegistrationError};
 use crate::lifecycle::state_folder::StateFolderError;
 
 /// The process cannot start. The text of an error does not include its sources; [`ErrorChain`](crate::ErrorChain) displays
 /// both.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// `EDGE_FD` names no listening socket.
+    /// `EDGE_FD` does not name a listening socket.
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
     /// The asynchronous runtime cannot be created.
@@ -38,17 +38,19 @@
     /// The policy rejects the settings.
     #[error(transparent)]
     Policy(#[from] policy::SettingsError),
-    /// `TMPDIR` names something that is not a usable folder.
+    /// `TMPDIR` does not name a usable folder.
     #[error(transparent)]
     StateFolder(#[from] StateFolderError),
-    /// The process cannot make itself known to the other processes of this balancer.
+    /// The process cannot register itself with the other processes of this balancer.
     #[error(transparent)]
-    ProcessPresence(#[from] ProcessPresenceError),
+    ProcessRegistration(#[from] ProcessRegistrationError),
     /// The inherited listener cannot be used by the asynchronous runtime.
-    #[error("EDGE_FD: the listening socket cannot be used")]
+    #[error("EDGE_FD: the asynchronous runtime cannot use the inherited listening socket")]
     UnusableListener(#[source] io::Error),
     /// An address cannot be listened on.
-    #[error("{variable} {address}: cannot listen on this address; set a free port of this machine")]
+    #[error(
+        "{variable} {address}: cannot listen on this address; set an address of this machine with a free port"
+    )]
     Listen {
         /// The environment variable of the address.
         variable: &'static str,
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -7,7 +7,7 @@
 mod reload;
 mod resource_limits;
 mod save_task;
-mod sibling_watch;
+mod shared_state_task;
 mod signals;
 mod startup;
 mod state_files;
--- a/crates/proxy/src/process/reload.rs
+++ b/crates/proxy/src/process/reload.rs
@@ -27,7 +27,7 @@
 impl Reload {
     /// Reads the configuration again and applies the only part that may change while the process runs: the address of
     /// discovery. An invalid configuration changes nothing and is read again a few times, because the file may be only
-    /// half written at the signal.
+    /// partly written when the signal arrives.
     pub async fn run(&self) {
         for _ in 0..MAX_READ_ATTEMPTS {
             if self.read_and_apply() {
--- a/crates/proxy/src/process/resource_limits.rs
+++ b/crates/proxy/src/process/resource_limits.rs
@@ -4,13 +4,13 @@
 use crate::config::Config;
 use crate::downstream::ConnectionLimits;
 
-/// Number of descriptors that are reserved for other purposes than connections to clients and upstreams: the runtime, the
+/// Number of descriptors that are reserved for purposes other than connections to clients and upstreams: the runtime, the
 /// listeners, discovery, the files in `TMPDIR`, admin connections and the standard streams.
 const RESERVED_DESCRIPTORS: usize = 40;
 /// Minimum number of descriptors for connections: one to a client and one to an upstream.
 const MIN_CONNECTION_DESCRIPTORS: usize = 2;
 /// Share of the connection descriptors that client connections may use. Upstream connections use the rest.
-const CLIENT_SHARE: f64 = 0.55;
+const CLIENT_DESCRIPTOR_SHARE: f64 = 0.55;
 /// Share of the memory that the bodies of active requests and of their responses may use. The rest is for the program and
 /// for the buffers and heads of each connection: with 32 MB and 256 descriptors, these take 2 MB and 5 MB respectively.
 const BODY_MEMORY_SHARE: f64 = 0.4;
@@ -21,7 +21,7 @@
     /// Number of descriptors.
     descriptors: usize,
     /// Memory in bytes.
-    memory: usize,
+    memory_bytes: usize,
 }
 
 /// The resources that one process may use.
@@ -35,7 +35,7 @@
 impl ResourceBudget {
     /// Returns the budget that the configuration sets.
     pub fn new(config: &Config) -> ResourceBudget {
-        ResourceBudget { descriptors: config.max_descriptors, memory: config.max_memory }
+        ResourceBudget { descriptors: config.max_descriptors, memory_bytes: config.max_memory_bytes }
     }
 
     /// Returns the limits of one process if `processes` processes share the budget.
@@ -46,8 +46,8 @@
         let connections = (self.descriptors / processes)
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(MIN_CONNECTION_DESCRIPTORS);
-        let client_connections = ((connections as f64 * CLIENT_SHARE) as usize).max(1);
-        let body_bytes = (self.memory as f64 * BODY_MEMORY_SHARE) as usize / processes;
+        let client_connections = ((connections as f64 * CLIENT_DESCRIPTOR_SHARE) as usize).max(1);
+        let body_bytes = (self.memory_bytes as f64 * BODY_MEMORY_SHARE) as usize / processes;
         ResourceLimits {
             upstream_connections: connections - client_connections,
             client: ConnectionLimits { connections: client_connections, body_bytes },
--- a/crates/proxy/src/process/save_task.rs
+++ b/crates/proxy/src/process/save_task.rs
@@ -12,7 +12,7 @@
 use crate::process::core::Core;
 
 /// Time between two saves. A process may be killed without notice, and its successor restores only state that is at most
-/// a few seconds old, so the saved state must always be much younger than that.
+/// a few seconds old, so the saved state must always be much newer than that.
 const SAVE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Saves the learned state at regular intervals.
--- a/crates/proxy/src/process/signals.rs
+++ b/crates/proxy/src/process/signals.rs
@@ -24,7 +24,7 @@
     /// SIGHUP, which reloads the configuration.
     pub reload: ReloadSignal,
     /// SIGTERM and SIGINT, which request shutdown.
-    pub stop: StopSignals,
+    pub shutdown: ShutdownSignals,
 }
 
 /// A signal that sets a flag when it is delivered.
@@ -42,8 +42,8 @@
 /// The handler of SIGHUP.
 pub struct ReloadSignal(SignalFlag);
 
-/// The handlers of SIGTERM and SIGINT, which set the same flag.
-pub struct StopSignals(SignalFlag);
+/// The handlers of SIGTERM and SIGINT, which both set the same flag.
+pub struct ShutdownSignals(SignalFlag);
 
 impl Signals {
     /// Installs the handlers.
@@ -52,8 +52,8 @@
     /// The operating system rejects a handler.
     pub fn install() -> Result<Signals, StartError> {
         let reload = install_handlers(&[("SIGHUP", SIGHUP)])?;
-        let stop = install_handlers(&[("SIGTERM", SIGTERM), ("SIGINT", SIGINT)])?;
-        Ok(Signals { reload: ReloadSignal(reload), stop: StopSignals(stop) })
+        let shutdown = install_handlers(&[("SIGTERM", SIGTERM), ("SIGINT", SIGINT)])?;
+        Ok(Signals { reload: ReloadSignal(reload), shutdown: ShutdownSignals(shutdown) })
     }
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-impl StopSignals {
+impl ShutdownSignals {
     /// Spawns the task that requests graceful shutdown at the first SIGTERM or SIGINT.
     pub fn spawn_task(self, lifecycle: Rc<Lifecycle>) {
         spawn_local(async move {
--- a/crates/proxy/src/process/startup.rs
+++ b/crates/proxy/src/process/startup.rs
@@ -20,7 +20,7 @@
 use crate::process::reload::Reload;
 use crate::process::resource_limits::{ResourceBudget, ResourceLimits};
 use crate::process::save_task::SaveTask;
-use crate::process::sibling_watch::{SiblingWatch, Siblings};
+use crate::process::shared_state_task::{ProcessCount, SharedStateTask};
 use crate::process::signals::Signals;
 use crate::process::state_files::StateFiles;
 use crate::process::transport::SocketTransport;
@@ -45,12 +45,12 @@
         serve_admin_api(admin_socket, &core, &lifecycle)?;
     }
 
-    signals.stop.spawn_task(lifecycle.clone());
+    signals.shutdown.spawn_task(lifecycle.clone());
     startup.spawn_save_task(&core, &lifecycle);
     let server = startup.client_server(&core, &lifecycle);
     let shared = startup.state.shares_listener();
-    lifecycle.set_sibling_running(startup.siblings.sibling_running());
-    startup.spawn_sibling_watch(core, &lifecycle, &server);
+    lifecycle.set_other_process_running(startup.process_count.others_running());
+    startup.spawn_shared_state_task(core, &lifecycle, &server);
     server.serve(Listener { socket: listener, shared }).await;
     Ok(())
 }
@@ -64,14 +64,14 @@
     Ok(())
 }
 
-/// The configuration and this process's share of the resources, as read at the start.
+/// The configuration and this process's share of the resources, as determined at the start.
 struct Startup {
     config: Config,
     settings: policy::Settings,
     /// The ids of the zones that the settings name.
     zones: Names,
     state: StateFiles,
-    siblings: Siblings,
+    process_count: ProcessCount,
     /// The resources that all processes of the balancer share.
     budget: ResourceBudget,
     /// This process's share of the budget.
@@ -79,17 +79,17 @@
 }
 
 impl Startup {
-    /// Reads the configuration, makes this process known to the others of the balancer and takes its share of the
-    /// resources.
+    /// Reads the configuration, registers this process with the other processes of the balancer and determines its share
+    /// of the resources.
     fn prepare(shares_listener: bool) -> Result<Startup, StartError> {
         let config = Config::read(environment_variable)?;
         let mut zones = Names::default();
         let settings = config.setup.to_policy_settings(&mut zones)?;
         let state = StateFiles::open(&config, shares_listener)?;
-        let siblings = Siblings::new(state.register_process()?);
+        let process_count = ProcessCount::new(state.register_process()?);
         let budget = ResourceBudget::new(&config);
-        let limits = budget.limits_per_process(siblings.known_processes());
-        Ok(Startup { config, settings, zones, state, siblings, budget, limits })
+        let limits = budget.limits_per_process(process_count.running());
+        Ok(Startup { config, settings, zones, state, process_count, budget, limits })
     }
 
     /// Builds the core and starts it with the cached endpoint list and the predecessor's learned state.
@@ -128,8 +128,8 @@
         Server::new(core.dispatcher.clone(), classes, tenants, self.limits.client, lifecycle.clone())
     }
 
-    /// Spawns the task that follows the other processes of the balancer, if there is a folder in which they share state.
-    fn spawn_sibling_watch(
+    /// Spawns the task that polls the shared state of the balancer's processes, if there is a folder for that state.
+    fn spawn_shared_state_task(
         self,
         core: Rc<Core>,
         lifecycle: &Rc<Lifecycle>,
@@ -138,13 +138,13 @@
         if !self.state.is_shared() {
             return;
         }
-        let watch = SiblingWatch {
-            siblings: self.siblings,
+        let task = SharedStateTask {
+            process_count: self.process_count,
             budget: self.budget,
             core,
             lifecycle: lifecycle.clone(),
             server: server.clone(),
         };
-        watch.spawn();
+        task.spawn();
     }
 }
--- a/crates/proxy/src/process/state_files.rs
+++ b/crates/proxy/src/process/state_files.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Config;
 use crate::error_chain::ErrorChain;
-use crate::lifecycle::hot_restart::{ProcessPresence, ProcessPresenceError};
+use crate::lifecycle::hot_restart::{ProcessRegistration, ProcessRegistrationError};
 use crate::lifecycle::overrides::OverrideStore;
 use crate::lifecycle::state_folder;
 use crate::log::log_line;
@@ -19,16 +19,16 @@
     /// The operator overrides.
     overrides: Rc<OverrideStore>,
     /// Whether other processes may accept from the same listener, so that a successor can start while this process
-    /// serves.
+    /// is running.
     shares_listener: bool,
 }
 
 impl StateFiles {
-    /// Opens the folder that `TMPDIR` names. Without a shared listener and an admin API there is no state to share, and
-    /// the folder is not opened.
+    /// Opens the folder that `TMPDIR` names. If the listener is not shared and there is no admin API, there is no state to
+    /// share, so the folder is not opened.
     ///
     /// # Errors
-    /// `TMPDIR` names something that is not a usable folder.
+    /// `TMPDIR` does not name a usable folder.
     pub fn open(config: &Config, shares_listener: bool) -> Result<StateFiles, StartError> {
         let is_used = shares_listener || config.admin_address.is_some();
         let folder = if is_used { state_folder::from_environment(environment_variable)? } else { None };
@@ -57,19 +57,19 @@
         self.folder.as_deref().filter(|_| self.shares_listener)
     }
 
-    /// Makes this process known to the others that share its listener. Returns `None` if it shares no listener, or if
-    /// no lock file can be created, for instance on a full disk. The process then serves without counting others.
+    /// Registers this process with the other processes that share its listener. Returns `None` if it shares no listener, or
+    /// if a lock file cannot be created, for instance on a full disk. The process then serves without counting others.
     ///
     /// # Errors
     /// Too many processes of this balancer are running.
-    pub fn register_process(&self) -> Result<Option<ProcessPresence>, StartError> {
-        match self.hot_restart_folder().map(ProcessPresence::enter).transpose() {
-            Err(error @ ProcessPresenceError::LockFile { .. }) => {
+    pub fn register_process(&self) -> Result<Option<ProcessRegistration>, StartError> {
+        match self.hot_restart_folder().map(ProcessRegistration::register).transpose() {
+            Err(error @ ProcessRegistrationError::LockFile { .. }) => {
                 let error = ErrorChain(&error);
                 log_line!("hot restart: other processes of this balancer are not seen: {error}");
                 Ok(None)
             }
-            presence => Ok(presence?),
+            registration => Ok(registration?),
         }
     }
 }
--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -121,7 +121,9 @@
 
 #[test]
 fn an_invalid_descriptor_or_address_ends_the_start_with_one_line() {
-    for (fd, why) in [("seven", "no descriptor"), ("99", "no open socket"), ("1", "no open socket")] {
+    for (fd, why) in
+        [("seven", "not a descriptor"), ("99", "not an open socket"), ("1", "not an open socket")]
+    {
         let output = run_until_exit(Some(&valid_config()), &[("EDGE_FD", fd)]);
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{fd}");
@@ -129,7 +131,7 @@
     }
     let taken = free_listener();
     let address = taken.local_addr().expect("the local address").to_string();
-    for (value, why) in [("here", "no address"), (&address[..], "in use")] {
+    for (value, why) in [("here", "not an address"), (&address[..], "in use")] {
         let output = run_until_exit(Some(&valid_config()), &[("EDGE_MANAGEMENT", value)]);
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{value}");
