--- a/crates/proxy/src/lifecycle/hot_restart/inherited_listener.rs
+++ b/crates/proxy/src/lifecycle/hot_restart/inherited_listener.rs
@@ -77,7 +77,7 @@
 
 /// Sets the flags of the socket: non-blocking for the runtime, and close-on-exec so that no child process inherits it. The
 /// socket is shared with other processes of the balancer. This process may close its descriptor, but must not shut the socket
-/// down, because that would end accepting in all of them.
+/// down, because then none of them could accept connections.
 fn set_flags(descriptor: BorrowedFd<'_>) -> io::Result<()> {
     let socket = SockRef::from(&descriptor);
     socket.set_cloexec(true)?;
--- a/crates/proxy/src/lifecycle/process_lifecycle.rs
+++ b/crates/proxy/src/lifecycle/process_lifecycle.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns whether the process may report that it is ready. A process without an endpoint list may do so
-    /// [`ENDPOINT_LIST_WAIT`] after its start.
+    /// `ENDPOINT_LIST_WAIT` after its start.
     pub fn may_report_ready(&self, has_endpoint_list: bool) -> bool {
         has_endpoint_list || self.started_at.elapsed() > ENDPOINT_LIST_WAIT
     }
--- a/crates/proxy/src/process/state_files.rs
+++ b/crates/proxy/src/process/state_files.rs
@@ -30,8 +30,8 @@
     /// # Errors
     /// `TMPDIR` does not name a usable folder.
     pub fn open(config: &Config, shares_listener: bool) -> Result<StateFiles, StartError> {
-        let is_used = shares_listener || config.admin_address.is_some();
-        let folder = if is_used { state_folder::from_environment(environment_variable)? } else { None };
+        let needs_folder = shares_listener || config.admin_address.is_some();
+        let folder = if needs_folder { state_folder::from_environment(environment_variable)? } else { None };
         let overrides = Rc::new(OverrideStore::open(folder.as_deref()));
         Ok(StateFiles { folder, overrides, shares_listener })
     }
