--- a/crates/proxy/src/dispatch/completion.rs
+++ b/crates/proxy/src/dispatch/completion.rs
@@ -55,7 +55,7 @@
     }
 
     /// Reports the end of the attempt. `load` is the load report in the response; `response` is the response to forward.
-    pub fn end(mut self, outcome: Outcome, load: Option<policy::LoadReport>, response: Option<R>) {
+    pub fn report(mut self, outcome: Outcome, load: Option<policy::LoadReport>, response: Option<R>) {
         self.reported = true;
         let result = AttemptResult { id: self.id, outcome, load, response };
         self.handler.clone().attempt_completed(result);
--- a/crates/proxy/src/dispatch/tests.rs
+++ b/crates/proxy/src/dispatch/tests.rs
@@ -111,7 +111,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let transport = FakeTransport::default();
         let dispatcher = dispatcher(&transport);
-        spawn_local(dispatcher.clone().run());
+        spawn_local(dispatcher.clone().run_timers());
         let ended = tokio::time::timeout(Duration::from_mins(1), test(transport, dispatcher)).await;
         assert!(ended.is_ok(), "the test waits for something that never happens");
     });
@@ -123,14 +123,14 @@
         for _ in 0..20 {
             let pending = dispatcher.submit(incoming(4_000_000));
             tokio::time::sleep(Duration::from_millis(50)).await;
-            transport.take().end(Outcome::Ok, None, Some(1));
+            transport.take().report(Outcome::Ok, None, Some(1));
             pending.final_response().await;
         }
         // A client that disconnects because its response is late lowers the concurrency limit.
         let late = dispatcher.submit(incoming(4_000_000));
         tokio::time::sleep(Duration::from_millis(200)).await;
         drop(late);
-        transport.take().end(Outcome::Reset, None, None);
+        transport.take().report(Outcome::Reset, None, None);
         let text = serde_json::to_vec(&dispatcher.saved_state()).expect("text");
         let saved = || serde_json::from_slice::<SavedState>(&text).expect("what was written");
         // The successor assigns other ids to the servers.
@@ -169,7 +169,7 @@
         assert_eq!(pending.final_response().await, FinalResponse::Failed(Failure::DeadlineExceeded));
         assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
         assert_eq!(transport.aborted.get(), 1);
-        late.end(Outcome::Ok, None, Some(7));
+        late.report(Outcome::Ok, None, Some(7));
         assert!(dispatcher.requests.len() == 0 && transport.sent.borrow().is_empty());
     });
 }
@@ -183,7 +183,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         dispatcher.abort_attempt(AttemptId { request: id, number: 0 }, Outcome::Cancelled);
         tokio::time::sleep(Duration::from_millis(300)).await;
-        transport.take().end(Outcome::Ok, None, Some(5));
+        transport.take().report(Outcome::Ok, None, Some(5));
         assert_eq!(pending.final_response().await, FinalResponse::Forwarded(5));
     });
 }
@@ -219,7 +219,7 @@
         let id = pending.request;
         dispatcher.start_attempt(dispatcher.clock.now(), id, 0, 0);
         assert_eq!(transport.sent.borrow().len(), 1);
-        transport.take().end(Outcome::Ok, None, Some(5));
+        transport.take().report(Outcome::Ok, None, Some(5));
         dispatcher.start_attempt(dispatcher.clock.now(), id, 0, 0);
         assert_eq!(pending.final_response().await, FinalResponse::Forwarded(5));
         assert!(transport.sent.borrow().is_empty() && dispatcher.requests.len() == 0);
@@ -244,7 +244,7 @@
     with_dispatcher(async |transport, dispatcher| {
         for _ in 0..10 * MIN_PRUNE_LENGTH {
             let pending = dispatcher.submit(incoming(4_000_000));
-            transport.take().end(Outcome::Ok, None, Some(5));
+            transport.take().report(Outcome::Ok, None, Some(5));
             assert_eq!(pending.final_response().await, FinalResponse::Forwarded(5));
         }
         assert!(dispatcher.timers.len() <= MIN_PRUNE_LENGTH);
@@ -256,7 +256,7 @@
     with_dispatcher(async |transport, dispatcher| {
         drop(dispatcher.submit(incoming(1_000_000)));
         assert_eq!(dispatcher.requests.len(), 1);
-        transport.take().end(Outcome::Reset, None, None);
+        transport.take().report(Outcome::Reset, None, None);
         assert!(dispatcher.requests.len() == 0 && transport.sent.borrow().is_empty());
     });
 }
--- a/crates/proxy/src/dispatch/timer_task.rs
+++ b/crates/proxy/src/dispatch/timer_task.rs
@@ -13,7 +13,7 @@
 
 impl<T: Transport> Dispatcher<T> {
     /// Fires the timers when they are due. Never returns.
-    pub async fn run(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next_due = self.timers.next_due();
             let earlier_timer = self.timers.earlier_timer();
--- a/crates/proxy/src/process/core.rs
+++ b/crates/proxy/src/process/core.rs
@@ -67,7 +67,7 @@
         if self.expects_push {
             self.watch_in_place_of_push();
         }
-        spawn_local(self.dispatcher.clone().run());
+        spawn_local(self.dispatcher.clone().run_timers());
     }
 
     /// Starts the watch for a policy that expects discovery to push changes. Discovery pushes nothing by itself, so the watch
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -72,7 +72,7 @@
             // on this outcome can reuse it.
             let not_ready =
                 result.connection.and_then(|connection| pool.put_if_ready(target.server, connection));
-            completion.end(result.outcome, result.load_report, result.response);
+            completion.report(result.outcome, result.load_report, result.response);
             if let Some(connection) = not_ready {
                 pool.put_when_ready(target.server, connection).await;
             }
--- a/crates/testbed/src/hollow/group.rs
+++ b/crates/testbed/src/hollow/group.rs
@@ -81,7 +81,7 @@
             let updated = dispatcher.clone();
             watching.watch(move |kind, endpoints| updated.update_endpoints(kind, endpoints));
         }
-        spawn_local(dispatcher.run());
+        spawn_local(dispatcher.run_timers());
         Ok(())
     }
 }
