--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -16,11 +16,11 @@
 
 /// Path of the complete list. A watch call adds a query to it.
 const LIST_PATH: &str = "/registry/instances";
-/// Time limit of a call, including its wait and its response. A call that exceeds the shorter limits of `poll_timing`
-/// continues beside the next calls until this limit.
+/// Time limit of a call, from its start until its response is complete. A call that exceeds the shorter limits of
+/// `poll_timing` continues in parallel with the next calls until this limit.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Maximum size of a response body, in bytes. It is three times the size that the largest fleet needs, and two calls at
-/// once stay within 32 MB of memory.
+/// Maximum size of a response body, in bytes. It is three times the size of the largest fleet's list, and two
+/// simultaneous calls stay within 32 MB of memory.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// The request of a call.
--- a/crates/proxy/src/discovery/error.rs
+++ b/crates/proxy/src/discovery/error.rs
@@ -19,7 +19,7 @@
     #[error("the request cannot be built: {0}")]
     InvalidRequest(#[source] hyper::http::Error),
     /// The request was not sent completely, or no response head was received.
-    #[error("the request was not answered: {0}")]
+    #[error("the request was not sent, or no response was received: {0}")]
     Request(#[source] hyper::Error),
     /// The response has another status than 200.
     #[error("the response has status {0}, expected 200 OK")]
@@ -28,7 +28,7 @@
     #[error("the response body cannot be read: {0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
     /// The body is not a valid endpoint list.
-    #[error("the response body is no endpoint list: {0}")]
+    #[error("the response body is not an endpoint list: {0}")]
     Format(#[source] serde_json::Error),
     /// No complete response was received in time.
     #[error("no complete response within {0:?}")]
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -28,19 +28,20 @@
 pub use list::EndpointList;
 
 /// Maximum number of retries of the first call to a new address before a failure is reported to the policy.
-const RETRIES_AT_NEW_ADDRESS: u32 = 4;
+const MAX_RETRIES_AT_NEW_ADDRESS: u32 = 4;
 
 /// The client of discovery.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    /// Number of changes of the address. A fetch that began before a change is ignored.
+    /// Number of address changes so far. The response to a fetch that began before a change is ignored.
     address_changes: Cell<u64>,
-    /// The version of the list that was passed on last, or `None` if the complete list has to be fetched first.
+    /// The version of the list that was passed to the dispatcher last, or `None` if the complete list has to be
+    /// fetched first.
     generation: Cell<Option<u64>>,
-    /// Whether the client restarts a failed watch itself. Otherwise the policy decides when.
+    /// Whether the client restarts a failed watch by itself. Otherwise the policy decides when the watch restarts.
     restarts_by_itself: bool,
     timing: PollTiming,
-    /// The task of the present watch, or `None` before the first. Each borrow ends within one statement.
+    /// The task of the current watch, or `None` before the first watch. Each borrow ends within one statement.
     watch_task: RefCell<Option<AbortHandle>>,
     /// Whether the watch has failed and its next call waits for the policy.
     awaits_policy: Cell<bool>,
@@ -70,7 +71,7 @@
         })
     }
 
-    /// Changes the address of discovery: ends the present watch and its connection, fetches the complete list from the new
+    /// Changes the address of discovery: ends the current watch and its connection, fetches the complete list from the new
     /// address at once and then watches it. The known version is dropped, because versions of different discovery services
     /// cannot be compared.
     pub fn change_address(
@@ -83,11 +84,11 @@
         }
         self.address_changes.set(self.address_changes.get() + 1);
         self.generation.set(None);
-        self.start_watch(RETRIES_AT_NEW_ADDRESS, on_list);
+        self.start_watch(MAX_RETRIES_AT_NEW_ADDRESS, on_list);
     }
 
     /// Starts the watch, which passes each list to `on_list`. After a reported failure, this method lets the watch make its
-    /// next call, unless the watch restarts by itself. A watch in progress continues with its present callback.
+    /// next call, unless the watch restarts by itself. A watch in progress continues with its current callback.
     pub fn watch(self: &Rc<Self>, on_list: impl Fn(ListKind, Vec<Endpoint>) + 'static) {
         if self.awaits_policy.replace(false) {
             self.watch_requested.notify_one();
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Starts a watch and ends the present one.
+    /// Starts a watch and ends the current one.
     fn start_watch(
         self: &Rc<Self>,
         unreported_retries: u32,
@@ -127,10 +128,11 @@
             Ok(response) => {
                 let list = response.list;
                 let generation = self.generation.get();
-                // The watch may have passed on a newer list during the fetch. The fetched list would undo its changes.
-                let watch_was_faster = generation != generation_before
+                // The watch may have passed on a newer list during the fetch. The fetched list would undo the changes of
+                // that list.
+                let is_outdated = generation != generation_before
                     && generation.is_some_and(|known| list.generation < known);
-                if !watch_was_faster {
+                if !is_outdated {
                     self.generation.set(Some(list.generation));
                     on_list(ListKind::Snapshot, list.into_endpoints());
                 }
--- a/crates/proxy/src/discovery/name_ids.rs
+++ b/crates/proxy/src/discovery/name_ids.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-/// Assigns ids to names. An id is never assigned twice: code that still holds the id of a removed name cannot take another
-/// name for it, and a name that is added again gets a new id without its former state.
+/// Assigns ids to names. An id is never assigned twice: the id of a removed name, which other code may still hold, never
+/// refers to another name, and a name that is added again gets a new id without its former state.
 #[derive(Default)]
 pub(super) struct NameIds {
     by_name: HashMap<String, u32>,
--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -15,7 +15,7 @@
 /// instances. The limit bounds the memory that the names take.
 const MAX_FORMER_INSTANCES: usize = 4096;
 
-/// An endpoint as listed last, with the ids of its zone and machine type.
+/// An endpoint as last listed, with the ids of its zone and machine type.
 struct RegisteredEndpoint {
     endpoint: Endpoint,
     zone: u32,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The consequences of a change of the registry.
+/// What a change of the registry requires of the policy and of the connections.
 #[derive(Debug, Default, PartialEq)]
 pub struct RegistryUpdate {
     /// The entries to pass to the policy.
@@ -149,7 +149,7 @@
         update
     }
 
-    /// Applies a list from discovery and returns the consequences.
+    /// Applies a list from discovery. Returns the entries for the policy and the connections to close.
     pub fn apply_list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) -> RegistryUpdate {
         let mut update = RegistryUpdate::default();
         update.entries.reserve(endpoints.len());
--- a/crates/proxy/src/discovery/registry/tests.rs
+++ b/crates/proxy/src/discovery/registry/tests.rs
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn a_removed_endpoint_is_forgotten_and_its_id_is_never_reused() {
+fn a_removed_endpoint_leaves_the_registry_and_its_id_is_never_reused() {
     let mut zones = Names::default();
     let home = zones.intern("home");
     let mut registry = Registry::new(&zones);
-    let mut seen = HashSet::new();
+    let mut assigned_ids = HashSet::new();
     for round in 0..1000 {
         let name = format!("s-{}", round % 7);
         let added = registry.apply_list(ListKind::Delta, vec![endpoint(&name, 80, ServerState::Ready)]);
         let id = added.entries[0].id;
-        assert!(seen.insert(id) && added.close_idle.is_empty() && added.entries[0].weight == 1.0);
+        assert!(assigned_ids.insert(id) && added.close_idle.is_empty() && added.entries[0].weight == 1.0);
         // A draining endpoint is still listed.
         registry.apply_list(ListKind::Delta, vec![endpoint(&name, 80, ServerState::Draining)]);
         assert!(registry.target(id).is_some());
@@ -34,7 +34,7 @@
             registry.apply_list(ListKind::Snapshot, Vec::new())
         };
         assert_eq!((removed.close_idle, registry.target(id)), (vec![id], None));
-        // Removing it once more changes nothing.
+        // Removing the endpoint again changes nothing.
         let again = registry.apply_list(ListKind::Delta, vec![endpoint(&name, 80, ServerState::Removed)]);
         assert_eq!(again, RegistryUpdate::default());
     }
@@ -52,12 +52,16 @@
     registry.apply_list(ListKind::Snapshot, vec![ready(None), endpoint("b", 81, ServerState::Ready)]);
     let mut overrides = OperatorOverrides::default();
     overrides.exclude("a");
-    let id = registry.server_id("a").expect("it is listed");
+    let id = registry.server_id("a").expect("the endpoint is listed");
     let excluded = registry.apply_overrides(&overrides);
     assert_eq!((excluded.entries.len(), excluded.entries[0].state), (1, ServerState::Draining));
     assert_eq!(excluded.close_idle, [id]);
     assert!(registry.target(id).is_none());
-    assert_eq!(registry.apply_overrides(&overrides), RegistryUpdate::default(), "applied once more");
+    assert_eq!(
+        registry.apply_overrides(&overrides),
+        RegistryUpdate::default(),
+        "applying the same overrides again changes nothing"
+    );
     // The endpoint stays excluded after a changed entry, a complete list, and its removal and return.
     let draining = |started| vec![(ServerState::Draining, started)];
     assert_eq!(state(registry.apply_list(ListKind::Delta, vec![ready(Some(3))])), draining(Some(3)));
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -6,14 +6,14 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use zincstand_policy::{Action, Event};
 
-/// The fault of discovery before it can be reached. A call that is made during the fault fails for good.
+/// How discovery fails before it can be reached. A call that is made during the fault never succeeds.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     ConnectionRefused,
     Reset,
     Closed,
-    Busy,
-    Silent,
+    Unavailable,
+    NoResponse,
     Truncated,
     Trickle,
     InvalidList,
@@ -21,7 +21,8 @@
 
 use Fault::*;
 
-const FAULTS: [Fault; 8] = [ConnectionRefused, Reset, Closed, Busy, Silent, Truncated, Trickle, InvalidList];
+const FAULTS: [Fault; 8] =
+    [ConnectionRefused, Reset, Closed, Unavailable, NoResponse, Truncated, Trickle, InvalidList];
 
 /// One run of a balancer's discovery client on a virtual clock.
 #[derive(Clone, Copy, Debug)]
@@ -29,20 +30,21 @@
     fault: Fault,
     /// The interval at which the policy polls, or `None` if the watch restarts by itself.
     poll_interval: Option<Duration>,
-    grace: Duration,
-    /// Whether a cached list is known at the start.
-    known: bool,
-    /// When discovery can be reached and has the change, counted from the start.
+    drain_grace: Duration,
+    /// Whether the client has a cached list at the start.
+    cached: bool,
+    /// Time from the start until discovery can be reached and has the change.
     reachable_after: Duration,
-    /// When the address of discovery changes, counted from the start; the first address never responds. `None` if there is
-    /// no change.
+    /// Time from the start until the address of discovery changes, or `None` if it does not change. The first address never
+    /// responds.
     address_changes_after: Option<Duration>,
     /// How long a complete response takes. It is sent in pieces.
     response_time: Duration,
     seed: u64,
 }
 
-/// The policy with its timers, if it polls, and the time at which the first list was received.
+/// A policy that polls with its timers, or does nothing if the watch restarts by itself, and the time at which the first
+/// list was received.
 struct PollingPolicy {
     balancer: RefCell<zincstand_policy::Balancer>,
     discovery: Rc<Discovery>,
@@ -59,10 +61,10 @@
         for action in actions {
             match action {
                 Action::Timer { delay, token } => {
-                    let this = self.clone();
+                    let policy = self.clone();
                     spawn_local(async move {
                         sleep(Duration::from_micros(delay)).await;
-                        this.handle(Event::Timer { token });
+                        policy.handle(Event::Timer { token });
                     });
                 }
                 Action::Watch => self.discovery.watch(self.list_handler()),
@@ -72,20 +74,20 @@
     }
 
     fn list_handler(self: &Rc<Self>) -> impl Fn(ListKind, Vec<Endpoint>) + 'static {
-        let this = self.clone();
-        move |kind, listed| {
-            if kind != ListKind::Failed && !listed.is_empty() && this.received_at.get().is_none() {
-                this.received_at.set(Some(Instant::now()));
+        let policy = self.clone();
+        move |kind, endpoints| {
+            if kind != ListKind::Failed && !endpoints.is_empty() && policy.received_at.get().is_none() {
+                policy.received_at.set(Some(Instant::now()));
             }
-            if this.polls {
-                this.handle(Event::EndpointList { kind, entries: Vec::new() });
+            if policy.polls {
+                policy.handle(Event::EndpointList { kind, entries: Vec::new() });
             }
         }
     }
 }
 
-/// Responds to the one call of a connection: with the fault before `reachable_after`, and with a list from then on.
-async fn answer(mut stream: TcpStream, case: Case, reachable_after: Instant) {
+/// Responds to the only call on a connection: before `reachable_after` with the fault, from then on with a list.
+async fn respond(mut stream: TcpStream, case: Case, reachable_after: Instant) {
     let complete = r#"{"generation":42,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","zone":"a","lifecycle":"DRAINING"}]}"#;
     let head = |length| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
     let mut call = BytesMut::new();
@@ -103,16 +105,18 @@
         }
         return std::future::pending().await;
     }
-    let bad = match case.fault {
-        ConnectionRefused | Silent => String::new(),
-        Reset => return socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option"),
+    let faulty_response = match case.fault {
+        ConnectionRefused | NoResponse => String::new(),
+        Reset => {
+            return socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("linger is set");
+        }
         Closed => return,
-        Busy => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        Unavailable => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
         InvalidList => head(2) + "{}",
         Truncated => head(complete.len()) + &complete[..20],
         Trickle => head(100_000),
     };
-    let _ = stream.write_all(bad.as_bytes()).await;
+    let _ = stream.write_all(faulty_response.as_bytes()).await;
     while matches!(case.fault, Trickle) && stream.write_all(b" ").await.is_ok() {
         sleep(Duration::from_millis(20)).await;
     }
@@ -127,9 +131,9 @@
 
 impl BoundSocket {
     fn new() -> BoundSocket {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
-        BoundSocket { address: socket.local_addr().expect("an address"), socket }
+        let socket = TcpSocket::new_v4().expect("the socket is created");
+        socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port is free");
+        BoundSocket { address: socket.local_addr().expect("the socket has an address"), socket }
     }
 }
 
@@ -138,9 +142,9 @@
     if matches!(case.fault, ConnectionRefused) {
         sleep_until(reachable_after).await;
     }
-    let listener = socket.listen(64).expect("it listens");
+    let listener = socket.listen(64).expect("the socket listens");
     while let Ok((stream, _)) = listener.accept().await {
-        spawn_local(answer(stream, case, reachable_after));
+        spawn_local(respond(stream, case, reachable_after));
     }
 }
 
@@ -157,10 +161,10 @@
     let mut settings = zincstand_policy::Settings::new(vec![class]);
     settings.discovery = zincstand_policy::DiscoveryMode::Poll;
     settings.rules.max_poll_interval = case.poll_interval.unwrap_or_default().as_micros() as u64;
-    zincstand_policy::Balancer::new(settings, case.seed).expect("good settings")
+    zincstand_policy::Balancer::new(settings, case.seed).expect("the settings are valid")
 }
 
-/// Returns the time until the change is received, counted from when discovery has it and its address is known.
+/// Returns the time from when discovery has the change and its address is known until the change is received.
 fn time_until_received(case: Case) -> Duration {
     let run = async {
         let start = Instant::now();
@@ -168,11 +172,11 @@
         let BoundSocket { address, socket } = BoundSocket::new();
         // The first address accepts connections and never responds, or refuses connections.
         let BoundSocket { address: old_address, socket: old_socket } = BoundSocket::new();
-        let _silent =
-            (!matches!(case.fault, ConnectionRefused)).then(|| old_socket.listen(64).expect("it listens"));
+        let _silent_listener = (!matches!(case.fault, ConnectionRefused))
+            .then(|| old_socket.listen(64).expect("the socket listens"));
         let first_address = if case.address_changes_after.is_some() { old_address } else { address };
         let polls = case.poll_interval.is_some();
-        let discovery = Discovery::new(first_address, case.known.then_some(41), !polls, case.grace);
+        let discovery = Discovery::new(first_address, case.cached.then_some(41), !polls, case.drain_grace);
         let policy = Rc::new(PollingPolicy {
             balancer: RefCell::new(balancer(case)),
             discovery,
@@ -198,45 +202,45 @@
         received_at.duration_since(reachable_after.max(address_known_at))
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), run)
+    tokio::task::LocalSet::new().block_on(&runtime.expect("the runtime starts"), run)
 }
 
-/// The settings with the greatest influence on the watch.
+/// The settings that influence the watch most.
 #[derive(Clone, Copy)]
-struct Mode {
+struct WatchSettings {
     /// The drain grace period.
-    grace: Duration,
+    drain_grace: Duration,
     /// The interval at which the policy polls, or `None` if the watch restarts by itself.
     poll_interval: Option<Duration>,
 }
 
 /// Returns all combinations of short, usual and long times.
-fn modes() -> impl Iterator<Item = Mode> {
+fn watch_settings() -> impl Iterator<Item = WatchSettings> {
     let ms = Duration::from_millis;
-    let graces = [ms(1), ms(2_500), ms(90_000)];
+    let drain_graces = [ms(1), ms(2_500), ms(90_000)];
     let poll_intervals = [None, Some(ms(50)), Some(ms(60_000))];
-    graces
-        .into_iter()
-        .flat_map(move |grace| poll_intervals.map(|poll_interval| Mode { grace, poll_interval }))
+    drain_graces.into_iter().flat_map(move |drain_grace| {
+        poll_intervals.map(|poll_interval| WatchSettings { drain_grace, poll_interval })
+    })
 }
 
 #[test]
 fn a_change_is_received_soon_after_discovery_can_be_reached_whatever_failed_before() {
-    for Mode { grace, poll_interval } in modes() {
+    for WatchSettings { drain_grace, poll_interval } in watch_settings() {
         for fault in FAULTS {
-            for (reachable_after_ms, known) in [(1, true), (1, false), (3_700, true), (7_300, false)] {
+            for (reachable_after_ms, cached) in [(1, true), (1, false), (3_700, true), (7_300, false)] {
                 let case = Case {
                     fault,
                     poll_interval,
-                    grace,
-                    known,
+                    drain_grace,
+                    cached,
                     reachable_after: Duration::from_millis(reachable_after_ms),
                     address_changes_after: None,
                     response_time: Duration::ZERO,
-                    seed: reachable_after_ms + u64::from(known),
+                    seed: reachable_after_ms + u64::from(cached),
                 };
                 let elapsed = time_until_received(case);
-                // A change counts as received after 6 s, and the first call of a process is spread over 3 s.
+                // A change counts as received after 6 s, and the first calls of processes are spread over 3 s.
                 assert!(elapsed < Duration::from_secs(4), "{elapsed:?} {case:?}");
             }
         }
@@ -245,15 +249,15 @@
 
 #[test]
 fn a_slow_list_is_received_although_earlier_calls_hang() {
-    for Mode { grace, poll_interval } in modes() {
+    for WatchSettings { drain_grace, poll_interval } in watch_settings() {
         for (fault, reachable_after_ms) in
-            [(Silent, 1), (Trickle, 1), (Silent, 3_700), (Trickle, 3_700), (ConnectionRefused, 3_700)]
+            [(NoResponse, 1), (Trickle, 1), (NoResponse, 3_700), (Trickle, 3_700), (ConnectionRefused, 3_700)]
         {
             let case = Case {
                 fault,
                 poll_interval,
-                grace,
-                known: true,
+                drain_grace,
+                cached: true,
                 reachable_after: Duration::from_millis(reachable_after_ms),
                 address_changes_after: None,
                 response_time: Duration::from_millis(1_600),
@@ -268,7 +272,7 @@
 #[test]
 fn after_a_change_of_address_the_complete_list_is_received_within_4_s_whatever_fails_first() {
     let ms = Duration::from_millis;
-    for Mode { grace, poll_interval } in modes() {
+    for WatchSettings { drain_grace, poll_interval } in watch_settings() {
         for (seed, fault) in (1..).zip(FAULTS) {
             // The new address either responds slowly from the start, and no request of the policy may restart the call,
             // or it fails the first calls.
@@ -277,8 +281,8 @@
                 let case = Case {
                     fault,
                     poll_interval,
-                    grace,
-                    known: true,
+                    drain_grace,
+                    cached: true,
                     reachable_after: ms(reachable_after),
                     address_changes_after: Some(address_changes_after),
                     response_time: ms(response_time),
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -42,12 +42,12 @@
     on_list: F,
     /// The connection that the next call reuses, or `None` if the next call opens one.
     connection: Option<DiscoveryConnection>,
-    /// A late call that continues beside the next calls, or `None` if there is none.
+    /// A late call that continues in parallel with the next calls, or `None` if there is none.
     late_call: Option<ListCall>,
     next_call: NextCall,
     /// The backoff after the next failure.
     backoff: Duration,
-    /// Number of failures that are still retried before one is reported to the policy.
+    /// Number of failures that are retried before the next one is reported to the policy.
     unreported_retries: u32,
 }
 
@@ -67,8 +67,8 @@
     }
 
     /// Makes one call after another. Never returns. A call without a response, or with a response that does not end, must
-    /// not delay the watch, but the list of a slow call must not be lost either. Therefore a late call continues beside the
-    /// next call, and the first complete response of the two counts.
+    /// not delay the watch, but the list of a slow call must not be lost either. Therefore a late call continues in parallel
+    /// with the next call, and the first complete response of the two is used.
     pub(super) async fn run(mut self) {
         loop {
             match self.next_result().await {
@@ -98,7 +98,7 @@
             && !list.reset
             && list.generation < known
         {
-            // Changes that lead to an older version cannot be applied to the list that is known here.
+            // Changes that lead to an older version cannot be applied to the known list.
             let address = self.discovery.address.get();
             let version = list.generation;
             log_line!(
@@ -120,7 +120,7 @@
         let address = self.discovery.address.get();
         let error = &failure.error;
         log_line!("discovery: no endpoint list received (address {address}): {error}");
-        // If two calls are late, the earlier one continues, because it is closer to its end.
+        // If two calls are late, only the earlier one continues, because it ends sooner.
         self.late_call = self.late_call.take().or(failure.unfinished);
         if self.unreported_retries > 0 || self.discovery.restarts_by_itself {
             self.unreported_retries = self.unreported_retries.saturating_sub(1);
--- a/crates/proxy/src/dispatch/active_request.rs
+++ b/crates/proxy/src/dispatch/active_request.rs
@@ -12,8 +12,8 @@
 use crate::dispatch::transport::Transport;
 
 /// A request that the policy has left without a response fails this long before the client's deadline, in microseconds, so
-/// that the client still receives the response in time. Attempts end by then too.
-pub(super) const LAST_RESORT_MARGIN: Micros = 5_000;
+/// that the client still receives the response in time. Attempts end at that time at the latest.
+pub(super) const DEADLINE_MARGIN: Micros = 5_000;
 
 /// Sends the final response of a request to its [`PendingRequest`](crate::dispatch::PendingRequest).
 pub(super) type Responder<R> = oneshot::Sender<FinalResponse<R>>;
@@ -38,7 +38,7 @@
     pub(super) id: AttemptId,
     /// The request to send, or `None` if the settings or the state of the request forbid the attempt.
     pub(super) request: Option<Rc<R>>,
-    /// Time limit in microseconds, cut to the time that the client has left.
+    /// Time limit in microseconds, at most the time that the client has left.
     pub(super) time_limit: Micros,
     /// Whether the time limit is running. The limit starts only when the request's body has arrived completely, because
     /// the upstream cannot have received the complete request earlier.
@@ -68,7 +68,7 @@
     server: ServerId,
     /// The server's address, or `None` if the server was not listed: such an attempt is never sent.
     target: Option<Target>,
-    /// When the attempt's time started, in microseconds of Unix time.
+    /// The time from which the attempt's time limit and latency count, in microseconds of Unix time.
     started: Micros,
     /// Time limit in microseconds.
     time_limit: Micros,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns whether the request has its final response, or no client any more, and no attempt in flight.
+    /// Returns whether the request has no attempt in flight, and its final response was sent or its client disconnected.
     pub(super) fn is_done(&self) -> bool {
         self.responder.is_none() && self.attempts.is_empty()
     }
@@ -151,7 +151,7 @@
         let number = self.attempts_started;
         self.attempts_started += 1;
         let deadline = self.deadline.unwrap_or(now + self.time_left);
-        let time_left = deadline.saturating_sub(now + LAST_RESORT_MARGIN);
+        let time_left = deadline.saturating_sub(now + DEADLINE_MARGIN);
         let time_limit = match attempt.time_limit {
             0 => time_left,
             time_limit => time_limit.min(time_left),
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Returns whether the limits of the settings and the state of the request allow another attempt. The policy keeps
-    /// to these rules itself; the check here limits the damage if it has a defect.
+    /// Returns whether the limits of the settings and the state of the request allow another attempt. The policy follows
+    /// these rules itself; this check limits the damage if the policy has a defect.
     fn allows_attempt(&self, number: u32, time_limit: Micros, limits: &policy::Limits) -> bool {
         let is_hedge = !self.attempts.is_empty();
         self.responder.is_some()
@@ -205,7 +205,7 @@
     pub(super) fn complete_body(&mut self, id: RequestId, now: Micros) -> BodyCompletion {
         let deadline = now + self.time_left;
         self.deadline = Some(deadline);
-        let time_left = self.time_left.saturating_sub(LAST_RESORT_MARGIN);
+        let time_left = self.time_left.saturating_sub(DEADLINE_MARGIN);
         let mut attempt_limits = Vec::new();
         for attempt in &mut self.attempts {
             attempt.started = now;
@@ -247,15 +247,15 @@
     }
 
     /// Returns the numbers of the attempts that were handed to the transport, have no connection yet and go to a target
-    /// that `selected` accepts.
+    /// for which `is_selected` returns true.
     pub(super) fn unconnected_attempts(
         &self,
-        selected: impl Fn(Option<Target>) -> bool,
+        is_selected: impl Fn(Option<Target>) -> bool,
     ) -> impl Iterator<Item = u32> {
         self.attempts
             .iter()
             .filter(|attempt| attempt.handle.as_ref().is_some_and(|handle| !T::has_connection(handle)))
-            .filter(move |attempt| selected(attempt.target))
+            .filter(move |attempt| is_selected(attempt.target))
             .map(|attempt| attempt.number)
     }
 }
--- a/crates/proxy/src/dispatch/active_requests.rs
+++ b/crates/proxy/src/dispatch/active_requests.rs
@@ -26,9 +26,9 @@
         ActiveRequests { by_id: RefCell::new(HashMap::new()), next_id: Cell::new(0) }
     }
 
-    /// Runs `operation` on the table. Every access goes through this one borrow, and it is never taken twice:
-    /// operations call only methods of [`ActiveRequest`] and the queries of [`Transport`], neither of which calls the
-    /// dispatcher. A final response that is sent here only wakes the task that waits for it.
+    /// Runs `operation` on the table. All accesses borrow the table here, and the borrows are never nested:
+    /// operations call only methods of [`ActiveRequest`] and the queries of [`Transport`], none of which calls the
+    /// dispatcher. Sending a final response here only wakes the task that waits for it.
     fn with_table<R>(&self, operation: impl FnOnce(&mut HashMap<RequestId, ActiveRequest<T>>) -> R) -> R {
         operation(&mut self.by_id.borrow_mut())
     }
@@ -60,8 +60,8 @@
         self.with_request(id, |active| active.client_disconnected()).unwrap_or(false)
     }
 
-    /// Takes the sender of a request's final response, so that only the caller can respond. Returns `None` if the request
-    /// was answered, its client disconnected or the request is not active any more.
+    /// Takes the sender of a request's final response, so that only the caller can respond. Returns `None` if the final
+    /// response was sent, the client disconnected or the request is not active any more.
     pub(super) fn take_responder(&self, id: RequestId) -> Option<Responder<T::Response>> {
         self.with_request(id, ActiveRequest::take_responder)?
     }
@@ -77,7 +77,7 @@
         self.remove_if_done(id);
     }
 
-    /// Removes a request that has its final response, or no client any more, and no attempt in flight.
+    /// Removes a request if it has no attempt in flight, and its final response was sent or its client disconnected.
     pub(super) fn remove_if_done(&self, id: RequestId) {
         self.with_table(|requests| {
             if requests.get(&id).is_some_and(ActiveRequest::is_done) {
@@ -111,14 +111,15 @@
         self.with_request(result.id.request, |active| active.finish_attempt(now, result))?
     }
 
-    /// Starts the client's time because the body of a request is complete. Returns the timers to set, or `None` if the
+    /// Starts the time limits of a request whose body is now complete. Returns the timers to set, or `None` if the
     /// request is not active any more.
     pub(super) fn complete_body(&self, id: RequestId, now: Micros) -> Option<BodyCompletion> {
         self.with_request(id, |active| active.complete_body(id, now))
     }
 
-    /// Returns the attempts without a connection of a request whose client no longer waits, ordered by number.
-    pub(super) fn unconnected_without_client(&self, id: RequestId) -> Vec<AttemptId> {
+    /// Returns the attempts of one request that have no connection, ordered by number, or no attempts if the client still
+    /// waits for the response.
+    pub(super) fn unconnected_attempts_without_client(&self, id: RequestId) -> Vec<AttemptId> {
         let attempts = self.with_request(id, |active| {
             if active.awaits_response() {
                 return Vec::new();
@@ -130,13 +131,13 @@
         attempts
     }
 
-    /// Returns the attempts of all requests that have no connection and go to a target that `selected` accepts, ordered
-    /// by request and number.
-    pub(super) fn unconnected_to(&self, selected: impl Fn(Target) -> bool) -> Vec<AttemptId> {
+    /// Returns the attempts of all requests that have no connection and go to a target for which `is_selected` returns true,
+    /// ordered by request and number.
+    pub(super) fn unconnected_attempts_to(&self, is_selected: impl Fn(Target) -> bool) -> Vec<AttemptId> {
         let mut attempts = Vec::new();
         self.with_table(|requests| {
             for (&request, active) in requests.iter() {
-                let unconnected = active.unconnected_attempts(|target| target.is_some_and(&selected));
+                let unconnected = active.unconnected_attempts(|target| target.is_some_and(&is_selected));
                 attempts.extend(unconnected.map(|number| AttemptId { request, number }));
             }
         });
--- a/crates/proxy/src/dispatch/applied_overrides.rs
+++ b/crates/proxy/src/dispatch/applied_overrides.rs
@@ -1,4 +1,4 @@
-//! The operator overrides and the version of them that the policy knows.
+//! The operator overrides, and the version of them that was last applied to the policy.
 
 use std::cell::{Cell, Ref};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 }
 
 impl AppliedOverrides {
-    /// Returns the overrides of `store`, with its present version as the applied one. The caller applies
+    /// Returns the overrides of `store`, with its current version as the applied one. The caller applies
     /// [`current`](Self::current) before the policy's first event.
     pub(super) fn new(store: Rc<OverrideStore>) -> AppliedOverrides {
         let applied_version = Cell::new(store.version());
@@ -28,8 +28,8 @@
         self.applied_version.replace(version) != version
     }
 
-    /// Returns the overrides in force. The borrow has to end before the next call to the store; the registry copies
-    /// from it and calls nothing.
+    /// Returns the overrides in force. The borrow must end before the next call to the store. It does, because the registry
+    /// only copies from it and calls nothing.
     pub(super) fn current(&self) -> Ref<'_, OperatorOverrides> {
         self.store.current()
     }
@@ -37,7 +37,7 @@
     /// Changes the overrides for all processes of the balancer and stores them.
     ///
     /// # Errors
-    /// See [`OverrideError`]. The overrides have not changed then.
+    /// See [`OverrideError`]. The overrides are unchanged after an error.
     pub(super) async fn change(
         &self,
         change: impl FnOnce(&mut OperatorOverrides) + Send + 'static,
--- a/crates/proxy/src/dispatch/attempts.rs
+++ b/crates/proxy/src/dispatch/attempts.rs
@@ -24,20 +24,20 @@
         // If the client has disconnected, the upstream would process a request whose response nobody reads, or receive the
         // beginning of a body that will never be complete.
         if self.requests.client_disconnected(request) {
-            self.client_disconnected(request);
+            self.on_client_disconnect(request);
         }
         let target = self.endpoints.target(server);
         let new_attempt = NewAttempt { request, server, target, started: now, time_limit };
         let Some(attempt) = self.requests.register_attempt(&new_attempt, &self.limits) else {
-            self.report_unknown_request(request, server);
+            self.report_inactive_request(request, server);
             return;
         };
-        let (Some(content), Some(target)) = (attempt.request, target) else {
+        let (Some(request_to_send), Some(target)) = (attempt.request, target) else {
             self.complete_attempt(AttemptResult::without_response(attempt.id, Outcome::NotSent));
             return;
         };
         let completion = AttemptCompletion::new(self.clone(), attempt.id);
-        let handle = self.transport.send(target, content, attempt.time_limit, completion);
+        let handle = self.transport.send(target, request_to_send, attempt.time_limit, completion);
         self.requests.set_handle(attempt.id, handle);
         if attempt.limit_runs {
             self.set_timer(now + attempt.time_limit, TimerKind::AttemptLimit(attempt.id));
@@ -46,7 +46,7 @@
 
     /// Notifies the policy that an attempt was not sent because its request is not active any more. The event is only
     /// queued: an attempt starts while the actions of an earlier event are applied, and the queue is handled after that.
-    fn report_unknown_request(&self, request: RequestId, server: ServerId) {
+    fn report_inactive_request(&self, request: RequestId, server: ServerId) {
         self.events.push(Event::Outcome {
             request,
             attempt: 0,
--- a/crates/proxy/src/dispatch/clock.rs
+++ b/crates/proxy/src/dispatch/clock.rs
@@ -5,9 +5,9 @@
 use tokio::time::Instant;
 use zincstand_policy::Micros;
 
-/// Unix time as read once at the start, advanced by the runtime's monotonic clock. The policy needs Unix time, because
-/// endpoint lists give the start times of servers in Unix time. The monotonic clock prevents jumps of the policy's time when
-/// the system's clock is set.
+/// Unix time that is read once at the start and then advanced by the runtime's monotonic clock. The policy needs Unix time,
+/// because endpoint lists give the start times of servers in Unix time. The monotonic clock prevents jumps of the policy's
+/// time when the system's clock is set.
 pub(super) struct Clock {
     unix_at_start: Micros,
     start: Instant,
@@ -20,7 +20,7 @@
         Clock { unix_at_start: unix_time.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// Returns the present time, in microseconds of Unix time.
+    /// Returns the current time, in microseconds of Unix time.
     pub(super) fn now(&self) -> Micros {
         self.unix_at_start + self.start.elapsed().as_micros() as Micros
     }
--- a/crates/proxy/src/dispatch/dispatcher.rs
+++ b/crates/proxy/src/dispatch/dispatcher.rs
@@ -21,15 +21,15 @@
 
 /// Owns the policy, the active requests and the timers.
 ///
-/// Each field that owns mutable state borrows it only for the length of one method call, and calls no other field meanwhile
-/// apart from read-only queries. A method of the dispatcher may therefore call another method of the dispatcher at any
-/// point, also from within an action of the policy.
+/// Each field that owns mutable state borrows it only for the duration of one method call, and during that call only
+/// queries other fields. A method of the dispatcher may therefore call any other method of the dispatcher at any point, also
+/// while an action of the policy is applied.
 pub struct Dispatcher<T: Transport> {
     /// The connections to upstreams and to discovery.
     pub(super) transport: T,
     /// The clock of all times that the policy is given.
     pub(super) clock: Clock,
-    /// The limits of the settings, which the dispatcher enforces whatever the policy decides.
+    /// The limits of the settings, which the dispatcher enforces regardless of the policy's decisions.
     pub(super) limits: policy::Limits,
     /// The policy's state.
     pub(super) policy: PolicyOwner,
@@ -126,10 +126,10 @@
     fn check_health(self: &Rc<Self>, server: ServerId) {
         let Some(target) = self.endpoints.target(server) else { return };
         let dispatcher = self.clone();
-        self.transport.health_check(target, move |result| dispatcher.health_checked(server, result));
+        self.transport.health_check(target, move |result| dispatcher.on_health_check_result(server, result));
     }
 
-    fn health_checked(self: &Rc<Self>, server: ServerId, result: HealthCheckResult) {
+    fn on_health_check_result(self: &Rc<Self>, server: ServerId, result: HealthCheckResult) {
         self.submit_event(Event::HealthChecked {
             server,
             outcome: result.outcome,
--- a/crates/proxy/src/dispatch/endpoint_table.rs
+++ b/crates/proxy/src/dispatch/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint registry as the dispatcher owns it.
+//! The endpoint registry of the dispatcher.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 use crate::discovery::registry::{Registry, RegistryUpdate};
 use crate::lifecycle::overrides::OperatorOverrides;
 
-/// The endpoints that discovery has listed, and whether there was a list yet.
+/// The endpoints that discovery has listed, and whether any list was applied yet.
 pub(super) struct EndpointTable {
     registry: RefCell<Registry>,
     has_list: Cell<bool>,
@@ -22,7 +22,7 @@
         EndpointTable { registry: RefCell::new(Registry::new(zones)), has_list: Cell::new(false) }
     }
 
-    /// Runs `operation` on the registry. Every access goes through this one borrow, and it is never taken twice: the
+    /// Runs `operation` on the registry. All accesses borrow the registry here, and the borrows are never nested: the
     /// registry calls no callback, and its updates are applied after the borrow has ended.
     fn with_registry<R>(&self, operation: impl FnOnce(&mut Registry) -> R) -> R {
         operation(&mut self.registry.borrow_mut())
@@ -44,7 +44,8 @@
         self.with_registry(|registry| registry.accepts_requests(target))
     }
 
-    /// Returns whether operators may name this instance: it was listed at some time or has an override.
+    /// Returns whether operators may exclude or include this instance: it was listed and its name is
+    /// retained, or it has an override.
     pub(super) fn knows_instance(&self, name: &str) -> bool {
         self.with_registry(|registry| registry.knows_instance(name))
     }
--- a/crates/proxy/src/dispatch/endpoints.rs
+++ b/crates/proxy/src/dispatch/endpoints.rs
@@ -11,11 +11,11 @@
 use crate::lifecycle::overrides::{OperatorOverrides, OverrideError};
 
 impl<T: Transport> Dispatcher<T> {
-    /// Excludes an upstream until [`include`](Self::include), whatever discovery says. Returns false if no upstream
-    /// has that name. Once this returns, no further request is sent to the upstream.
+    /// Excludes an upstream until [`include`](Self::include), regardless of what discovery reports. Returns false
+    /// if no upstream has that name. Once this returns, no further request is sent to the upstream.
     ///
     /// # Errors
-    /// See [`OverrideError`]. The overrides have not changed then.
+    /// See [`OverrideError`]. The overrides are unchanged after an error.
     pub async fn exclude(self: &Rc<Self>, name: &str) -> Result<bool, OverrideError> {
         let excluded = name.to_owned();
         self.change_overrides(name, move |overrides, _| overrides.exclude(&excluded)).await
@@ -25,7 +25,7 @@
     /// that name.
     ///
     /// # Errors
-    /// See [`OverrideError`]. The overrides have not changed then.
+    /// See [`OverrideError`]. The overrides are unchanged after an error.
     pub async fn include(self: &Rc<Self>, name: &str) -> Result<bool, OverrideError> {
         let included = name.to_owned();
         self.change_overrides(name, move |overrides, now| overrides.include(&included, now)).await
@@ -48,8 +48,8 @@
         Ok(true)
     }
 
-    /// Applies the operator overrides if they have changed in this process or another. Every event is preceded by this
-    /// call, so an override is in force here from the moment at which another process has confirmed it.
+    /// Applies the operator overrides if they have changed in this process or another. This call precedes every
+    /// event, so an override takes effect in this process as soon as another process has confirmed it.
     pub fn apply_overrides(self: &Rc<Self>) {
         if !self.overrides.refresh() {
             return;
@@ -58,7 +58,7 @@
         let entries = self.close_idle_connections(update);
         if !entries.is_empty() {
             self.handle_event(Event::EndpointList { kind: ListKind::Delta, entries });
-            self.abort_attempts_to_closed_endpoints();
+            self.abort_unconnected_attempts();
         }
     }
 
@@ -68,10 +68,10 @@
         let update = self.endpoints.apply_list(kind, endpoints);
         let entries = self.close_idle_connections(update);
         self.handle_event(Event::EndpointList { kind, entries });
-        self.abort_attempts_to_closed_endpoints();
+        self.abort_unconnected_attempts();
     }
 
-    /// Closes the idle connections that a change of the registry names. Returns the entries for the policy.
+    /// Closes the idle connections that an update of the registry lists. Returns the entries for the policy.
     fn close_idle_connections(&self, update: RegistryUpdate) -> Vec<ServerEntry> {
         for server in update.close_idle {
             self.transport.close_idle(server);
@@ -91,10 +91,11 @@
         move |kind, endpoints| dispatcher.update_endpoints(kind, endpoints)
     }
 
-    /// Aborts the attempts that have no connection yet and go to endpoints that accept no new requests any more. Their
+    /// Aborts the attempts that have no connection yet and go to endpoints that no longer accept new requests. Their
     /// connections might be established long after the grace period of the drain.
-    fn abort_attempts_to_closed_endpoints(self: &Rc<Self>) {
-        let attempts = self.requests.unconnected_to(|target| !self.endpoints.accepts_requests(target));
+    fn abort_unconnected_attempts(self: &Rc<Self>) {
+        let attempts =
+            self.requests.unconnected_attempts_to(|target| !self.endpoints.accepts_requests(target));
         for attempt in attempts {
             self.abort_attempt(attempt, Outcome::Cancelled);
         }
--- a/crates/proxy/src/dispatch/event_queue.rs
+++ b/crates/proxy/src/dispatch/event_queue.rs
@@ -5,7 +5,7 @@
 
 use zincstand_policy::Event;
 
-/// Events that the policy has not handled yet, in order, with the flag that keeps their handling from re-entering.
+/// Events that the policy has not handled yet, in order, and the flag that prevents reentrant handling.
 ///
 /// Applying an action of the policy may cause another event on the same call stack. That event waits in the queue until
 /// all actions of the event before it are applied.
@@ -17,18 +17,18 @@
 }
 
 impl EventQueue {
-    /// Runs `operation` on the queue. Every access goes through this one borrow, and it is never taken twice: the
+    /// Runs `operation` on the queue. All accesses borrow the queue here, and the borrows are never nested: the
     /// operations below only add or remove one event.
     fn with_events<R>(&self, operation: impl FnOnce(&mut VecDeque<Event>) -> R) -> R {
         operation(&mut self.events.borrow_mut())
     }
 
-    /// Adds an event behind the others.
+    /// Adds an event at the end of the queue.
     pub(super) fn push(&self, event: Event) {
         self.with_events(|events| events.push_back(event));
     }
 
-    /// Begins to handle the queued events. Returns false if a caller further up the stack handles them already.
+    /// Begins to handle the queued events. Returns false if a caller further up the stack is already handling them.
     pub(super) fn begin_handling(&self) -> bool {
         !self.is_handling.replace(true)
     }
--- a/crates/proxy/src/dispatch/messages.rs
+++ b/crates/proxy/src/dispatch/messages.rs
@@ -8,7 +8,7 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
-    /// The client's time ran out.
+    /// The client's deadline passed or is about to pass.
     DeadlineExceeded,
     /// An upstream failed.
     Upstream,
@@ -28,7 +28,7 @@
     Failed(Failure),
 }
 
-/// A request as downstream submits it.
+/// A request as `downstream` submits it.
 pub struct IncomingRequest<R> {
     /// The class of the request.
     pub class: policy::ClassId,
--- a/crates/proxy/src/dispatch/pending_request.rs
+++ b/crates/proxy/src/dispatch/pending_request.rs
@@ -12,9 +12,9 @@
 use crate::dispatch::transport::Transport;
 use crate::log::log_line;
 
-/// Time that is subtracted from the client's time before the policy receives it, in microseconds. It allows for the
-/// transfer of the response to the client and for the granularity of timers.
-const POLICY_MARGIN: Micros = 10_000;
+/// Subtracted from the time that the client has left before that time is passed to the policy, in microseconds. The margin
+/// allows for the transfer of the response to the client and for the granularity of timers.
+const POLICY_DEADLINE_MARGIN: Micros = 10_000;
 
 impl<T: Transport> Dispatcher<T> {
     /// Submits a request to the policy. The returned [`PendingRequest`] receives its final response.
@@ -25,12 +25,12 @@
         let deadline = (!incoming.body_pending).then_some(now + time_left);
         let id = self.requests.insert(ActiveRequest::new(incoming.request, sender, deadline, time_left));
         if let Some(deadline) = deadline {
-            self.set_last_resort(id, deadline);
+            self.set_deadline_timer(id, deadline);
         }
         self.submit_event(Event::Request {
             id,
             class: incoming.class,
-            time_left: time_left.saturating_sub(POLICY_MARGIN),
+            time_left: time_left.saturating_sub(POLICY_DEADLINE_MARGIN),
             tenant: incoming.tenant,
             work: incoming.estimated_work,
             marked_retry: incoming.marked_retry,
@@ -41,24 +41,25 @@
 
     /// Handles the arrival of the last byte of a request's body. The time limits of the request and of its attempts start
     /// now.
-    pub(super) fn body_completed(self: &Rc<Self>, request: RequestId) {
+    pub(super) fn on_body_complete(self: &Rc<Self>, request: RequestId) {
         let now = self.clock.now();
         let Some(completion) = self.requests.complete_body(request, now) else { return };
-        self.set_last_resort(request, completion.deadline);
+        self.set_deadline_timer(request, completion.deadline);
         for limit in completion.attempt_limits {
             self.set_timer(now + limit.time_limit, TimerKind::AttemptLimit(limit.attempt));
         }
         self.submit_event(Event::BodyComplete { request });
     }
 
-    /// Handles the disconnection of a client, unless its request has the final response already.
-    pub(super) fn client_disconnected(self: &Rc<Self>, request: RequestId) {
+    /// Handles the disconnection of a client. Does nothing if its request already has the final response.
+    pub(super) fn on_client_disconnect(self: &Rc<Self>, request: RequestId) {
         if self.requests.take_responder(request).is_none() {
             return;
         }
         self.submit_event(Event::ClientDisconnected { request });
-        // Attempts that still wait for a connection would make upstreams work for a response that nobody reads.
-        for attempt in self.requests.unconnected_without_client(request) {
+        // An attempt that still waits for a connection would make an upstream process a request whose response nobody
+        // reads.
+        for attempt in self.requests.unconnected_attempts_without_client(request) {
             self.abort_attempt(attempt, Outcome::Cancelled);
         }
         self.requests.remove_if_done(request);
@@ -93,7 +94,7 @@
             biased;
             response = self.receive() => return Ok(response),
             end = body_end => match end {
-                BodyEnd::Complete => self.dispatcher.body_completed(self.request),
+                BodyEnd::Complete => self.dispatcher.on_body_complete(self.request),
                 end => return Err(end),
             },
         }
@@ -111,6 +112,6 @@
 
 impl<T: Transport> Drop for PendingRequest<T> {
     fn drop(&mut self) {
-        self.dispatcher.client_disconnected(self.request);
+        self.dispatcher.on_client_disconnect(self.request);
     }
 }
--- a/crates/proxy/src/dispatch/policy_owner.rs
+++ b/crates/proxy/src/dispatch/policy_owner.rs
@@ -8,7 +8,7 @@
 
 use crate::log::log_line;
 
-/// Owns the policy's state. No other code in the proxy calls it.
+/// Owns the policy's state. No other code in the proxy calls the policy.
 pub(super) struct PolicyOwner {
     balancer: RefCell<policy::Balancer>,
 }
@@ -23,7 +23,7 @@
         Ok(PolicyOwner { balancer: RefCell::new(balancer) })
     }
 
-    /// Runs `operation` on the policy. Every access goes through this one borrow, and it is never taken twice: the
+    /// Runs `operation` on the policy. All accesses borrow the state here, and the borrows are never nested: the
     /// policy does no I/O and calls nothing in the proxy. Its actions are applied after the borrow has ended.
     fn with_balancer<R>(&self, operation: impl FnOnce(&mut policy::Balancer) -> R) -> R {
         operation(&mut self.balancer.borrow_mut())
@@ -31,11 +31,11 @@
 
     /// Passes an event to the policy, which appends its actions to `actions`.
     ///
-    /// A panic of the policy is logged and ends here, so that the process goes on serving other requests. Requests that
-    /// the policy leaves without a response fail by their last-resort timer.
+    /// A panic of the policy is caught and logged here, so that the process continues to serve other requests. The timer
+    /// `TimerKind::RequestDeadline` fails the requests that the policy leaves without a response.
     pub(super) fn handle(&self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // `AssertUnwindSafe` accepts that a panic may leave the policy's state inconsistent: the dispatcher enforces the
-        // limits of attempts and the deadlines of requests itself. Unwinding ends the borrow.
+        // A panic may leave the policy's state inconsistent, which `AssertUnwindSafe` permits: the dispatcher itself
+        // enforces the limits of attempts and the deadlines of requests. Unwinding releases the borrow.
         let handled = catch_unwind(AssertUnwindSafe(|| {
             self.with_balancer(|balancer| balancer.handle(now, event, actions));
         }));
--- a/crates/proxy/src/dispatch/saved_state.rs
+++ b/crates/proxy/src/dispatch/saved_state.rs
@@ -22,7 +22,7 @@
     }
 
     /// Restores the state that the predecessor has saved, unless it is too old. The first endpoint list has to be
-    /// applied before: state of zones and servers that have no id in this process is dropped.
+    /// applied before this call, because state of zones and servers without an id in this process is dropped.
     pub fn restore(&self, saved: SavedState) {
         let SavedState { mut learned, zones, servers } = saved;
         let now = self.clock.now();
@@ -44,9 +44,9 @@
 fn translate_id(
     id: &mut u32,
     names: &HashMap<u32, String>,
-    own_id: impl FnOnce(&str) -> Option<u32>,
+    id_by_name: impl FnOnce(&str) -> Option<u32>,
 ) -> bool {
-    let Some(translated) = names.get(id).and_then(|name| own_id(name)) else { return false };
+    let Some(translated) = names.get(id).and_then(|name| id_by_name(name)) else { return false };
     *id = translated;
     true
 }
--- a/crates/proxy/src/dispatch/tests.rs
+++ b/crates/proxy/src/dispatch/tests.rs
@@ -17,12 +17,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// A transport that stores the completions of the attempts. `ran` is its answer to whether an aborted attempt may have run.
+/// A transport that stores the completions of the attempts. `may_have_run` is what it returns when an attempt is aborted.
 #[derive(Clone, Default)]
 struct FakeTransport {
     sent: Rc<RefCell<Vec<AttemptCompletion<u32>>>>,
     aborted: Rc<Cell<u32>>,
-    ran: Rc<Cell<bool>>,
+    may_have_run: Rc<Cell<bool>>,
 }
 
 impl Transport for FakeTransport {
@@ -43,7 +43,7 @@
     }
     fn abort(&self, (): ()) -> bool {
         self.aborted.set(self.aborted.get() + 1);
-        self.ran.get()
+        self.may_have_run.get()
     }
     fn health_check(&self, _: Target, _: impl FnOnce(HealthCheckResult) + 'static) {}
     fn close_idle(&self, _: ServerId) {}
@@ -53,7 +53,7 @@
 
 impl FakeTransport {
     fn take(&self) -> AttemptCompletion<u32> {
-        self.sent.borrow_mut().pop().expect("an attempt")
+        self.sent.borrow_mut().pop().expect("an attempt was sent")
     }
 }
 
@@ -88,7 +88,8 @@
 
 fn dispatcher(transport: &FakeTransport) -> Rc<Dispatcher<FakeTransport>> {
     let (store, names) = (Rc::default(), Names::default());
-    let dispatcher = Dispatcher::new(settings(), &names, 1, store, transport.clone()).expect("good settings");
+    let dispatcher =
+        Dispatcher::new(settings(), &names, 1, store, transport.clone()).expect("the settings are valid");
     dispatcher.update_endpoints(ListKind::Snapshot, vec![endpoint()]);
     dispatcher
 }
@@ -105,15 +106,15 @@
     }
 }
 
-/// Runs a test on a paused clock, with the dispatcher's timers running.
+/// Runs a test on a paused clock, with a dispatcher whose timer task runs.
 fn with_dispatcher(test: impl AsyncFnOnce(FakeTransport, Rc<Dispatcher<FakeTransport>>)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let transport = FakeTransport::default();
         let dispatcher = dispatcher(&transport);
         spawn_local(dispatcher.clone().run_timers());
         let ended = tokio::time::timeout(Duration::from_mins(1), test(transport, dispatcher)).await;
-        assert!(ended.is_ok(), "the test waits for something that never happens");
+        assert!(ended.is_ok(), "the test did not end within a minute");
     });
 }
 
@@ -126,17 +127,17 @@
             transport.take().report(Outcome::Ok, None, Some(1));
             pending.final_response().await;
         }
-        // A client that disconnects because its response is late lowers the concurrency limit.
-        let late = dispatcher.submit(incoming(4_000_000));
+        // A client that disconnects before its late response arrives lowers the concurrency limit.
+        let disconnected = dispatcher.submit(incoming(4_000_000));
         tokio::time::sleep(Duration::from_millis(200)).await;
-        drop(late);
+        drop(disconnected);
         transport.take().report(Outcome::Reset, None, None);
-        let text = serde_json::to_vec(&dispatcher.saved_state()).expect("text");
-        let saved = || serde_json::from_slice::<SavedState>(&text).expect("what was written");
+        let text = serde_json::to_vec(&dispatcher.saved_state()).expect("the state serializes");
+        let saved = || serde_json::from_slice::<SavedState>(&text).expect("the saved state deserializes");
         // The successor assigns other ids to the servers.
         let settings = settings();
         let successor = Dispatcher::new(settings, &Names::default(), 1, Rc::default(), transport.clone())
-            .expect("settings");
+            .expect("the settings are valid");
         let other = Endpoint { instance: "s-0".to_owned(), zone: "b".to_owned(), ..endpoint() };
         successor.update_endpoints(ListKind::Snapshot, vec![other, endpoint()]);
         successor.restore(saved());
@@ -144,32 +145,32 @@
         assert_eq!(after.learned.all_classes, before.learned.all_classes);
         let concurrency_limit = |saved: &SavedState, name: &str| {
             let zone = saved.learned.zones.iter().find(|z| saved.zones[&z.zone] == name);
-            zone.expect("it is known").concurrency_limit
+            zone.expect("the zone is in the saved state").concurrency_limit
         };
         assert_eq!(concurrency_limit(&after, "a"), concurrency_limit(&before, "a"));
         assert_ne!(concurrency_limit(&before, "a"), concurrency_limit(&after, "b"));
         // State that is too old is not restored.
-        let mut old = saved();
-        old.learned.saved_at -= 2 * MAX_SAVED_AGE;
-        let late = Dispatcher::new(self::settings(), &Names::default(), 1, Rc::default(), transport)
-            .expect("settings");
-        late.update_endpoints(ListKind::Snapshot, vec![endpoint()]);
-        late.restore(old);
-        assert_eq!(late.saved_state().learned.all_classes.counts, []);
+        let mut expired = saved();
+        expired.learned.saved_at -= 2 * MAX_SAVED_AGE;
+        let unrestored = Dispatcher::new(self::settings(), &Names::default(), 1, Rc::default(), transport)
+            .expect("the settings are valid");
+        unrestored.update_endpoints(ListKind::Snapshot, vec![endpoint()]);
+        unrestored.restore(expired);
+        assert_eq!(unrestored.saved_state().learned.all_classes.counts, []);
     });
 }
 
 #[test]
 fn an_attempt_that_times_out_is_aborted_once_and_its_late_result_is_ignored() {
     with_dispatcher(async |transport, dispatcher| {
-        transport.ran.set(true);
+        transport.may_have_run.set(true);
         let pending = dispatcher.submit(incoming(1_000_000));
-        let late = transport.take();
+        let late_completion = transport.take();
         let start = Instant::now();
         assert_eq!(pending.final_response().await, FinalResponse::Failed(Failure::DeadlineExceeded));
-        assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
+        assert!(start.elapsed() < Duration::from_secs(1), "the response came after the client's deadline");
         assert_eq!(transport.aborted.get(), 1);
-        late.report(Outcome::Ok, None, Some(7));
+        late_completion.report(Outcome::Ok, None, Some(7));
         assert!(dispatcher.requests.len() == 0 && transport.sent.borrow().is_empty());
     });
 }
@@ -207,13 +208,13 @@
         dispatcher.timers.retain(|kind| !matches!(kind, TimerKind::Policy { .. }));
         let start = Instant::now();
         assert_eq!(pending.final_response().await, FinalResponse::Failed(Failure::DeadlineExceeded));
-        assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
+        assert!(start.elapsed() < Duration::from_secs(1), "the response came after the client's deadline");
         assert!(dispatcher.requests.len() == 0 && transport.sent.borrow().is_empty());
     });
 }
 
 #[test]
-fn no_attempt_is_sent_beside_one_in_flight_or_after_the_response() {
+fn no_attempt_is_sent_while_another_is_in_flight_or_after_the_response() {
     with_dispatcher(async |transport, dispatcher| {
         let pending = dispatcher.submit(incoming(1_000_000));
         let id = pending.request;
@@ -252,7 +253,7 @@
 }
 
 #[test]
-fn a_request_without_a_client_is_forgotten_when_its_attempt_ends() {
+fn a_request_without_a_client_is_removed_when_its_attempt_ends() {
     with_dispatcher(async |transport, dispatcher| {
         drop(dispatcher.submit(incoming(1_000_000)));
         assert_eq!(dispatcher.requests.len(), 1);
--- a/crates/proxy/src/dispatch/timer_task.rs
+++ b/crates/proxy/src/dispatch/timer_task.rs
@@ -4,7 +4,7 @@
 
 use zincstand_policy::{Event, Micros, Outcome, RequestId};
 
-use crate::dispatch::active_request::LAST_RESORT_MARGIN;
+use crate::dispatch::active_request::DEADLINE_MARGIN;
 use crate::dispatch::dispatcher::Dispatcher;
 use crate::dispatch::messages::{Failure, FinalResponse};
 use crate::dispatch::timers::TimerKind;
@@ -39,15 +39,15 @@
 
     /// Sets the timer that fails a request shortly before the client's deadline if the policy leaves it without a
     /// response. `deadline` is in microseconds of Unix time.
-    pub(super) fn set_last_resort(&self, request: RequestId, deadline: Micros) {
-        self.set_timer(deadline.saturating_sub(LAST_RESORT_MARGIN), TimerKind::LastResort(request));
+    pub(super) fn set_deadline_timer(&self, request: RequestId, deadline: Micros) {
+        self.set_timer(deadline.saturating_sub(DEADLINE_MARGIN), TimerKind::RequestDeadline(request));
     }
 
     fn on_timer(self: &Rc<Self>, kind: TimerKind) {
         match kind {
             TimerKind::Policy { token } => self.submit_event(Event::Timer { token }),
             TimerKind::AttemptLimit(attempt) => self.abort_attempt(attempt, Outcome::TimedOut),
-            TimerKind::LastResort(request) => self.fail_unanswered(request),
+            TimerKind::RequestDeadline(request) => self.fail_unanswered(request),
         }
     }
 
--- a/crates/proxy/src/dispatch/timers.rs
+++ b/crates/proxy/src/dispatch/timers.rs
@@ -10,7 +10,7 @@
 
 use crate::dispatch::completion::AttemptId;
 
-/// A queue of fewer timers is never pruned: the memory that pruning would free is not worth a pass over the queue.
+/// A queue with fewer timers is never pruned: the freed memory would not be worth a pass over the queue.
 pub(super) const MIN_PRUNE_LENGTH: usize = 512;
 
 /// The purpose of a timer.
@@ -23,14 +23,15 @@
     },
     /// The time limit of an attempt.
     AttemptLimit(AttemptId),
-    /// Shortly before the client's deadline: the request fails if the policy has left it without a response.
-    LastResort(RequestId),
+    /// The time, shortly before the client's deadline, at which the request fails if the policy has left it without a
+    /// response.
+    RequestDeadline(RequestId),
 }
 
 /// The timers that are set, with the signal that wakes the timer task.
 pub(super) struct Timers {
     queue: RefCell<TimerQueue>,
-    /// Wakes the timer task for a timer that is due before all others.
+    /// Wakes the timer task when a timer was set that is due before all others.
     earlier_timer: Notify,
 }
 
@@ -40,8 +41,8 @@
         Timers { queue: RefCell::new(TimerQueue::new()), earlier_timer: Notify::new() }
     }
 
-    /// Runs `operation` on the queue. Every access goes through this one borrow, and it is never taken twice: the only
-    /// foreign code that runs meanwhile is `is_active` in [`set`](Self::set), which reads the table of requests.
+    /// Runs `operation` on the queue. All accesses borrow the queue here, and the borrows are never nested: the only
+    /// outside code that runs during a borrow is `is_active` in [`set`](Self::set), which reads the table of requests.
     fn with_queue<R>(&self, operation: impl FnOnce(&mut TimerQueue) -> R) -> R {
         operation(&mut self.queue.borrow_mut())
     }
@@ -134,7 +135,7 @@
         self.retain(|kind| match kind {
             TimerKind::Policy { .. } => true,
             TimerKind::AttemptLimit(attempt) => is_active(attempt.request),
-            TimerKind::LastResort(request) => is_active(*request),
+            TimerKind::RequestDeadline(request) => is_active(*request),
         });
         self.prune_length = (2 * self.timers.len()).max(MIN_PRUNE_LENGTH);
     }
