--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -5,50 +5,50 @@
 /// A request that has no final answer yet.
 pub(crate) struct Request {
     class: ClassId,
-    /// Time at which its clock started: its arrival, or the end of its body.
-    arrived_at: Micros,
-    /// Time after which a response earns nothing.
+    /// Time from which its duration counts: its arrival, or the end of its body if that was pending.
+    started_at: Micros,
+    /// Time after which a response has no utility.
     useful_until: Micros,
     /// Time until which its client waits.
     deadline: Micros,
     /// Number of attempts sent so far.
     attempts: u32,
-    /// Its one retry of an attempt that may have run has been sent or is scheduled.
+    /// Whether a retry after an attempt that may have run has been sent or scheduled. At most one is allowed.
     retried: bool,
     /// Expected latency relative to a request with the mean work of its class; 1 without a hint.
     work_scale: f64,
     /// Earliest attempt that may have run.
-    first_run: Option<AttemptOrigin>,
+    first_run: Option<AttemptPlacement>,
     /// Attempt in flight.
     attempt: Option<AttemptInFlight>,
     /// Server of the latest attempt.
     last_server: Option<ServerId>,
     /// Time before which no retry is sent.
     not_before: Micros,
-    /// Its body has not arrived completely. Until then its clock has not started, and its attempt takes no
-    /// slot.
+    /// Whether its body has not arrived completely. Until it has, the duration of the request does not count,
+    /// and its attempt takes no slot.
     body_pending: bool,
 }
 
 /// A request at its arrival.
 pub(crate) struct NewRequest {
-    /// Class of the request, which may not exist.
+    /// Class of the request. It may be unknown.
     pub class: ClassId,
     /// How long its client waits, in microseconds.
     pub time_left: Micros,
     /// Hinted work in microseconds, `None` without a hint.
     pub work: Option<Micros>,
-    /// Its body has not arrived completely.
+    /// Whether its body has not arrived completely.
     pub body_pending: bool,
 }
 
 impl Request {
-    /// Creates a request without attempts. Its response is of use for `useful_time` microseconds, or for as
-    /// long as its client waits if that is less.
+    /// Creates a request without attempts. Its response has utility for `useful_time` microseconds, or until
+    /// its deadline if that is earlier.
     pub fn new(new: &NewRequest, now: Micros, useful_time: Micros, work_scale: f64) -> Self {
         Request {
             class: new.class,
-            arrived_at: now,
+            started_at: now,
             useful_until: now + useful_time.min(new.time_left),
             deadline: now + new.time_left,
             attempts: 0,
@@ -67,12 +67,12 @@
         self.class
     }
 
-    /// Time at which its clock started: its arrival, or the end of its body.
-    pub fn arrived_at(&self) -> Micros {
-        self.arrived_at
+    /// Time from which its duration counts: its arrival, or the end of its body if that was pending.
+    pub fn started_at(&self) -> Micros {
+        self.started_at
     }
 
-    /// Time after which a response earns nothing.
+    /// Time after which a response has no utility.
     pub fn useful_until(&self) -> Micros {
         self.useful_until
     }
@@ -87,7 +87,7 @@
         self.attempts
     }
 
-    /// Whether its one retry of an attempt that may have run has been sent or is scheduled.
+    /// Whether a retry after an attempt that may have run has been sent or scheduled. At most one is allowed.
     pub fn retried(&self) -> bool {
         self.retried
     }
@@ -98,13 +98,13 @@
     }
 
     /// Earliest attempt that may have run, `None` if none has.
-    pub fn first_run(&self) -> Option<AttemptOrigin> {
+    pub fn first_run(&self) -> Option<AttemptPlacement> {
         self.first_run
     }
 
-    /// Time and place of the attempt in flight, `None` without one.
-    pub fn attempt_origin(&self) -> Option<AttemptOrigin> {
-        self.attempt.as_ref().map(|attempt| attempt.origin)
+    /// Time, zone and cell of the attempt in flight, `None` without one.
+    pub fn attempt_placement(&self) -> Option<AttemptPlacement> {
+        self.attempt.as_ref().map(|attempt| attempt.placement)
     }
 
     /// Server of the latest attempt, `None` before the first one.
@@ -113,7 +113,7 @@
     }
 
     /// Server of the attempt in flight, `None` without one.
-    pub fn server_in_use(&self) -> Option<ServerId> {
+    pub fn current_server(&self) -> Option<ServerId> {
         self.last_server.filter(|_| self.attempt.is_some())
     }
 
@@ -127,9 +127,10 @@
         self.body_pending
     }
 
-    /// Returns the time that counts for this request: `now`, or its arrival while its clock has not started.
-    pub fn clock(&self, now: Micros) -> Micros {
-        if self.body_pending { self.arrived_at } else { now }
+    /// Returns the time that its time limits are compared with: `now`, or its arrival while its body is
+    /// pending.
+    pub fn effective_now(&self, now: Micros) -> Micros {
+        if self.body_pending { self.started_at } else { now }
     }
 
     /// Records the start of an attempt.
@@ -137,43 +138,44 @@
         &mut self,
         now: Micros,
         server: &ServerEntry,
-        timeout_blame: TimeoutBlame,
+        timeout_attribution: TimeoutAttribution,
         idle_bucket: usize,
     ) {
-        let origin = AttemptOrigin { sent_at: now, zone: server.zone, cell: server.cell };
+        let placement = AttemptPlacement { sent_at: now, zone: server.zone, cell: server.cell };
         self.attempts += 1;
         self.last_server = Some(server.id);
-        self.attempt = Some(AttemptInFlight { origin, timeout_blame, idle_bucket });
+        self.attempt = Some(AttemptInFlight { placement, timeout_attribution, idle_bucket });
     }
 
     /// Records the end of the attempt in flight and returns that attempt, `None` without one.
     pub fn end_attempt(&mut self, outcome: Outcome) -> Option<AttemptInFlight> {
         let attempt = self.attempt.take()?;
         if !outcome.never_ran() {
-            self.first_run.get_or_insert(attempt.origin);
+            self.first_run.get_or_insert(attempt.placement);
         }
         Some(attempt)
     }
 
-    /// Records that its one retry of an attempt that may have run is used.
-    pub fn use_retry(&mut self) {
+    /// Records that a retry after an attempt that may have run is sent or scheduled.
+    pub fn mark_retried(&mut self) {
         self.retried = true;
     }
 
-    /// Puts off the next attempt until `time`.
+    /// Delays the next attempt until `time`.
     pub fn delay_until(&mut self, time: Micros) {
         self.not_before = time;
     }
 
-    /// Starts its clock: its body has arrived completely.
+    /// Records that its body has arrived completely: its duration counts from `now`, so its deadlines move by
+    /// the duration of the upload.
     pub fn complete_body(&mut self, now: Micros) {
-        let upload_time = now - self.arrived_at;
-        self.arrived_at = now;
+        let upload_time = now - self.started_at;
+        self.started_at = now;
         self.body_pending = false;
         self.useful_until += upload_time;
         self.deadline += upload_time;
         if let Some(attempt) = &mut self.attempt {
-            attempt.origin.sent_at = now;
+            attempt.placement.sent_at = now;
         }
     }
 }
@@ -181,15 +183,15 @@
 /// Whether a request may exceed a full concurrency limit.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Priority {
-    /// The request keeps to the limit.
+    /// The request must not exceed the limit.
     Normal,
-    /// The request may exceed the limit: its class earns much for little work.
+    /// The request may exceed the limit: its class has much utility for little work.
     Express,
 }
 
 /// When and where an attempt was sent.
 #[derive(Clone, Copy)]
-pub(crate) struct AttemptOrigin {
+pub(crate) struct AttemptPlacement {
     /// Time at which it was sent, or at which the body of its request was complete if that was later.
     pub sent_at: Micros,
     /// Zone of its server.
@@ -198,30 +200,30 @@
     pub cell: u32,
 }
 
-/// Attribution of a time-out.
+/// Whether a timeout of an attempt counts against its server.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum TimeoutBlame {
-    /// The time-out counts against the server, which took longer than usual.
+pub(crate) enum TimeoutAttribution {
+    /// The timeout counts against the server, which took longer than usual.
     Server,
-    /// The time-out counts against nobody: the remaining time of the request, or the short limit of a retry,
-    /// ended the attempt.
-    Nobody,
+    /// The timeout does not count against the server: the remaining time of the request, or the short limit
+    /// of a retry, ended the attempt.
+    None,
 }
 
 /// The time limit of an attempt.
 pub(crate) struct AttemptLimit {
     /// Maximum duration in microseconds.
     pub duration: Micros,
-    /// Attribution of a time-out at this limit.
-    pub timeout_blame: TimeoutBlame,
+    /// Whether a timeout at this limit counts against the server.
+    pub timeout_attribution: TimeoutAttribution,
 }
 
 /// An attempt without an outcome.
 pub(crate) struct AttemptInFlight {
     /// When and where it was sent.
-    pub origin: AttemptOrigin,
-    /// Attribution of its time-out.
-    pub timeout_blame: TimeoutBlame,
+    pub placement: AttemptPlacement,
+    /// Whether its timeout counts against the server.
+    pub timeout_attribution: TimeoutAttribution,
     /// Bucket of the time for which its connection had been idle, see [`crate::idle_connections`].
     pub idle_bucket: usize,
 }
@@ -232,7 +234,7 @@
     Finished,
     /// Only a final answer may follow: the body of the request was forwarded and not retained, so the request
     /// cannot be sent again.
-    AnswerOnly,
+    FinalAnswerOnly,
     /// A retry or a final answer may follow.
     Any,
 }
@@ -243,7 +245,7 @@
     pub fn new(finished: bool, body_consumed: bool) -> Self {
         match (finished, body_consumed) {
             (true, _) => Continuation::Finished,
-            (false, true) => Continuation::AnswerOnly,
+            (false, true) => Continuation::FinalAnswerOnly,
             (false, false) => Continuation::Any,
         }
     }
@@ -259,13 +261,13 @@
     pub latency: Micros,
     /// Steps that may follow for its request.
     pub continuation: Continuation,
-    /// Attribution of a time-out: nobody, unless the limit of the attempt says otherwise.
-    pub timeout_blame: TimeoutBlame,
+    /// Whether a timeout counts against the server. It does not unless the limit of the attempt says so.
+    pub timeout_attribution: TimeoutAttribution,
 }
 
 impl AttemptEnd {
-    /// Creates the end of an attempt whose time-out counts against nobody.
+    /// Creates the end of an attempt whose timeout does not count against the server.
     pub fn new(server: ServerId, outcome: Outcome, latency: Micros, continuation: Continuation) -> Self {
-        AttemptEnd { server, outcome, latency, continuation, timeout_blame: TimeoutBlame::Nobody }
+        AttemptEnd { server, outcome, latency, continuation, timeout_attribution: TimeoutAttribution::None }
     }
 }
