--- a/crates/proxy/src/downstream/framer.rs
+++ b/crates/proxy/src/downstream/framer.rs
@@ -58,13 +58,13 @@
             return Poll::Ready(Ok(HeadStep::EndOfInput));
         }
         if self.buffered_bytes() > 0 && self.progress.stage() == RequestStage::Idle {
-            self.progress.head_started();
+            self.progress.record_head_started();
         }
         let parsed = parse_request_head(self.stream.borrow().buffered());
         match parsed {
             Err(_) => Poll::Ready(Ok(self.reject(ProtocolError::MalformedHead))),
             Ok(Some(head)) => {
-                self.progress.head_received(head.framing);
+                self.progress.record_head(head.framing);
                 self.expected = match head.framing {
                     Framing::Length(body) => Expected::Bytes((head.length as u64).saturating_add(body)),
                     Framing::Chunked => Expected::UntilEnd,
@@ -118,7 +118,7 @@
 
     /// Ends hyper's input. The connection's task sends the error response after it has dropped hyper's connection.
     fn reject(&mut self, error: ProtocolError) -> HeadStep {
-        self.progress.reject(error);
+        self.progress.record_protocol_error(error);
         self.stream.borrow_mut().clear_buffered();
         HeadStep::EndOfInput
     }
@@ -126,9 +126,9 @@
     /// Records whether the socket accepted bytes.
     fn record_write<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if written.is_pending() {
-            self.progress.write_blocked();
+            self.progress.record_write_blocked();
         } else {
-            self.progress.write_unblocked();
+            self.progress.record_write_unblocked();
         }
         written
     }
@@ -185,7 +185,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.progress.flushed() && self.buffered_bytes() > 0 {
+        if self.progress.record_flush() && self.buffered_bytes() > 0 {
             // The next request is already buffered, so the socket would not wake the reader for it.
             cx.waker().wake_by_ref();
         }
--- a/crates/proxy/src/downstream/progress.rs
+++ b/crates/proxy/src/downstream/progress.rs
@@ -78,41 +78,41 @@
     }
 
     /// Records the first byte of a request head.
-    pub fn head_started(&self) {
+    pub fn record_head_started(&self) {
         self.enter(RequestStage::Head);
     }
 
     /// Records a complete request head, whose body is framed as given.
-    pub fn head_received(&self, framing: Framing) {
+    pub fn record_head(&self, framing: Framing) {
         self.input.record_head(framing);
         self.enter(RequestStage::Body);
     }
 
     /// Records that the client's input cannot be passed on to hyper.
-    pub fn reject(&self, error: ProtocolError) {
+    pub fn record_protocol_error(&self, error: ProtocolError) {
         self.input.record_error(error);
     }
 
     /// Records the last byte of the present request.
-    pub fn request_complete(&self) {
+    pub fn record_request_complete(&self) {
         self.input.record_end();
         self.clock.lift_first_request_deadline();
         self.enter(RequestStage::Open);
     }
 
     /// Records that hyper has the complete response. The next request is read once the response was written.
-    pub fn response_complete(&self) {
+    pub fn record_response_complete(&self) {
         self.response.record_response_complete();
     }
 
     /// Records that the connection closes after the present response. Further input is not read as a request.
-    pub fn response_is_last(&self) {
+    pub fn record_last_response(&self) {
         self.enter(RequestStage::Open);
     }
 
     /// Records that hyper has written all of its buffer. Returns whether the buffer contained the end of a response, so
     /// that the connection has become idle.
-    pub fn flushed(&self) -> bool {
+    pub fn record_flush(&self) -> bool {
         let is_idle = self.response.record_flush();
         if is_idle {
             self.clock.lift_first_request_deadline();
@@ -128,12 +128,12 @@
     }
 
     /// Records that the socket accepted no byte of a response.
-    pub fn write_blocked(&self) {
+    pub fn record_write_blocked(&self) {
         self.response.record_blocked();
     }
 
     /// Records that the socket accepted bytes of a response, or failed.
-    pub fn write_unblocked(&self) {
+    pub fn record_write_unblocked(&self) {
         self.response.record_unblocked();
     }
 
--- a/crates/proxy/src/downstream/progress/tests.rs
+++ b/crates/proxy/src/downstream/progress/tests.rs
@@ -32,9 +32,9 @@
             assert!(deadline < start + Duration::from_secs(3), "{stage:?}");
         }
         // After the first request, later requests have only the limits of their stages.
-        progress.request_complete();
-        progress.response_complete();
-        progress.flushed();
+        progress.record_request_complete();
+        progress.record_response_complete();
+        progress.record_flush();
         advance(silence).await;
         progress.enter(RequestStage::Head);
         assert_eq!(progress.deadline(IDLE_TIMEOUT), Some(Instant::now() + HEAD_TIMEOUT));
@@ -70,14 +70,14 @@
 #[test]
 fn a_response_is_written_before_its_connection_is_idle() {
     with_progress(async |progress, evictable_connections| {
-        progress.request_complete();
-        progress.response_complete();
-        progress.write_blocked();
+        progress.record_request_complete();
+        progress.record_response_complete();
+        progress.record_write_blocked();
         advance(2 * IDLE_TIMEOUT).await;
         let deadline = progress.deadline(IDLE_TIMEOUT).expect("a deadline");
         assert!(deadline > Instant::now(), "slow to read is not idle");
         assert_eq!(evictable_connections.evict_oldest(), Eviction::NoCandidates);
-        progress.flushed();
+        progress.record_flush();
         assert_eq!(progress.stage(), RequestStage::Idle);
     });
 }
--- a/crates/proxy/src/downstream/response_body.rs
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -56,7 +56,7 @@
             Source::Streamed { body, progress } => {
                 let polled = body.poll_frame(context);
                 if body.is_complete() {
-                    progress.response_complete();
+                    progress.record_response_complete();
                 }
                 polled
             }
--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -41,9 +41,9 @@
         // Bytes that follow an unread request, or one whose end only hyper knows, cannot be parsed as the next request.
         let is_last_request = progress.has_unread_request() || progress.is_last_request();
         if is_last_request {
-            progress.response_is_last();
+            progress.record_last_response();
         } else if !response.body().is_streamed() {
-            progress.response_complete();
+            progress.record_response_complete();
         }
         if is_last_request || self.closes_after_response(permit_kind) {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -98,7 +98,7 @@
             RequestBody::Streamed(upload) => Some(upload.clone()),
         };
         if upload.is_none() {
-            progress.request_complete();
+            progress.record_request_complete();
             // The client may have disconnected while its connection waited for a permit or before its request was
             // read.
             if progress.disconnected_now().await {
@@ -139,7 +139,7 @@
     let body_end = async {
         let end = upload.wait_for_end().await;
         if end == BodyEnd::Complete {
-            progress.request_complete();
+            progress.record_request_complete();
         }
         end
     };
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -199,7 +199,7 @@
     let accepted = listener.accept().await.expect("a connection").0;
     let stream = ClientStream::new(Socket::new(accepted), tokio::time::Instant::now());
     let connection = ConnectionProgress::new(Rc::default(), &stream);
-    connection.request_complete();
+    connection.record_request_complete();
     let client: Weak<dyn ClientHandle> = Rc::<ConnectionProgress>::downgrade(&connection);
     let request = UpstreamRequest {
         method: Method::GET,
