--- a/crates/proxy/src/downstream/arrival_times.rs
+++ b/crates/proxy/src/downstream/arrival_times.rs
@@ -5,7 +5,8 @@
 
 use tokio::time::Instant;
 
-/// Bytes that arrive within this time of the previous entry are added to it, which limits the number of entries.
+/// Bytes that arrive within this time after the last entry are added to that entry, which limits the number of
+/// entries.
 const RESOLUTION: Duration = Duration::from_millis(20);
 
 /// The arrival times of the bytes of a buffer, in the order of the bytes.
@@ -13,7 +14,7 @@
 pub struct ArrivalTimes {
     arrivals: VecDeque<Arrival>,
     /// When the last byte that was removed from the front arrived; `None` before the first removal.
-    last_removed: Option<Instant>,
+    last_removed_arrival: Option<Instant>,
 }
 
 /// Consecutive bytes that count as arrived at the same time.
@@ -41,7 +42,7 @@
         while bytes > 0
             && let Some(first) = self.arrivals.front_mut()
         {
-            self.last_removed = Some(first.arrived_at);
+            self.last_removed_arrival = Some(first.arrived_at);
             let removed = first.bytes.min(bytes);
             first.bytes -= removed;
             bytes -= removed;
@@ -66,8 +67,8 @@
     }
 
     /// Returns when the last byte that was removed from the front arrived; `None` before the first removal.
-    pub fn last_removed(&self) -> Option<Instant> {
-        self.last_removed
+    pub fn last_removed_arrival(&self) -> Option<Instant> {
+        self.last_removed_arrival
     }
 }
 
--- a/crates/proxy/src/downstream/body_pace.rs
+++ b/crates/proxy/src/downstream/body_pace.rs
@@ -5,34 +5,34 @@
 
 use tokio::time::Instant;
 
-/// Bytes of a body that extend the time limit by one second: three quarters of the rate of the slowest clients that are
-/// to be served.
-const BYTES_PER_SECOND: f64 = 48_000.0;
+/// Number of arriving bytes that earn one second of credit: three quarters of the rate of the slowest clients that
+/// must be served.
+const CREDIT_BYTES_PER_SECOND: f64 = 48_000.0;
 /// Maximum time credit. The connection of a client that has sent many bytes and then stops is closed within this time.
-pub(super) const MAX_CREDIT: Duration = Duration::from_secs(2);
+pub(super) const MAX_TIME_CREDIT: Duration = Duration::from_secs(2);
 
-/// The time credit of a body: each arriving byte adds to it, and time in which the proxy waits for more bytes uses it
-/// up.
+/// The time credit of a body: each arriving byte adds to it, and the time that the proxy spends waiting for more bytes
+/// is deducted.
 #[derive(Default)]
 pub struct BodyPace {
     /// When the socket was first found empty; `None` if bytes have arrived since.
     empty_since: Cell<Option<Instant>>,
     /// When the proxy began to want more of the body; `None` while the upstream accepts no more bytes.
     wanted_since: Cell<Option<Instant>>,
-    /// Time that the client may still let the proxy wait.
+    /// Time for which the proxy still waits for more bytes.
     credit: Cell<Duration>,
 }
 
 impl BodyPace {
-    /// Starts over for a new body, which is wanted from `now` on.
+    /// Resets the credit for a new body, of which more is wanted from `now` on.
     pub fn restart(&self, now: Instant) {
         self.empty_since.set(None);
         self.wanted_since.set(Some(now));
         self.credit.set(Duration::ZERO);
     }
 
-    /// Sets whether the proxy wants more of the body. While the upstream accepts no more bytes, the proxy wants none, and
-    /// no credit is used up.
+    /// Sets whether the proxy wants more of the body. While the upstream accepts no more bytes, the proxy wants none,
+    /// and no credit is deducted.
     pub fn set_wanted(&self, wanted: bool) {
         if !wanted {
             self.spend_credit();
@@ -46,8 +46,8 @@
     pub fn record_bytes(&self, bytes: usize) {
         self.spend_credit();
         self.empty_since.set(None);
-        let earned = Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND);
-        self.credit.set((self.credit.get() + earned).min(MAX_CREDIT));
+        let earned = Duration::from_secs_f64(bytes as f64 / CREDIT_BYTES_PER_SECOND);
+        self.credit.set((self.credit.get() + earned).min(MAX_TIME_CREDIT));
     }
 
     /// Records that the socket had nothing to read.
@@ -62,8 +62,8 @@
         self.waiting_since().map(|since| since + self.credit.get())
     }
 
-    /// Returns since when the proxy has waited for the client, which means that more of the body is wanted and the
-    /// socket is empty; `None` while it does not wait.
+    /// Returns since when the proxy has waited for the client: since more of the body is wanted and the socket is
+    /// empty. `None` while it does not wait.
     fn waiting_since(&self) -> Option<Instant> {
         Some(self.empty_since.get()?.max(self.wanted_since.get()?))
     }
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket and its read-ahead buffer: bytes that were read from the socket and not passed on to hyper.
+//! A client's socket and its read-ahead buffer: bytes that were read from the socket but not yet passed on to hyper.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,15 +13,14 @@
 use crate::sockets::Socket;
 
 /// Maximum size in bytes of the read-ahead buffer, and thus of a request head.
-pub(super) const MAX_BUFFERED: usize = 16 * 1024;
+pub(super) const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of bytes that one system call reads.
-pub(super) const READ_CHUNK: usize = 4096;
-/// How long a client that the kernel has reported as connected counts as connected without another query, which saves
-/// system calls.
-const CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// Maximum number of reads in one query of the client's presence, so that a client that sends as fast as the proxy reads
-/// does not occupy the thread. It covers more than a full receive buffer.
-const MAX_READS_PER_CHECK: usize = 4096;
+pub(super) const READ_CHUNK_BYTES: usize = 4096;
+/// How long the kernel's last report that the client is connected stays valid. Reusing it saves system calls.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(1);
+/// Maximum number of reads in one check for a disconnected client, so that a client that sends as fast as the proxy
+/// reads does not occupy the thread. It covers more than a full receive buffer.
+const MAX_READS_PER_DISCONNECT_CHECK: usize = 4096;
 
 /// A client's socket and its read-ahead buffer. Hyper reads requests from it through the framer, and the connection's
 /// task uses it to check whether the client is still connected.
@@ -29,21 +28,21 @@
     socket: Socket,
     buffered: Vec<u8>,
     arrival_times: ArrivalTimes,
-    /// When the connection was accepted, until the socket is first found empty: bytes that are read before may have
-    /// arrived then. `None` afterwards, and bytes count as arrived when they are read.
+    /// When the connection was accepted: the bytes that are read before the socket is first found empty count as
+    /// arrived at this time. `None` afterwards, when bytes count as arrived at the time they are read.
     unread_since: Option<Instant>,
     /// Whether the end of input was read. A client that has ended its input counts as disconnected.
     ended: bool,
-    /// Whether input behind an open request was dropped because the buffer was full. The rest of that input cannot be
+    /// Whether input after an open request was dropped because the buffer was full. The rest of that input cannot be
     /// read as a request.
     overflowed: bool,
     /// When a query of the kernel last found the client connected.
-    last_seen: Option<Instant>,
+    last_connected_at: Option<Instant>,
 }
 
 impl ClientStream {
-    /// Creates the stream of a socket of which nothing was read. Bytes that are already in it count as arrived at
-    /// `accepted_at`.
+    /// Creates the stream of a socket from which nothing has been read. Bytes that are already in it count as arrived
+    /// at `accepted_at`.
     pub fn new(socket: Socket, accepted_at: Instant) -> Rc<RefCell<ClientStream>> {
         Rc::new(RefCell::new(ClientStream {
             socket,
@@ -52,7 +51,7 @@
             unread_since: Some(accepted_at),
             ended: false,
             overflowed: false,
-            last_seen: None,
+            last_connected_at: None,
         }))
     }
 
@@ -65,8 +64,8 @@
         if self.ended {
             return Poll::Ready(Ok(0));
         }
-        let mut chunk = [0; READ_CHUNK];
-        let Poll::Ready(result) = self.socket.poll_read(cx, &mut chunk[..limit.min(READ_CHUNK)]) else {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let Poll::Ready(result) = self.socket.poll_read(cx, &mut chunk[..limit.min(READ_CHUNK_BYTES)]) else {
             self.unread_since = None;
             return Poll::Pending;
         };
@@ -75,49 +74,49 @@
         Poll::Ready(Ok(read))
     }
 
-    /// Returns the bytes that were read and not passed on.
+    /// Returns the bytes that were read but not yet passed on.
     pub fn buffered(&self) -> &[u8] {
         &self.buffered
     }
 
-    /// Drops the bytes that were read and not passed on.
+    /// Drops the bytes that were read but not yet passed on.
     pub fn clear_buffered(&mut self) {
         self.arrival_times.remove(self.buffered.len());
         self.buffered = Vec::new();
     }
 
-    /// Returns when the last byte that was passed on arrived. Once a complete request was passed on, this is its last
-    /// byte. `None` before the first byte.
-    pub fn last_passed_at(&self) -> Option<Instant> {
-        self.arrival_times.last_removed()
+    /// Returns when the last byte that was passed on arrived. Once a complete request has been passed on, that is the
+    /// request's last byte. `None` before the first byte.
+    pub fn last_passed_byte_arrived_at(&self) -> Option<Instant> {
+        self.arrival_times.last_removed_arrival()
     }
 
     /// Moves at most `limit` bytes from the buffer to `target`, and returns their number. Frees the memory of an empty
     /// buffer.
-    pub fn pass(&mut self, target: &mut ReadBufCursor<'_>, limit: u64) -> u64 {
+    pub fn move_buffered_to(&mut self, target: &mut ReadBufCursor<'_>, limit: u64) -> u64 {
         let limit = usize::try_from(limit).unwrap_or(usize::MAX);
-        let passed = self.buffered.len().min(target.remaining()).min(limit);
-        target.put_slice(&self.buffered[..passed]);
-        self.buffered.drain(..passed);
-        self.arrival_times.remove(passed);
+        let moved = self.buffered.len().min(target.remaining()).min(limit);
+        target.put_slice(&self.buffered[..moved]);
+        self.buffered.drain(..moved);
+        self.arrival_times.remove(moved);
         if self.buffered.is_empty() {
             self.clear_buffered();
         }
-        passed as u64
+        moved as u64
     }
 
-    /// Returns whether input behind an open request was dropped because the buffer was full.
+    /// Returns whether input after an open request was dropped because the buffer was full.
     pub fn overflowed(&self) -> bool {
         self.overflowed
     }
 
     /// Becomes ready once the client of a complete request has disconnected or ended its input. Reads and buffers the
-    /// input that arrives meanwhile, since the end of input is visible only after the bytes before it were read. Input that exceeds
-    /// the buffer is dropped, and the connection closes after the response.
+    /// input that arrives meanwhile, since the end of input is visible only after the bytes before it were read. Input
+    /// that exceeds the buffer is dropped, and the connection closes after the response.
     pub fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             self.drop_overflow();
-            match ready!(self.poll_fill(cx, READ_CHUNK)) {
+            match ready!(self.poll_fill(cx, READ_CHUNK_BYTES)) {
                 Ok(1..) => {}
                 Ok(0) | Err(_) => return Poll::Ready(()),
             }
@@ -130,7 +129,7 @@
             if self.poll_disconnected(cx).is_ready() {
                 return true;
             }
-            match self.read_past_runtime() {
+            match self.read_from_kernel() {
                 Some(0) => return true,
                 Some(_) => {}
                 None => return false,
@@ -139,14 +138,14 @@
     }
 
     /// Returns whether the client has disconnected, without registering a task to be woken. Queries the kernel at most
-    /// once per [`CHECK_INTERVAL`].
+    /// once per [`DISCONNECT_CHECK_INTERVAL`].
     pub fn disconnected(&mut self) -> bool {
-        if self.ended || self.last_seen.is_some_and(|seen| seen.elapsed() < CHECK_INTERVAL) {
+        if self.ended || self.last_connected_at.is_some_and(|at| at.elapsed() < DISCONNECT_CHECK_INTERVAL) {
             return self.ended;
         }
-        for _ in 0..MAX_READS_PER_CHECK {
+        for _ in 0..MAX_READS_PER_DISCONNECT_CHECK {
             self.drop_overflow();
-            match self.read_past_runtime() {
+            match self.read_from_kernel() {
                 Some(0) => return true,
                 Some(_) => {}
                 None => return false,
@@ -156,7 +155,7 @@
     }
 
     /// Returns whether the client of an incomplete request has ended its input, so that the request stays incomplete.
-    /// Reads nothing, since the rest of the body may exceed the buffer. An end of input behind unread bytes is
+    /// Reads nothing, since the rest of the body may exceed the buffer. An end of input that follows unread bytes is
     /// therefore noticed only once the runtime has polled the socket.
     pub fn ended_early(&self) -> bool {
         let peeked_end = matches!(self.socket.peek_now(), Some(Ok(0) | Err(_)));
@@ -181,20 +180,20 @@
 
     /// Drops the newest bytes of a full buffer, to make space for one more read.
     fn drop_overflow(&mut self) {
-        if self.buffered.len() >= MAX_BUFFERED {
+        if self.buffered.len() >= MAX_READ_AHEAD_BYTES {
             self.overflowed = true;
-            let retained = MAX_BUFFERED - READ_CHUNK;
+            let retained = MAX_READ_AHEAD_BYTES - READ_CHUNK_BYTES;
             self.arrival_times.truncate(self.buffered.len() - retained);
             self.buffered.truncate(retained);
         }
     }
 
-    /// Reads into the buffer directly from the kernel, since the runtime may not have polled the socket. Returns the
-    /// number of bytes, 0 if the client has disconnected, or `None` if there is nothing to read.
-    fn read_past_runtime(&mut self) -> Option<usize> {
-        let mut chunk = [0; READ_CHUNK];
+    /// Reads from the kernel into the buffer without waiting for the runtime, which may not have polled the socket
+    /// yet. Returns the number of bytes, 0 if the client has disconnected, or `None` if there is nothing to read.
+    fn read_from_kernel(&mut self) -> Option<usize> {
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let Some(read) = self.socket.read_now(&mut chunk) else {
-            self.last_seen = Some(Instant::now());
+            self.last_connected_at = Some(Instant::now());
             self.unread_since = None;
             return None;
         };
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! Serves one client connection, from its acceptance to its end.
+//! Serves one client connection from accept to close.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -16,10 +16,10 @@
 use crate::downstream::client_stream::ClientStream;
 use crate::downstream::connection_driver::{ConnectionDriver, ConnectionEnd};
 use crate::downstream::connection_permits::ConnectionPermit;
+use crate::downstream::connection_stage::ConnectionStage;
 use crate::downstream::framer::RequestFramer;
 use crate::downstream::linger::close_lingering;
 use crate::downstream::progress::{ConnectionProgress, IDLE_TIMEOUT, ProtocolError};
-use crate::downstream::request_stage::RequestStage;
 use crate::downstream::response_body::ResponseBody;
 use crate::downstream::server::{Server, UpstreamTransport};
 use crate::downstream::shutdown::UNUSED_CONNECTION_GRACE;
@@ -63,7 +63,7 @@
         let mut connection = builder.serve_connection(framer, service);
         let driver = ConnectionDriver::new(&mut connection, &stream, &progress);
         let Some(end) = self.run_connection(driver, &progress).await else { return };
-        let error = unanswered_error(&progress, end);
+        let error = error_status_to_send(&progress, end);
         // Drops hyper's references to the stream first, and cancels an open request with them.
         drop(connection);
         let error = error.filter(|_| !progress.is_write_blocked());
@@ -106,20 +106,21 @@
         }
     }
 
-    /// Returns when a connection will have been in its stage for too long, given the lifecycle's phase; `None` while
-    /// the proxy does not wait for the client.
+    /// Returns the deadline of the connection's current stage in the observed lifecycle phase; `None` while the proxy
+    /// does not wait for the client.
     fn connection_deadline(&self, progress: &ConnectionProgress, observed: ObservedPhase) -> Option<Instant> {
-        // The idle time is not shortened in earlier phases: a client that finds its connection closed may not know
+        // The idle timeout is not shortened in earlier phases: a client that finds its connection closed may not know
         // another balancer yet.
-        let idle_time = if observed.phase.closes_connections() { CLOSING_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
-        let deadline = progress.deadline(idle_time)?;
+        let idle_timeout =
+            if observed.phase.closes_connections() { CLOSING_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
+        let deadline = progress.deadline(idle_timeout)?;
         if observed.phase != Phase::ClosingListener {
             return Some(deadline);
         }
         // Clients that send nothing, or never complete their request, must not delay the exit of the process.
         let shutdown_deadline = match progress.stage() {
-            RequestStage::Idle => observed.observed_at + UNUSED_CONNECTION_GRACE,
-            RequestStage::Head | RequestStage::Body | RequestStage::Open => {
+            ConnectionStage::Idle => observed.observed_at + UNUSED_CONNECTION_GRACE,
+            ConnectionStage::Head | ConnectionStage::Body | ConnectionStage::Open => {
                 let requested_at = self.lifecycle.shutdown_requested_at().unwrap_or(observed.observed_at);
                 requested_at + self.shutdown.total()
             }
@@ -128,8 +129,8 @@
     }
 }
 
-/// Returns the error status that the client has not been sent yet at a connection's end; `None` if there is none.
-fn unanswered_error(progress: &ConnectionProgress, end: ConnectionEnd) -> Option<StatusCode> {
+/// Returns the status of the error response that is still to be sent when a connection ends; `None` if none is due.
+fn error_status_to_send(progress: &ConnectionProgress, end: ConnectionEnd) -> Option<StatusCode> {
     match progress.protocol_error() {
         Some(ProtocolError::MalformedHead) => Some(StatusCode::BAD_REQUEST),
         Some(ProtocolError::HeadTooLarge) => Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE),
--- a/crates/proxy/src/downstream/connection_driver.rs
+++ b/crates/proxy/src/downstream/connection_driver.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Instant, Sleep, sleep};
 
 use crate::downstream::client_stream::ClientStream;
+use crate::downstream::connection_stage::ConnectionStage;
 use crate::downstream::framer::RequestFramer;
 use crate::downstream::progress::ConnectionProgress;
-use crate::downstream::request_stage::RequestStage;
 use crate::downstream::response_body::ResponseBody;
 
 /// Why a connection ended.
@@ -24,11 +24,11 @@
 pub enum ConnectionEnd {
     /// Hyper has finished, or the client has disconnected.
     Finished,
-    /// The connection was in one stage for too long.
+    /// The deadline of the connection's stage has passed.
     TimedOut,
 }
 
-/// Drives one connection. Hyper owns the framer; stream and progress are shared with it.
+/// Drives one connection. Hyper owns the framer, which shares `stream` and `progress` with the driver.
 pub struct ConnectionDriver<'a, S>
 where
     S: Service<Request<Incoming>, Response = Response<ResponseBody>, Error = Infallible>,
@@ -36,7 +36,7 @@
     connection: &'a mut http1::Connection<RequestFramer, S>,
     stream: &'a RefCell<ClientStream>,
     progress: &'a ConnectionProgress,
-    /// Set to the deadline of the present stage.
+    /// Set to the deadline of the current stage.
     stage_timer: Pin<Box<Sleep>>,
 }
 
@@ -45,7 +45,7 @@
     S: Service<Request<Incoming>, Response = Response<ResponseBody>, Error = Infallible> + Unpin,
     S::Future: Unpin,
 {
-    /// Creates the driver of a connection that has not been polled.
+    /// Creates the driver of a connection that has not been polled yet.
     pub fn new(
         connection: &'a mut http1::Connection<RequestFramer, S>,
         stream: &'a RefCell<ClientStream>,
@@ -54,16 +54,16 @@
         ConnectionDriver { connection, stream, progress, stage_timer: Box::pin(sleep(Duration::ZERO)) }
     }
 
-    /// Lets hyper close the connection after the present response, or now if the connection is idle. Does nothing while a
-    /// request is arriving that hyper has not seen: hyper would treat the connection as idle, and close it without a
-    /// response to that request.
+    /// Lets hyper close the connection after the current response, or now if the connection is idle. Does nothing
+    /// while a request is arriving that hyper has not seen: hyper would treat the connection as idle, and close it
+    /// without a response to that request.
     pub fn start_graceful_shutdown(&mut self) {
         if !self.is_receiving_request() {
             Pin::new(&mut *self.connection).graceful_shutdown();
         }
     }
 
-    /// Polls the connection; becomes ready at its end. `deadline` returns the deadline of the present stage, which the
+    /// Polls the connection; becomes ready at its end. `deadline` returns the deadline of the current stage, which the
     /// poll may have changed.
     pub fn poll_end(
         &mut self,
@@ -83,9 +83,10 @@
         }
     }
 
-    /// Returns whether the connection is in the idle stage although input has arrived, which the runtime has not read yet.
+    /// Returns whether the connection is in the idle stage although input has arrived that the runtime has not read
+    /// yet.
     pub fn is_idle_with_unread_input(&self) -> bool {
-        self.progress.stage() == RequestStage::Idle && self.stream.borrow().has_unread_input()
+        self.progress.stage() == ConnectionStage::Idle && self.stream.borrow().has_unread_input()
     }
 
     fn poll_stage_timer(&mut self, cx: &mut Context<'_>, deadline: Instant) -> Poll<()> {
@@ -98,9 +99,9 @@
     /// Returns whether a part of a request has arrived that hyper has not seen.
     fn is_receiving_request(&self) -> bool {
         match self.progress.stage() {
-            RequestStage::Idle => self.stream.borrow().has_unread_input(),
-            RequestStage::Head => true,
-            RequestStage::Body | RequestStage::Open => false,
+            ConnectionStage::Idle => self.stream.borrow().has_unread_input(),
+            ConnectionStage::Head => true,
+            ConnectionStage::Body | ConnectionStage::Open => false,
         }
     }
 }
--- a/crates/proxy/src/downstream/connection_permits.rs
+++ b/crates/proxy/src/downstream/connection_permits.rs
@@ -13,13 +13,13 @@
 /// How long all regular permits must have been in use before connections get overflow permits, on which their requests
 /// are rejected.
 const OVERFLOW_DELAY: Duration = Duration::from_millis(250);
-/// Number of overflow permits. Their connections use file descriptors from the reserve.
+/// Number of overflow permits. Their connections use file descriptors that the connection limits leave free.
 const OVERFLOW_PERMITS: usize = 6;
 /// Fraction of the regular permits in use above which each response closes its connection, so that permits become free
 /// for clients without a connection.
-const NEARLY_FULL: f64 = 0.75;
-/// Minimum pause between two attempts to acquire a permit, unless a permit is released.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const NEARLY_FULL_FRACTION: f64 = 0.75;
+/// Time between two tries to acquire a permit, unless a permit is released or the next eviction is due earlier.
+const ACQUIRE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// How the requests of a connection are handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,13 +47,13 @@
 pub struct ConnectionPermits {
     regular: Rc<ResizableLimit>,
     overflow: Rc<ResizableLimit>,
-    /// When an attempt to acquire a regular permit first failed; `None` after one succeeded.
+    /// Since when acquiring a regular permit has failed; `None` after it has succeeded.
     full_since: Cell<Option<Instant>>,
     evictable_connections: Rc<EvictableConnections>,
 }
 
 impl ConnectionPermits {
-    /// Creates `limit` regular permits. Connections in `evictable_connections` are closed when permits run out.
+    /// Creates `limit` regular permits. Connections in `evictable_connections` are closed when no permit is free.
     pub fn new(limit: usize, evictable_connections: Rc<EvictableConnections>) -> ConnectionPermits {
         ConnectionPermits {
             regular: ResizableLimit::new(limit),
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Acquires a permit for a new connection, and evicts the longest idle connection while no permit is free. After no
-    /// regular permit has been free for [`OVERFLOW_DELAY`], returns an overflow permit if one is free.
+    /// Acquires a permit for a new connection, and evicts the longest idle connections while no permit is free. Once
+    /// no regular permit has been free for [`OVERFLOW_DELAY`], returns an overflow permit if one is free.
     pub async fn acquire(&self) -> ConnectionPermit {
         loop {
             if let Some(permit) = self.try_acquire_regular() {
@@ -94,7 +94,7 @@
             {
                 return permit;
             }
-            let retry_at = next_eviction.min(overflow_from.max(now + RETRY_PAUSE));
+            let retry_at = next_eviction.min(overflow_from.max(now + ACQUIRE_RETRY_DELAY));
             tokio::select! {
                 () = self.regular.released() => {}
                 () = sleep_until(retry_at) => {}
@@ -116,29 +116,30 @@
             tokio::select! {
                 () = self.regular.released() => {}
                 () = self.overflow.released() => {}
-                () = sleep(RETRY_PAUSE) => {}
+                () = sleep(ACQUIRE_RETRY_DELAY) => {}
             }
         }
     }
 
-    /// Acquires a permit for a connection that was accepted just before accepting ended. If no regular permit is free,
-    /// returns one that exceeds the limit and is of the given kind.
-    pub fn acquire_at_end(&self, kind_over_limit: PermitKind) -> ConnectionPermit {
-        self.try_acquire_regular()
-            .unwrap_or_else(|| ConnectionPermit::new(kind_over_limit, self.regular.acquire_over_limit(1)))
+    /// Acquires a permit for a connection that was accepted just before the process stopped accepting. If no regular
+    /// permit is free, returns a permit of the given kind that exceeds the limit.
+    pub fn acquire_or_exceed_limit(&self, permit_kind_over_limit: PermitKind) -> ConnectionPermit {
+        self.try_acquire_regular().unwrap_or_else(|| {
+            ConnectionPermit::new(permit_kind_over_limit, self.regular.acquire_over_limit(1))
+        })
     }
 
     /// Returns whether so few permits are free that responses should close their connections.
     pub fn is_nearly_full(&self) -> bool {
-        self.regular.used_fraction() > NEARLY_FULL
+        self.regular.used_fraction() > NEARLY_FULL_FRACTION
     }
 
     /// Returns whether enough permits are free to spend some on connections that have not sent anything.
     pub fn has_spare_capacity(&self) -> bool {
-        self.regular.used_fraction() < NEARLY_FULL
+        self.regular.used_fraction() < NEARLY_FULL_FRACTION
     }
 
-    /// Waits until all permits are released, when all client connections are closed.
+    /// Waits until all permits are released, which means that all client connections are closed.
     pub async fn all_released(&self) {
         self.regular.all_released().await;
         self.overflow.all_released().await;
--- a/crates/proxy/src/downstream/request_stage.rs
+++ b/crates/proxy/src/downstream/connection_stage.rs
@@ -1,8 +1,8 @@
 //! The stages of a client connection.
 
-/// The stage of a client connection, named by what the connection waits for.
+/// The stage of a client connection. Each variant says what the connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RequestStage {
+pub enum ConnectionStage {
     /// The first byte of a request.
     Idle,
     /// The rest of a request head.
@@ -13,9 +13,9 @@
     Open,
 }
 
-impl RequestStage {
+impl ConnectionStage {
     /// Returns whether a request has begun to arrive and is not complete.
     pub fn is_receiving(self) -> bool {
-        matches!(self, RequestStage::Head | RequestStage::Body)
+        matches!(self, ConnectionStage::Head | ConnectionStage::Body)
     }
 }
--- a/crates/proxy/src/downstream/evictable_connections.rs
+++ b/crates/proxy/src/downstream/evictable_connections.rs
@@ -9,9 +9,9 @@
 use tokio::time::Instant;
 
 use crate::downstream::client_stream::ClientStream;
-use crate::downstream::request_stage::RequestStage;
+use crate::downstream::connection_stage::ConnectionStage;
 
-/// Minimum time in the idle stage before a connection may be evicted: a request may be on its way on the network.
+/// Minimum time in the idle stage before a connection may be evicted, since a request may already be in transit.
 const IDLE_PROTECTION: Duration = Duration::from_millis(100);
 /// Minimum time since the first byte of a request head before a connection may be evicted.
 const HEAD_PROTECTION: Duration = Duration::from_secs(1);
@@ -19,9 +19,9 @@
 /// The connections that may be evicted, by stage and in the order in which they entered it.
 #[derive(Default)]
 pub struct EvictableConnections {
-    /// Connections in [`RequestStage::Idle`].
+    /// Connections in [`ConnectionStage::Idle`].
     idle: RefCell<ConnectionsByAge>,
-    /// Connections in [`RequestStage::Head`].
+    /// Connections in [`ConnectionStage::Head`].
     receiving_head: RefCell<ConnectionsByAge>,
     next_key: Cell<u64>,
 }
@@ -32,7 +32,7 @@
 /// A connection that may be evicted.
 pub struct EvictableConnection {
     /// When the connection entered its stage.
-    pub since: Instant,
+    pub stage_entered_at: Instant,
     /// The task that serves the connection, which an eviction aborts.
     pub task: AbortHandle,
     /// The socket and read-ahead buffer.
@@ -40,12 +40,13 @@
 }
 
 impl EvictableConnection {
-    /// Returns whether the kernel's receive buffer has bytes from the client that were not read.
+    /// Returns whether the kernel's receive buffer has unread bytes from the client.
     fn has_unread_bytes(&self) -> bool {
         self.stream.upgrade().is_some_and(|stream| stream.borrow().socket().has_unread_bytes())
     }
 
-    /// Returns whether bytes from the client wait in the read-ahead buffer or in the kernel.
+    /// Returns whether the read-ahead buffer or the kernel's receive buffer has bytes from the client that were not
+    /// passed on to hyper.
     fn has_unread_input(&self) -> bool {
         self.stream.upgrade().is_some_and(|stream| stream.borrow().has_unread_input())
     }
@@ -56,25 +57,26 @@
 pub enum Eviction {
     /// A connection was evicted. Its socket is closed once the runtime has dropped its task.
     Evicted,
-    /// No connection may be evicted yet. The protection of the oldest connection ends at this time. A time in the past
-    /// means that the connection has unread input, which protects it further.
+    /// No connection may be evicted yet. The protection of the oldest connection ends at this time. If that time has
+    /// passed, the connection is protected by its unread input.
     NotBefore(Instant),
     /// No connection is idle or in the middle of a request head.
     NoCandidates,
 }
 
 impl EvictableConnections {
-    /// Evicts the connection that has been idle longest, or else the connection whose request head has been incomplete
-    /// longest. Connections that entered their stage recently are protected.
+    /// Evicts the connection that has been idle longest. If none can be evicted, evicts the connection whose request
+    /// head has been incomplete longest. Connections that entered their stage recently are protected.
     pub fn evict_oldest(&self) -> Eviction {
         // Closing a connection with unread input would reset it, and lose the request in that input.
-        let idle = evict_oldest_of(&self.idle, IDLE_PROTECTION, |idle| !idle.has_unread_input());
+        let idle = evict_oldest_of(&self.idle, IDLE_PROTECTION, |connection| !connection.has_unread_input());
         if idle == Eviction::Evicted {
             return Eviction::Evicted;
         }
         // Unread bytes in the kernel may complete the head, so its request is still served.
-        let receiving_head =
-            evict_oldest_of(&self.receiving_head, HEAD_PROTECTION, |slow| !slow.has_unread_bytes());
+        let receiving_head = evict_oldest_of(&self.receiving_head, HEAD_PROTECTION, |connection| {
+            !connection.has_unread_bytes()
+        });
         match (idle, receiving_head) {
             (Eviction::NotBefore(idle), Eviction::NotBefore(receiving_head)) => {
                 Eviction::NotBefore(idle.min(receiving_head))
@@ -86,7 +88,7 @@
 
     /// Adds a connection that has entered a stage. Returns its key, or `None` if connections in that stage may not be
     /// evicted.
-    pub fn insert(&self, stage: RequestStage, connection: EvictableConnection) -> Option<u64> {
+    pub fn insert(&self, stage: ConnectionStage, connection: EvictableConnection) -> Option<u64> {
         let connections = self.in_stage(stage)?;
         let key = self.next_key.get();
         self.next_key.set(key + 1);
@@ -95,22 +97,22 @@
     }
 
     /// Removes a connection that was inserted for this stage, unless it has been evicted.
-    pub fn remove(&self, stage: RequestStage, key: u64) {
+    pub fn remove(&self, stage: ConnectionStage, key: u64) {
         if let Some(connections) = self.in_stage(stage) {
             connections.borrow_mut().remove(&key);
         }
     }
 
-    fn in_stage(&self, stage: RequestStage) -> Option<&RefCell<ConnectionsByAge>> {
+    fn in_stage(&self, stage: ConnectionStage) -> Option<&RefCell<ConnectionsByAge>> {
         match stage {
-            RequestStage::Idle => Some(&self.idle),
-            RequestStage::Head => Some(&self.receiving_head),
-            RequestStage::Body | RequestStage::Open => None,
+            ConnectionStage::Idle => Some(&self.idle),
+            ConnectionStage::Head => Some(&self.receiving_head),
+            ConnectionStage::Body | ConnectionStage::Open => None,
         }
     }
 }
 
-/// Evicts the oldest connection that is past its protection and for which `may_evict` returns true.
+/// Evicts the oldest connection whose protection has ended and for which `may_evict` returns true.
 fn evict_oldest_of(
     connections: &RefCell<ConnectionsByAge>,
     protection: Duration,
@@ -118,10 +120,10 @@
 ) -> Eviction {
     let mut connections = connections.borrow_mut();
     let Some(oldest) = connections.values().next() else { return Eviction::NoCandidates };
-    let unprotected_from = oldest.since + protection;
+    let protection_ends_at = oldest.stage_entered_at + protection;
     let candidate = connections
         .iter()
-        .take_while(|(_, connection)| connection.since + protection <= Instant::now())
+        .take_while(|(_, connection)| connection.stage_entered_at + protection <= Instant::now())
         .find(|(_, connection)| may_evict(connection))
         .map(|(&key, _)| key);
     match candidate.and_then(|key| connections.remove(&key)) {
@@ -129,6 +131,6 @@
             connection.task.abort();
             Eviction::Evicted
         }
-        None => Eviction::NotBefore(unprotected_from),
+        None => Eviction::NotBefore(protection_ends_at),
     }
 }
--- a/crates/proxy/src/downstream/framer.rs
+++ b/crates/proxy/src/downstream/framer.rs
@@ -1,5 +1,5 @@
 //! The transport between a client's socket and hyper. It parses each request head before hyper does, rejects invalid
-//! heads, and passes on the next request only after the response to the previous one was written.
+//! heads, and passes on the next request only after the response to the previous one has been written.
 
 use std::cell::RefCell;
 use std::io;
@@ -9,16 +9,16 @@
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-use crate::downstream::client_stream::{ClientStream, MAX_BUFFERED, READ_CHUNK};
+use crate::downstream::client_stream::{ClientStream, MAX_READ_AHEAD_BYTES, READ_CHUNK_BYTES};
+use crate::downstream::connection_stage::ConnectionStage;
 use crate::downstream::framing::{Framing, parse_request_head};
 use crate::downstream::progress::{ConnectionProgress, ProtocolError};
-use crate::downstream::request_stage::RequestStage;
 
 /// How the next bytes of the input are handled.
 enum Expected {
     /// The bytes belong to a request head, which is parsed before it is passed on.
     Head,
-    /// This many bytes belong to the present request and are passed on.
+    /// This many bytes belong to the current request and are passed on.
     Bytes(u64),
     /// The bytes belong to a chunked body. All input is passed on until the connection ends.
     UntilEnd,
@@ -32,7 +32,7 @@
     EndOfInput,
 }
 
-/// A client connection as hyper sees it.
+/// The transport through which hyper reads the requests of a client connection and writes the responses.
 pub struct RequestFramer {
     stream: Rc<RefCell<ClientStream>>,
     progress: Rc<ConnectionProgress>,
@@ -40,24 +40,25 @@
 }
 
 impl RequestFramer {
-    /// Creates the transport of a connection of which nothing was read.
+    /// Creates the transport of a connection from which nothing has been read.
     pub fn new(stream: Rc<RefCell<ClientStream>>, progress: Rc<ConnectionProgress>) -> RequestFramer {
         RequestFramer { stream, progress, expected: Expected::Head }
     }
 
     /// Reads bytes of the next head, or accepts the head if it is complete.
     fn poll_head(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<HeadStep>> {
-        if matches!(self.progress.stage(), RequestStage::Body | RequestStage::Open) {
-            // A request is open. Only a disconnection is reported; further requests are buffered until its response was
-            // written.
+        if matches!(self.progress.stage(), ConnectionStage::Body | ConnectionStage::Open) {
+            // A request is open. Only a disconnection is reported; further requests are buffered until its response
+            // has been written.
             ready!(self.stream.borrow_mut().poll_disconnected(cx));
             return Poll::Ready(Ok(HeadStep::EndOfInput));
         }
         if self.stream.borrow().overflowed() {
-            // A part of the buffered input was dropped, so the response just written was the last on this connection.
+            // Some input was dropped because the buffer was full, so the response just written was the last on this
+            // connection.
             return Poll::Ready(Ok(HeadStep::EndOfInput));
         }
-        if self.buffered_bytes() > 0 && self.progress.stage() == RequestStage::Idle {
+        if self.buffered_bytes() > 0 && self.progress.stage() == ConnectionStage::Idle {
             self.progress.record_head_started();
         }
         let parsed = parse_request_head(self.stream.borrow().buffered());
@@ -71,11 +72,11 @@
                 };
                 Poll::Ready(Ok(HeadStep::Continue))
             }
-            Ok(None) if self.buffered_bytes() >= MAX_BUFFERED => {
+            Ok(None) if self.buffered_bytes() >= MAX_READ_AHEAD_BYTES => {
                 Poll::Ready(Ok(self.reject(ProtocolError::HeadTooLarge)))
             }
             Ok(None) => {
-                let free_bytes = MAX_BUFFERED - self.buffered_bytes();
+                let free_bytes = MAX_READ_AHEAD_BYTES - self.buffered_bytes();
                 let step = match ready!(self.poll_fill(cx, free_bytes))? {
                     0 => HeadStep::EndOfInput,
                     _ => HeadStep::Continue,
@@ -86,22 +87,22 @@
     }
 
     /// Passes on at most `limit` bytes to hyper. Becomes ready with their number, 0 at the end of input.
-    fn poll_pass(
+    fn poll_pass_on(
         &mut self,
         cx: &mut Context<'_>,
         target: &mut ReadBufCursor<'_>,
         limit: u64,
     ) -> Poll<io::Result<u64>> {
-        if self.buffered_bytes() == 0 && ready!(self.poll_fill(cx, READ_CHUNK))? == 0 {
+        if self.buffered_bytes() == 0 && ready!(self.poll_fill(cx, READ_CHUNK_BYTES))? == 0 {
             return Poll::Ready(Ok(0));
         }
-        Poll::Ready(Ok(self.stream.borrow_mut().pass(target, limit)))
+        Poll::Ready(Ok(self.stream.borrow_mut().move_buffered_to(target, limit)))
     }
 
-    /// Reads at most `limit` bytes into the buffer, and records the pace of a body.
+    /// Reads at most `limit` bytes into the buffer, and records them in the pace of a body.
     fn poll_fill(&mut self, cx: &mut Context<'_>, limit: usize) -> Poll<io::Result<usize>> {
         let polled = self.stream.borrow_mut().poll_fill(cx, limit);
-        if self.progress.stage() == RequestStage::Body {
+        if self.progress.stage() == ConnectionStage::Body {
             match &polled {
                 Poll::Ready(Ok(bytes)) => self.progress.body_pace().record_bytes(*bytes),
                 // Ends the wait for the client, as the arrival of bytes does.
@@ -123,7 +124,7 @@
         HeadStep::EndOfInput
     }
 
-    /// Records whether the socket accepted bytes.
+    /// Records whether the socket accepted the bytes of a write, and returns the write's result.
     fn record_write<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if written.is_pending() {
             self.progress.record_write_blocked();
@@ -152,12 +153,12 @@
                 },
                 Expected::Bytes(0) => this.expected = Expected::Head,
                 Expected::Bytes(remaining) => {
-                    let passed = ready!(this.poll_pass(cx, &mut target, remaining))?;
+                    let passed = ready!(this.poll_pass_on(cx, &mut target, remaining))?;
                     this.expected = Expected::Bytes(remaining - passed);
                     return Poll::Ready(Ok(()));
                 }
                 Expected::UntilEnd => {
-                    ready!(this.poll_pass(cx, &mut target, u64::MAX))?;
+                    ready!(this.poll_pass_on(cx, &mut target, u64::MAX))?;
                     return Poll::Ready(Ok(()));
                 }
             }
--- a/crates/proxy/src/downstream/framing/tests.rs
+++ b/crates/proxy/src/downstream/framing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_head_with_one_reading_is_accepted() {
+fn an_unambiguous_head_is_accepted() {
     for (lines, framing) in [
         ("", Framing::Length(0)),
         ("Content-Length: 65536\r\n", Framing::Length(65_536)),
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_head_with_several_readings_is_an_error() {
+fn an_ambiguous_or_invalid_head_is_an_error() {
     for (lines, error) in [
         ("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", HeadError::AmbiguousFraming),
         ("transfer-encoding: chunked\r\ncontent-length: 4\r\n", HeadError::AmbiguousFraming),
@@ -35,8 +35,8 @@
     ] {
         assert_eq!(parse_request_head(head_with(lines).as_bytes()), Err(error), "{lines:?}");
     }
-    let chunks_of_http_1_0 = b"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(parse_request_head(chunks_of_http_1_0), Err(HeadError::ChunksBeforeHttp11));
+    let chunked_http_1_0 = b"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n";
+    assert_eq!(parse_request_head(chunked_http_1_0), Err(HeadError::ChunksBeforeHttp11));
     let not_http = parse_request_head(b"\0\0\0\0");
     assert_eq!(not_http, Err(HeadError::Syntax(httparse::Error::Token)));
 }
--- a/crates/proxy/src/downstream/linger.rs
+++ b/crates/proxy/src/downstream/linger.rs
@@ -11,8 +11,8 @@
 /// Time limit for sending the error response and discarding the client's further input.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of bytes of input that are discarded by one read.
-const READ_CHUNK: usize = 4096;
-/// Maximum number of bytes of input that are discarded in all.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Maximum number of bytes of input that are discarded in total.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
 /// Sends an error response unless `error` is `None`, discards the client's input until it ends or a limit is reached, and
@@ -20,20 +20,20 @@
 /// its response.
 pub async fn close_lingering(socket: Socket, error: Option<StatusCode>) {
     // Errors and the time limit are ignored: the client has disconnected or does not read the response.
-    let _ = timeout(LINGER_TIMEOUT, respond_and_drain(socket, error)).await;
+    let _ = timeout(LINGER_TIMEOUT, respond_and_discard_input(socket, error)).await;
 }
 
-async fn respond_and_drain(socket: Socket, error: Option<StatusCode>) -> io::Result<()> {
+async fn respond_and_discard_input(socket: Socket, error: Option<StatusCode>) -> io::Result<()> {
     if let Some(status) = error {
         socket.write_all(error_response(status).as_bytes()).await?;
     }
     socket.shut_down()?;
-    let mut chunk = [0; READ_CHUNK];
-    let mut drained = 0;
-    while drained < MAX_LINGER_BYTES {
+    let mut chunk = [0; READ_CHUNK_BYTES];
+    let mut discarded_bytes = 0;
+    while discarded_bytes < MAX_LINGER_BYTES {
         match socket.read(&mut chunk).await? {
             0 => break,
-            read => drained += read,
+            read => discarded_bytes += read,
         }
     }
     Ok(())
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -20,8 +20,8 @@
 
 /// Length of the listener's accept queue, in connections.
 pub const BACKLOG: u32 = 1024;
-/// If `accept` returns a connection within this time, the connection counts as queued before the call.
-const QUEUED_ACCEPT_TIME: Duration = Duration::from_millis(1);
+/// If `accept` returns within this time, the connection counts as one that was already queued before the call.
+const QUEUED_ACCEPT_THRESHOLD: Duration = Duration::from_millis(1);
 
 /// The source of client connections.
 pub struct Listener {
@@ -33,10 +33,10 @@
 }
 
 impl Listener {
-    /// Returns the kind of the permit for a connection that was accepted just before accepting ended, if no regular
-    /// permit is free. A shared listener means that this process is being replaced. A replacement must not cause
-    /// rejections, so the connection is served beyond the limit; otherwise its requests are rejected.
-    fn kind_over_limit(&self) -> PermitKind {
+    /// Returns the kind of the permit for a connection that was accepted just before the process stopped accepting, if
+    /// no regular permit is free. A shared listener means that this process is being replaced. A replacement must not
+    /// cause rejections, so the connection is served beyond the limit; otherwise its requests are rejected.
+    fn permit_kind_over_limit(&self) -> PermitKind {
         if self.shared { PermitKind::Regular } else { PermitKind::Overflow }
     }
 }
@@ -61,25 +61,26 @@
 
     /// Accepts connections until accepting ends. Waits for a permit for each connection before it accepts the next.
     async fn accept_connections(self: &Rc<Self>, listener: &Listener) {
-        let mut accepting_ends = pin!(self.accepting_ends(self.lifecycle.subscribe(), listener.shared));
-        let mut permit_wait_began = Instant::now();
+        let mut end_of_accepting =
+            pin!(self.wait_for_end_of_accepting(self.lifecycle.subscribe(), listener.shared));
+        let mut permit_wait_started_at = Instant::now();
         loop {
-            let accepting_since = Instant::now();
+            let accept_started_at = Instant::now();
             let socket = tokio::select! {
                 biased;
-                () = &mut accepting_ends => break,
+                () = &mut end_of_accepting => break,
                 accepted = accept(&listener.socket) => accepted,
             };
-            // A connection that was already queued may have waited as long as the previous one waited for its permit.
-            // That time counts towards the deadline of its request.
-            let was_queued = accepting_since.elapsed() < QUEUED_ACCEPT_TIME;
-            let accepted_at = if was_queued { permit_wait_began } else { Instant::now() };
-            permit_wait_began = Instant::now();
+            // A queued connection may have waited for as long as the previous one waited for its permit. That time
+            // counts towards the deadline of its request.
+            let was_queued = accept_started_at.elapsed() < QUEUED_ACCEPT_THRESHOLD;
+            let accepted_at = if was_queued { permit_wait_started_at } else { Instant::now() };
+            permit_wait_started_at = Instant::now();
             tokio::select! {
                 permit = self.permits.acquire() => self.start_connection(socket, accepted_at, permit),
                 // No other process can serve a connection that this process has accepted.
-                () = &mut accepting_ends => {
-                    let permit = self.permits.acquire_at_end(listener.kind_over_limit());
+                () = &mut end_of_accepting => {
+                    let permit = self.permits.acquire_or_exceed_limit(listener.permit_kind_over_limit());
                     self.start_connection(socket, accepted_at, permit);
                     break;
                 }
@@ -87,9 +88,10 @@
         }
     }
 
-    /// Waits until accepting ends: at the shutdown signal if another process shares the listener, otherwise after the
-    /// [accepting time](crate::downstream::shutdown::ShutdownBudget::accepting_time) that follows the signal.
-    async fn accepting_ends(&self, mut phases: watch::Receiver<Phase>, shared: bool) {
+    /// Waits until connections are no longer accepted: at the shutdown signal if another process shares the listener,
+    /// otherwise after the [accepting time](crate::downstream::shutdown::ShutdownBudget::accepting_time) that follows
+    /// the signal.
+    async fn wait_for_end_of_accepting(&self, mut phases: watch::Receiver<Phase>, shared: bool) {
         let _ = phases.wait_for(|phase| phase.is_shutting_down()).await;
         log_line!("zincstand-proxy: shutdown requested");
         if !shared {
--- a/crates/proxy/src/downstream/progress.rs
+++ b/crates/proxy/src/downstream/progress.rs
@@ -1,11 +1,11 @@
-//! The progress of a client connection with its present request, and the time limit of its present stage.
+//! The progress of a client connection with its current request, and the time limit of its current stage.
 
 mod client_handle;
-mod client_presence;
 mod eviction_entry;
 mod request_input;
 mod response_write;
 mod stage_clock;
+mod weak_client_stream;
 
 use std::cell::RefCell;
 use std::rc::{Rc, Weak};
@@ -17,14 +17,14 @@
 
 use crate::downstream::body_pace::BodyPace;
 use crate::downstream::client_stream::ClientStream;
+use crate::downstream::connection_stage::ConnectionStage;
 use crate::downstream::evictable_connections::EvictableConnections;
 use crate::downstream::framing::Framing;
-use crate::downstream::progress::client_presence::ClientPresence;
 use crate::downstream::progress::eviction_entry::EvictionEntry;
 use crate::downstream::progress::request_input::RequestInput;
 use crate::downstream::progress::response_write::ResponseWrite;
 use crate::downstream::progress::stage_clock::StageClock;
-use crate::downstream::request_stage::RequestStage;
+use crate::downstream::progress::weak_client_stream::WeakClientStream;
 
 pub use crate::downstream::progress::request_input::ProtocolError;
 
@@ -38,7 +38,7 @@
     input: RequestInput,
     body_pace: BodyPace,
     response: ResponseWrite,
-    client: ClientPresence,
+    client: WeakClientStream,
     eviction: EvictionEntry,
 }
 
@@ -60,32 +60,32 @@
             input: RequestInput::default(),
             body_pace: BodyPace::default(),
             response: ResponseWrite::default(),
-            client: ClientPresence::new(stream),
+            client: WeakClientStream::new(stream),
             eviction: EvictionEntry::new(evictable_connections),
         })
     }
 
-    /// Sets the task that serves the connection and enters [`RequestStage::Idle`]. The task is aborted when the
+    /// Sets the task that serves the connection and enters [`ConnectionStage::Idle`]. The task is aborted when the
     /// connection is closed to free capacity for others.
     pub fn set_task(&self, task: AbortHandle) {
         self.eviction.set_task(task);
-        self.enter(RequestStage::Idle);
+        self.enter(ConnectionStage::Idle);
     }
 
     /// Returns the connection's stage.
-    pub fn stage(&self) -> RequestStage {
+    pub fn stage(&self) -> ConnectionStage {
         self.clock.stage()
     }
 
     /// Records the first byte of a request head.
     pub fn record_head_started(&self) {
-        self.enter(RequestStage::Head);
+        self.enter(ConnectionStage::Head);
     }
 
-    /// Records a complete request head, whose body is framed as given.
+    /// Records a complete request head and the framing of its body.
     pub fn record_head(&self, framing: Framing) {
         self.input.record_head(framing);
-        self.enter(RequestStage::Body);
+        self.enter(ConnectionStage::Body);
     }
 
     /// Records that the client's input cannot be passed on to hyper.
@@ -93,21 +93,21 @@
         self.input.record_error(error);
     }
 
-    /// Records the last byte of the present request.
+    /// Records the last byte of the current request.
     pub fn record_request_complete(&self) {
         self.input.record_end();
         self.clock.lift_first_request_deadline();
-        self.enter(RequestStage::Open);
+        self.enter(ConnectionStage::Open);
     }
 
-    /// Records that hyper has the complete response. The next request is read once the response was written.
+    /// Records that hyper has the complete response. The next request is read once the response has been written.
     pub fn record_response_complete(&self) {
         self.response.record_response_complete();
     }
 
-    /// Records that the connection closes after the present response. Further input is not read as a request.
+    /// Records that the connection closes after the current response. Further input is not read as a request.
     pub fn record_last_response(&self) {
-        self.enter(RequestStage::Open);
+        self.enter(ConnectionStage::Open);
     }
 
     /// Records that hyper has written all of its buffer. Returns whether the buffer contained the end of a response, so
@@ -116,15 +116,15 @@
         let is_idle = self.response.record_flush();
         if is_idle {
             self.clock.lift_first_request_deadline();
-            self.enter(RequestStage::Idle);
+            self.enter(ConnectionStage::Idle);
         }
         is_idle
     }
 
-    /// Returns how long ago the last byte of the present request, which must be complete, arrived; zero if the
-    /// connection was dropped.
+    /// Returns how long ago the last byte of the current request arrived; zero if the connection was dropped. The
+    /// request must be complete.
     pub fn request_age(&self) -> Duration {
-        self.client.last_byte_passed_at().map_or(Duration::ZERO, |arrived_at| arrived_at.elapsed())
+        self.client.last_passed_byte_arrived_at().map_or(Duration::ZERO, |arrived_at| arrived_at.elapsed())
     }
 
     /// Records that the socket accepted no byte of a response.
@@ -137,12 +137,12 @@
         self.response.record_unblocked();
     }
 
-    /// Returns the pace at which the present request's body arrives.
+    /// Returns the pace at which the current request's body arrives.
     pub fn body_pace(&self) -> &BodyPace {
         &self.body_pace
     }
 
-    /// Returns whether input behind the present request cannot be read as a request: only hyper knows where a chunked
+    /// Returns whether input after the current request cannot be read as a request: only hyper knows where a chunked
     /// body ends, and input that overflowed the buffer was dropped.
     pub fn is_last_request(&self) -> bool {
         self.input.is_chunked() || self.client.input_overflowed()
@@ -154,7 +154,7 @@
     }
 
     /// Returns whether the client of an open request has disconnected, even if the runtime has not polled its socket
-    /// since. To be called from the connection's own task, which is woken when this changes.
+    /// since. Must be called from the connection's own task, which is woken when this changes.
     pub async fn disconnected_now(&self) -> bool {
         self.client.disconnected_now(self.stage()).await
     }
@@ -166,18 +166,18 @@
         self.client.is_disconnected(self.stage())
     }
 
-    /// Returns when the connection will have been in its stage for too long; `None` while the proxy does not wait for
-    /// the client. `idle_time` limits an idle stage. The stages of the connection's first request share one deadline, so
-    /// that a client cannot use up the limit of each stage in turn; only a body that arrives steadily extends it.
-    pub fn deadline(&self, idle_time: Duration) -> Option<Instant> {
+    /// Returns the deadline of the current stage; `None` while the proxy does not wait for the client. `idle_timeout`
+    /// limits the idle stage. The stages of the connection's first request share one deadline, so that a client cannot
+    /// use up the limit of each stage in turn; only a body that arrives steadily extends it.
+    pub fn deadline(&self, idle_timeout: Duration) -> Option<Instant> {
         match self.stage() {
-            RequestStage::Idle => Some(self.clock.idle_deadline(idle_time)),
-            RequestStage::Head => Some(self.clock.head_deadline()),
-            RequestStage::Body => {
+            ConnectionStage::Idle => Some(self.clock.idle_deadline(idle_timeout)),
+            ConnectionStage::Head => Some(self.clock.head_deadline()),
+            ConnectionStage::Body => {
                 let deadline = self.clock.request_deadline();
                 self.body_pace.deadline().map(|pace_deadline| deadline.max(pace_deadline))
             }
-            RequestStage::Open => self.response.stall_deadline(),
+            ConnectionStage::Open => self.response.stall_deadline(),
         }
     }
 
@@ -186,20 +186,20 @@
         self.input.protocol_error()
     }
 
-    /// Returns whether the client may still be sending a part of the present request.
+    /// Returns whether the client may still be sending a part of the current request.
     pub fn has_unread_request(&self) -> bool {
         self.input.is_unread()
     }
 
-    /// Returns whether a response is partly written and the socket accepts no more: a further response would end up
-    /// in the middle of it.
+    /// Returns whether a response is partly written and the socket accepts no more: another response would be written
+    /// into the middle of it.
     pub fn is_write_blocked(&self) -> bool {
         self.response.is_blocked()
     }
 
-    fn enter(&self, stage: RequestStage) {
+    fn enter(&self, stage: ConnectionStage) {
         let now = Instant::now();
-        if stage == RequestStage::Body {
+        if stage == ConnectionStage::Body {
             self.body_pace.restart(now);
         }
         self.clock.enter(stage, now);
--- a/crates/proxy/src/downstream/progress/eviction_entry.rs
+++ b/crates/proxy/src/downstream/progress/eviction_entry.rs
@@ -1,4 +1,4 @@
-//! A connection's entry among the connections that may be evicted, which are closed to free capacity for others.
+//! A connection's entry in the set of connections that may be evicted to free capacity for others.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -7,29 +7,29 @@
 use tokio::time::Instant;
 
 use crate::downstream::client_stream::ClientStream;
+use crate::downstream::connection_stage::ConnectionStage;
 use crate::downstream::evictable_connections::{EvictableConnection, EvictableConnections};
-use crate::downstream::request_stage::RequestStage;
 
 /// Keeps a connection registered as evictable while its stage allows that. Removes the entry when dropped.
 pub(super) struct EvictionEntry {
     evictable_connections: Rc<EvictableConnections>,
-    /// The task that serves the connection; `None` until it was started.
+    /// The task that serves the connection; `None` until it is set.
     task: RefCell<Option<AbortHandle>>,
-    /// The present entry; `None` while the connection may not be evicted.
-    location: Cell<Option<EntryLocation>>,
+    /// The id of the current entry; `None` while the connection may not be evicted.
+    entry_id: Cell<Option<EntryId>>,
 }
 
-/// The arguments that remove an entry again.
+/// Identifies an entry of [`EvictableConnections`].
 #[derive(Clone, Copy)]
-struct EntryLocation {
-    stage: RequestStage,
+struct EntryId {
+    stage: ConnectionStage,
     key: u64,
 }
 
 impl EvictionEntry {
-    /// Creates the entry of a connection whose task was not started, which cannot be evicted.
+    /// Creates the entry of a connection whose task is not set yet. The connection cannot be evicted until then.
     pub(super) fn new(evictable_connections: Rc<EvictableConnections>) -> EvictionEntry {
-        EvictionEntry { evictable_connections, task: RefCell::default(), location: Cell::default() }
+        EvictionEntry { evictable_connections, task: RefCell::default(), entry_id: Cell::default() }
     }
 
     /// Sets the task to abort when the connection is evicted. It takes effect at the next [`update`](Self::update).
@@ -37,19 +37,25 @@
         *self.task.borrow_mut() = Some(task);
     }
 
-    /// Replaces the entry by one for the stage that the connection entered at `since`.
-    pub(super) fn update(&self, stage: RequestStage, since: Instant, stream: &Weak<RefCell<ClientStream>>) {
+    /// Replaces the entry with one for the stage that the connection entered at `stage_entered_at`.
+    pub(super) fn update(
+        &self,
+        stage: ConnectionStage,
+        stage_entered_at: Instant,
+        stream: &Weak<RefCell<ClientStream>>,
+    ) {
         self.remove();
         if let Some(task) = &*self.task.borrow() {
-            let connection = EvictableConnection { since, task: task.clone(), stream: stream.clone() };
+            let connection =
+                EvictableConnection { stage_entered_at, task: task.clone(), stream: stream.clone() };
             let key = self.evictable_connections.insert(stage, connection);
-            self.location.set(key.map(|key| EntryLocation { stage, key }));
+            self.entry_id.set(key.map(|key| EntryId { stage, key }));
         }
     }
 
     fn remove(&self) {
-        if let Some(location) = self.location.take() {
-            self.evictable_connections.remove(location.stage, location.key);
+        if let Some(entry_id) = self.entry_id.take() {
+            self.evictable_connections.remove(entry_id.stage, entry_id.key);
         }
     }
 }
--- a/crates/proxy/src/downstream/progress/request_input.rs
+++ b/crates/proxy/src/downstream/progress/request_input.rs
@@ -1,4 +1,4 @@
-//! How much of the present request has been read from the client, and how its body is framed.
+//! How much of the current request has been read from the client, and how its body is framed.
 
 use std::cell::Cell;
 
@@ -13,18 +13,18 @@
     HeadTooLarge,
 }
 
-/// The state of the present request on the receiving side.
+/// The state of the current request on the receiving side.
 #[derive(Default)]
 pub(super) struct RequestInput {
-    /// Whether the present request's body is chunked.
+    /// Whether the current request's body is chunked.
     chunked: Cell<bool>,
-    /// Whether bytes of the present request have not been read yet.
+    /// Whether bytes of the current request have not been read yet.
     unread: Cell<bool>,
     protocol_error: Cell<Option<ProtocolError>>,
 }
 
 impl RequestInput {
-    /// Records the complete head of a request, whose body is framed as given.
+    /// Records the complete head of a request and the framing of its body.
     pub(super) fn record_head(&self, framing: Framing) {
         self.chunked.set(framing == Framing::Chunked);
         self.unread.set(framing != Framing::Length(0));
--- a/crates/proxy/src/downstream/progress/response_write.rs
+++ b/crates/proxy/src/downstream/progress/response_write.rs
@@ -1,4 +1,4 @@
-//! How far the response to the present request has been written, and how long the client has not read it.
+//! How far the response to the current request has been written, and since when the client has not read it.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 /// How long a socket may accept no byte of a response before the client counts as having stopped reading.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The state of the present response on the sending side.
+/// The state of the current response on the sending side.
 #[derive(Default)]
 pub(super) struct ResponseWrite {
     /// When the socket began to accept no more bytes; `None` while it accepts them.
     blocked_since: Cell<Option<Instant>>,
-    /// Whether hyper has the complete response, of which some bytes may not be written yet.
+    /// Whether hyper has the complete response; some of its bytes may not be written yet.
     response_complete: Cell<bool>,
 }
 
@@ -41,7 +41,7 @@
         self.blocked_since.set(None);
     }
 
-    /// Returns whether bytes wait that the socket does not accept.
+    /// Returns whether the socket currently accepts no more bytes.
     pub(super) fn is_blocked(&self) -> bool {
         self.blocked_since.get().is_some()
     }
--- /dev/null
+++ b/crates/proxy/src/downstream/progress/weak_client_stream.rs
@@ -0,0 +1,74 @@
+//! Access to a client stream that may have been dropped: whether the client is still connected, and when the last byte
+//! of its request arrived.
+
+use std::cell::RefCell;
+use std::future::poll_fn;
+use std::rc::Weak;
+use std::task::{Context, Poll};
+
+use tokio::time::Instant;
+
+use crate::downstream::client_stream::ClientStream;
+use crate::downstream::connection_stage::ConnectionStage;
+
+/// A reference to a client stream that does not keep its socket open. Once the connection has been dropped, its client
+/// counts as disconnected.
+pub(super) struct WeakClientStream {
+    stream: Weak<RefCell<ClientStream>>,
+}
+
+impl WeakClientStream {
+    /// Creates the reference to this stream.
+    pub(super) fn new(stream: Weak<RefCell<ClientStream>>) -> WeakClientStream {
+        WeakClientStream { stream }
+    }
+
+    /// Returns the stream, which may have been dropped.
+    pub(super) fn stream(&self) -> &Weak<RefCell<ClientStream>> {
+        &self.stream
+    }
+
+    /// Returns when the last byte that was passed on to hyper arrived; `None` before the first byte.
+    pub(super) fn last_passed_byte_arrived_at(&self) -> Option<Instant> {
+        let stream = self.stream.upgrade();
+        stream.and_then(|stream| stream.borrow().last_passed_byte_arrived_at())
+    }
+
+    /// Returns whether input after an open request was dropped because the read-ahead buffer was full.
+    pub(super) fn input_overflowed(&self) -> bool {
+        self.stream.upgrade().is_some_and(|stream| stream.borrow().overflowed())
+    }
+
+    /// Becomes ready once the client of an open request has disconnected; pending in every other stage, in which the
+    /// framer sees the end of input. See [`ClientStream::poll_disconnected`].
+    pub(super) fn poll_disconnected(&self, stage: ConnectionStage, cx: &mut Context<'_>) -> Poll<()> {
+        match self.stream.upgrade() {
+            Some(stream) if stage == ConnectionStage::Open => stream.borrow_mut().poll_disconnected(cx),
+            _ => Poll::Pending,
+        }
+    }
+
+    /// Returns whether the client of an open request has disconnected. Must be called from the connection's own task,
+    /// which is woken when this changes.
+    pub(super) async fn disconnected_now(&self, stage: ConnectionStage) -> bool {
+        poll_fn(|cx| Poll::Ready(self.check_disconnected(stage, cx))).await
+    }
+
+    fn check_disconnected(&self, stage: ConnectionStage, cx: &mut Context<'_>) -> bool {
+        match self.stream.upgrade() {
+            Some(stream) if stage == ConnectionStage::Open => stream.borrow_mut().disconnected_now(cx),
+            _ => false,
+        }
+    }
+
+    /// Returns whether the client has disconnected. For callers in tasks other than the connection's own.
+    pub(super) fn is_disconnected(&self, stage: ConnectionStage) -> bool {
+        let Some(stream) = self.stream.upgrade() else { return true };
+        let mut stream = stream.borrow_mut();
+        match stage {
+            ConnectionStage::Open => stream.disconnected(),
+            ConnectionStage::Body => stream.ended_early(),
+            ConnectionStage::Idle | ConnectionStage::Head => false,
+        }
+    }
+}
--- a/crates/proxy/src/downstream/request_validation.rs
+++ b/crates/proxy/src/downstream/request_validation.rs
@@ -101,9 +101,9 @@
         RequestValidator { classes, tenants, shutdown }
     }
 
-    /// Reads and validates a request. A short body is read completely; of a longer body the beginning is read, and the
-    /// rest is streamed. The client's time starts with the last byte of the request. `shutdown_requested_at` is when
-    /// the process received a shutdown signal; `None` if it received none.
+    /// Reads and validates a request. A short body is read completely; a longer body is read in part, and the rest is
+    /// streamed. The request's time limit runs from its last byte. `shutdown_requested_at` is when the process
+    /// received a shutdown signal; `None` if it received none.
     ///
     /// # Errors
     ///
@@ -125,7 +125,7 @@
         let marked_retry = text_header(&head.headers, REQ_RETRY) == Some("1");
         let headers = end_to_end_headers(&head.headers);
         let body = read_body(body, class.idempotency, progress).await?;
-        // The request target may be in absolute form, of which only path and query are forwarded.
+        // The request target may be in absolute form; only its path and query are forwarded.
         let path = head.uri.path_and_query().cloned().ok_or(RequestError::bad_request("no path"))?;
         let body_pending = matches!(body, RequestBody::Streamed(_));
         // The request may have waited for a permit or for the previous response, which uses up a part of its time.
@@ -165,7 +165,7 @@
                 .ok_or(RequestError::bad_request("Req-Deadline-Ms is no number"))?;
             time_left = time_left.min(milliseconds.saturating_mul(1000));
         }
-        Ok(time_left.min(self.shutdown.request_time(shutdown_requested_at)))
+        Ok(time_left.min(self.shutdown.request_time_limit(shutdown_requested_at)))
     }
 }
 
@@ -196,12 +196,12 @@
         return Err(RequestError { status: StatusCode::METHOD_NOT_ALLOWED, message: "GET or POST" });
     }
     let key = headers.get(IDEMPOTENCY_KEY);
-    let fits = match idempotency {
+    let matches_class = match idempotency {
         Idempotency::Idempotent => *method == Method::GET && key.is_none(),
         Idempotency::WithKey { .. } => *method == Method::POST && key.is_some_and(|key| !key.is_empty()),
         Idempotency::NotIdempotent => *method == Method::POST && key.is_none(),
     };
-    if !fits {
+    if !matches_class {
         return Err(RequestError::bad_request("method or Idempotency-Key do not fit the class"));
     }
     Ok(())
--- a/crates/proxy/src/downstream/response_body.rs
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -16,21 +16,21 @@
 /// The body of a response, with the memory that is reserved for it.
 pub struct ResponseBody {
     source: Source,
-    /// The reserved memory, released when hyper drops the body: after it was written, or when the client's connection
-    /// is closed. `None` for short responses of the proxy itself.
+    /// The reserved memory, released when hyper drops the body: once it has been written, or when the client's
+    /// connection is closed. `None` for short responses of the proxy itself.
     pub memory: Option<Permit>,
 }
 
-/// The source of the bytes.
+/// Where the bytes of the body come from.
 enum Source {
     /// All bytes are in memory.
     Complete(Full<Bytes>),
-    /// The upstream sends the bytes as fast as the client reads them.
+    /// The bytes are read from the upstream as fast as the client reads them.
     Streamed { body: Box<StreamedBody>, progress: Rc<ConnectionProgress> },
 }
 
 impl ResponseBody {
-    /// Creates a body of which all bytes are in memory.
+    /// Creates a body whose bytes are all in memory.
     pub fn complete(body: Bytes) -> ResponseBody {
         ResponseBody { source: Source::Complete(Full::new(body)), memory: None }
     }
--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -31,7 +31,7 @@
         permit_kind: PermitKind,
     ) -> Response<ResponseBody> {
         let mut response = match request.uri().path() {
-            "/health/ready" => self.readiness(),
+            "/health/ready" => self.readiness_response(),
             "/api" if permit_kind == PermitKind::Overflow => {
                 plain_text(StatusCode::SERVICE_UNAVAILABLE, "no place")
             }
@@ -51,7 +51,7 @@
         response
     }
 
-    /// Returns whether connections with this kind of permit close after each response at present.
+    /// Returns whether connections with this kind of permit currently close after each response.
     fn closes_after_response(&self, permit_kind: PermitKind) -> bool {
         permit_kind == PermitKind::Overflow
             || self.permits.is_nearly_full()
@@ -59,7 +59,7 @@
     }
 
     /// Creates the readiness response, which says whether clients may send requests to this address.
-    fn readiness(&self) -> Response<ResponseBody> {
+    fn readiness_response(&self) -> Response<ResponseBody> {
         // While the successor of this process runs, the address continues to accept clients.
         let accepting = match self.lifecycle.apply_overrides() {
             Phase::Running => true,
@@ -110,7 +110,7 @@
             None => pending.final_response().await,
             Some(upload) => respond_to_upload(pending, upload, progress).await?,
         };
-        Ok(final_response(response, body_memory, progress))
+        Ok(client_response(response, body_memory, progress))
     }
 
     /// Reserves memory for the buffered parts of the request body and of the response body, before any of the request
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// A 503 if the bodies of the open requests leave too little memory for this one.
+    /// A 503 error if the bodies of the open requests leave too little memory for this one.
     fn acquire_body_memory(&self, request: &Request<Incoming>) -> Result<Permit, RequestError> {
         let length = request.body().size_hint().exact().unwrap_or(u64::MAX);
         let buffered = length.min(MAX_BUFFERED_BODY as u64) as usize;
@@ -146,9 +146,9 @@
     pending.final_response_after_body(body_end).await.map_err(RequestError::incomplete_body)
 }
 
-/// Builds the response to the client. The body owns `body_memory` and releases it after it was written, or when the
-/// client has disconnected.
-fn final_response(
+/// Builds the response to the client. The body owns `body_memory` and releases it once the body has been written or
+/// the client has disconnected.
+fn client_response(
     response: FinalResponse<UpstreamResponse>,
     body_memory: Permit,
     progress: &Rc<ConnectionProgress>,
--- a/crates/proxy/src/downstream/shutdown.rs
+++ b/crates/proxy/src/downstream/shutdown.rs
@@ -18,7 +18,7 @@
 const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(500);
 /// A request that arrives within this time after the shutdown signal may use its complete deadline. Even a deadline of
 /// [`MAX_DEADLINE`] then ends 0.1 s before SIGKILL.
-const FULL_DEADLINE_TIME: Duration = Duration::from_millis(600);
+const FULL_DEADLINE_WINDOW: Duration = Duration::from_millis(600);
 /// How long a connection may wait for a request in [`Phase::ClosingListener`](crate::lifecycle::Phase::ClosingListener),
 /// counted from when the connection's task observes that phase.
 pub(super) const UNUSED_CONNECTION_GRACE: Duration = Duration::from_millis(200);
@@ -48,12 +48,12 @@
         self.total.mul_f64(ACCEPTING_FRACTION).max(MIN_ACCEPTING_TIME).min(self.total)
     }
 
-    /// Returns the time in microseconds that a request arriving now may take. The time is limited only for requests that
-    /// arrive more than [`FULL_DEADLINE_TIME`] after the shutdown signal, so that they get a response before SIGKILL.
-    /// `shutdown_requested_at` is the time of that signal; `None` if there was none.
-    pub fn request_time(self, shutdown_requested_at: Option<Instant>) -> Micros {
+    /// Returns the time in microseconds that a request arriving now may take. The time is limited only for requests
+    /// that arrive more than [`FULL_DEADLINE_WINDOW`] after the shutdown signal, so that they get a response before
+    /// SIGKILL. `shutdown_requested_at` is the time of that signal; `None` if there was none.
+    pub fn request_time_limit(self, shutdown_requested_at: Option<Instant>) -> Micros {
         match shutdown_requested_at {
-            Some(requested_at) if requested_at.elapsed() > FULL_DEADLINE_TIME => {
+            Some(requested_at) if requested_at.elapsed() > FULL_DEADLINE_WINDOW => {
                 self.total.saturating_sub(requested_at.elapsed()).as_micros() as Micros
             }
             _ => Micros::MAX,
