--- a/crates/policy/src/decaying_rate.rs
+++ b/crates/policy/src/decaying_rate.rs
@@ -5,17 +5,17 @@
 /// Rate of recent events, from a count that decays with time.
 pub(crate) struct DecayingRate {
     /// Decayed number of events.
-    recent: f64,
+    recent_count: f64,
     /// Time from which events are counted.
     started_at: Micros,
-    /// Time after which half of the count remains, in microseconds.
+    /// Half-life of the count, in microseconds.
     half_life: f64,
 }
 
 impl DecayingRate {
     /// Creates a rate without events. `half_life` is in microseconds.
     pub fn new(half_life: f64) -> Self {
-        DecayingRate { recent: 0.0, started_at: 0, half_life }
+        DecayingRate { recent_count: 0.0, started_at: 0, half_life }
     }
 
     /// Starts counting at `now`.
@@ -25,15 +25,15 @@
 
     /// Counts an event.
     pub fn record(&mut self) {
-        self.recent += 1.0;
+        self.recent_count += 1.0;
     }
 
     /// Multiplies the count by `remaining`.
     pub fn decay(&mut self, remaining: f64) {
-        self.recent *= remaining;
+        self.recent_count *= remaining;
     }
 
-    /// Time after which half of the count remains, in microseconds.
+    /// Half-life of the count, in microseconds.
     pub fn half_life(&self) -> f64 {
         self.half_life
     }
@@ -44,24 +44,24 @@
     }
 
     /// Decayed number of events.
-    pub fn recent(&self) -> f64 {
-        self.recent
+    pub fn recent_count(&self) -> f64 {
+        self.recent_count
     }
 
     /// Continues the count of an earlier process, which began at `started_at`.
-    pub fn import(&mut self, started_at: Micros, recent: f64) {
+    pub fn import(&mut self, started_at: Micros, recent_count: f64) {
         self.started_at = started_at;
-        self.recent = recent;
+        self.recent_count = recent_count;
     }
 
     /// Mean interval between two events, in microseconds.
     ///
-    /// Shortly after the start no event has decayed yet, and the interval allows for that. With fewer than
-    /// `min_events` it is the interval of a rate that has run for long.
+    /// Shortly after the start the count is below that of a steady rate, and the interval is corrected for
+    /// that. With fewer than `min_events` it is not corrected.
     pub fn mean_interval(&self, now: Micros, min_events: f64) -> f64 {
-        let undecayed = 0.5_f64.powf((now - self.started_at) as f64 / self.half_life);
-        let decayed = if self.recent < min_events { 1.0 } else { 1.0 - undecayed };
-        self.half_life * std::f64::consts::LOG2_E * decayed / self.recent.max(1.0)
+        let remaining = 0.5_f64.powf((now - self.started_at) as f64 / self.half_life);
+        let steady_share = if self.recent_count < min_events { 1.0 } else { 1.0 - remaining };
+        self.half_life * std::f64::consts::LOG2_E * steady_share / self.recent_count.max(1.0)
     }
 }
 
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -2,7 +2,7 @@
 
 use crate::concurrency_limit::QueueSignal;
 use crate::event::{ClassId, Micros, Outcome};
-use crate::histogram::{DecayingHistogram, HistogramTuning, Sample};
+use crate::histogram::{DecayingHistogram, HistogramConfig, Sample};
 use crate::learned::LearnedState;
 use crate::request::{AttemptEnd, Request};
 use crate::settings::Settings;
@@ -14,14 +14,14 @@
 const RETAINED_SAMPLES: f64 = 20.0;
 /// The buckets range from 64 microseconds, which is less than any call over a network takes, to more than any
 /// deadline, with a resolution of about a tenth. The 99th percentile needs at least 100 samples.
-const LATENCY_HISTOGRAM: HistogramTuning = HistogramTuning {
-    lowest: 64.0,
+const LATENCY_HISTOGRAM: HistogramConfig = HistogramConfig {
+    lowest_edge: 64.0,
     buckets_per_doubling: 8.0,
-    buckets: 176,
+    bucket_count: 176,
     max_remaining: 0.95,
-    retained_samples: RETAINED_SAMPLES,
-    tail_samples: 100.0,
-    cut_off_share: 0.01,
+    min_retained_samples: RETAINED_SAMPLES,
+    min_tail_samples: 100.0,
+    max_censored_share: 0.01,
     tail_widening: 1.15,
     max_tail_factor: 8.0,
 };
@@ -130,7 +130,7 @@
         let latency = end.latency as f64;
         let work_scale = request.work_scale();
         if matches!(end.outcome, Outcome::Ok | Outcome::TimedOut) {
-            let sample = if end.outcome == Outcome::Ok { Sample::Complete } else { Sample::CutOff };
+            let sample = if end.outcome == Outcome::Ok { Sample::Complete } else { Sample::Censored };
             class.histogram.record(latency / work_scale, sample);
             self.overall.record(latency / work_scale, sample);
         }
--- a/crates/proxy/src/process/core.rs
+++ b/crates/proxy/src/process/core.rs
@@ -54,8 +54,8 @@
         Ok(Rc::new(Core { upstreams, discovery, dispatcher, expects_push }))
     }
 
-    /// Applies the cached endpoint list, restores the state that the predecessor has learned, and starts the dispatcher.
-    /// The list comes first, because state of endpoints that are not listed is dropped.
+    /// Applies the cached endpoint list, restores the predecessor's learned state, and starts the dispatcher.
+    /// The list is applied first, because the state of endpoints that are not listed is dropped.
     pub fn start(&self, cached_list: Option<EndpointList>, hot_restart_folder: Option<&Path>) {
         match cached_list {
             Some(list) => self.dispatcher.update_endpoints(ListKind::CachedSnapshot, list.into_endpoints()),
@@ -67,7 +67,7 @@
         if self.expects_push {
             self.watch_in_place_of_push();
         }
-        spawn_local(self.dispatcher.clone().run());
+        spawn_local(self.dispatcher.clone().run_timers());
     }
 
     /// Starts the watch for a policy that expects discovery to push changes. Discovery pushes nothing by itself, so the watch
