--- a/crates/policy/tests/common/simulation.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -9,7 +9,7 @@
 
 use super::{MS, SECOND};
 
-/// Maximum time from the deadline of a request to its final response.
+/// Maximum time from the deadline of a request to its final answer.
 const RESPONSE_GRACE: Micros = 20 * MS;
 
 /// Time to the deadline of a request while its body is pending, longer than any test runs.
@@ -84,7 +84,7 @@
     pub token: u64,
 }
 
-/// A request without a final response.
+/// A request without a final answer.
 pub(super) struct OpenRequest {
     /// Class of the request.
     pub class: usize,
@@ -127,7 +127,7 @@
     pub trace: Vec<(Micros, Action)>,
     /// Timers that have not expired.
     pub(super) timers: BTreeSet<Timer>,
-    /// Requests without a final response.
+    /// Requests without a final answer.
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
     /// The last entry of each server that was ever listed.
     pub(super) servers: BTreeMap<ServerId, ServerEntry>,
@@ -280,7 +280,7 @@
         })
     }
 
-    /// Delivers the first byte of a streamed response, which counts as the final response.
+    /// Delivers the first byte of a streamed response, which counts as the final answer.
     pub fn first_byte(&mut self, attempt: &AttemptInFlight) {
         self.open.remove(&attempt.request);
         self.handle(Event::FirstByte { request: attempt.request, attempt: attempt.attempt });
@@ -292,12 +292,12 @@
         self.handle(Event::ClientDisconnected { request });
     }
 
-    /// Returns whether a request has no final response yet.
+    /// Returns whether a request has no final answer yet.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.open.contains_key(&request)
     }
 
-    /// Returns the requests without a final response, oldest first.
+    /// Returns the requests without a final answer, oldest first.
     pub fn open_requests(&self) -> Vec<RequestId> {
         self.open.keys().copied().collect()
     }
@@ -339,6 +339,6 @@
         }
         self.now = until;
         let overdue = self.open.values().filter(|open| open.deadline + RESPONSE_GRACE < until).count();
-        assert_eq!(overdue, 0, "requests without a final response after their deadline and the grace period");
+        assert_eq!(overdue, 0, "requests without a final answer after their deadline and the grace period");
     }
 }
--- a/crates/settings/src/schema/mod.rs
+++ b/crates/settings/src/schema/mod.rs
@@ -49,7 +49,7 @@
     /// Properties of the service.
     #[serde(rename = "Extra", default)]
     pub service_traits: ServiceTraits,
-    /// Weights of the parts of the score by which the platform rates the service.
+    /// Weights of the components of the score by which the platform rates the service.
     #[serde(default)]
     pub goal: GoalWeights,
     /// Resolution of event times: the shortest time between two different ones, in milliseconds.
