--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -160,7 +160,7 @@
     /// therefore noticed only once the runtime has polled the socket.
     pub fn ended_early(&self) -> bool {
         let peeked_end = matches!(self.socket.peek_now(), Some(Ok(0) | Err(_)));
-        self.ended || peeked_end || self.socket.saw_end_of_input()
+        self.ended || peeked_end || self.socket.is_read_closed()
     }
 
     /// Returns whether input has arrived that was not passed on. Queries the kernel, since the runtime may not have
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -24,7 +24,7 @@
 use crate::downstream::server::{Server, UpstreamTransport};
 use crate::downstream::shutdown::UNUSED_CONNECTION_GRACE;
 use crate::lifecycle::Phase;
-use crate::upstream::connection::MAX_BUFFERED_BYTES;
+use crate::upstream::upstream_connection::MAX_HTTP_BUFFER_BYTES;
 
 /// How long a connection may stay open without a request in the phases in which every response closes its connection. It
 /// is shorter than [`IDLE_TIMEOUT`], since a client that still needs the connection sends its next request soon.
@@ -58,7 +58,7 @@
             }
         });
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_BUFFERED_BYTES);
+        builder.max_buf_size(MAX_HTTP_BUFFER_BYTES);
         let framer = RequestFramer::new(stream.clone(), progress.clone());
         let mut connection = builder.serve_connection(framer, service);
         let driver = ConnectionDriver::new(&mut connection, &stream, &progress);
--- a/crates/proxy/src/downstream/connection_permits.rs
+++ b/crates/proxy/src/downstream/connection_permits.rs
@@ -125,7 +125,7 @@
     /// returns one that exceeds the limit and is of the given kind.
     pub fn acquire_at_end(&self, kind_over_limit: PermitKind) -> ConnectionPermit {
         self.try_acquire_regular()
-            .unwrap_or_else(|| ConnectionPermit::new(kind_over_limit, self.regular.acquire_over_limit(1)))
+            .unwrap_or_else(|| ConnectionPermit::new(kind_over_limit, self.regular.acquire_ignoring_limit(1)))
     }
 
     /// Returns whether so few permits are free that responses should close their connections.
--- a/crates/proxy/src/downstream/progress/client_handle.rs
+++ b/crates/proxy/src/downstream/progress/client_handle.rs
@@ -1,14 +1,14 @@
 //! Gives the upstream side access to a client connection.
 
 use crate::downstream::progress::ConnectionProgress;
-use crate::upstream::client_handle::ClientHandle;
+use crate::upstream::downstream_client::DownstreamClient;
 
-impl ClientHandle for ConnectionProgress {
+impl DownstreamClient for ConnectionProgress {
     fn is_disconnected(&self) -> bool {
         self.client_disconnected()
     }
 
-    fn set_body_wanted(&self, wanted: bool) {
-        self.body_pace().set_wanted(wanted);
+    fn set_waiting_for_body(&self, waiting: bool) {
+        self.body_pace().set_wanted(waiting);
     }
 }
--- a/crates/proxy/src/downstream/request_validation.rs
+++ b/crates/proxy/src/downstream/request_validation.rs
@@ -18,7 +18,7 @@
 use crate::downstream::progress::ConnectionProgress;
 use crate::downstream::shutdown::ShutdownBudget;
 use crate::upstream::body_prefix::{BodyPrefix, read_prefix};
-use crate::upstream::client_handle::ClientHandle;
+use crate::upstream::downstream_client::DownstreamClient;
 use crate::upstream::request_body_stream::RequestBodyStream;
 use crate::upstream::{RequestBody, UpstreamRequest};
 
@@ -44,7 +44,7 @@
 }
 
 impl RequestError {
-    /// The body exceeds [`MAX_STREAMED_BODY`](crate::upstream::body_prefix::MAX_STREAMED_BODY).
+    /// The body exceeds [`MAX_STREAMED_BODY_BYTES`](crate::upstream::body_prefix::MAX_STREAMED_BODY_BYTES).
     pub const BODY_TOO_LARGE: RequestError =
         RequestError { status: StatusCode::PAYLOAD_TOO_LARGE, message: "over 32 MiB" };
     /// The body ended before its last byte, or its framing is invalid.
@@ -131,7 +131,7 @@
         // The request may have waited for a permit or for the previous response, which uses up a part of its time.
         let waited = if body_pending { Duration::ZERO } else { progress.request_age() };
         let time_left = time_left.saturating_sub(waited.as_micros() as Micros);
-        let client: Weak<dyn ClientHandle> = Rc::<ConnectionProgress>::downgrade(progress);
+        let client: Weak<dyn DownstreamClient> = Rc::<ConnectionProgress>::downgrade(progress);
         let upstream_request =
             UpstreamRequest { method: head.method, uri: path.into(), headers, body, client: Some(client) };
         Ok(IncomingRequest {
--- a/crates/proxy/src/downstream/response_body.rs
+++ b/crates/proxy/src/downstream/response_body.rs
@@ -11,7 +11,7 @@
 
 use crate::downstream::ConnectionProgress;
 use crate::limits::Permit;
-use crate::upstream::StreamedBody;
+use crate::upstream::ResponseBodyStream;
 
 /// The body of a response, with the memory that is reserved for it.
 pub struct ResponseBody {
@@ -26,7 +26,7 @@
     /// All bytes are in memory.
     Complete(Full<Bytes>),
     /// The upstream sends the bytes as fast as the client reads them.
-    Streamed { body: Box<StreamedBody>, progress: Rc<ConnectionProgress> },
+    Streamed { body: Box<ResponseBodyStream>, progress: Rc<ConnectionProgress> },
 }
 
 impl ResponseBody {
@@ -36,7 +36,7 @@
     }
 
     /// Creates a body that is still arriving from the upstream. Records in `progress` when its last byte was read.
-    pub fn streamed(body: StreamedBody, progress: Rc<ConnectionProgress>) -> ResponseBody {
+    pub fn streamed(body: ResponseBodyStream, progress: Rc<ConnectionProgress>) -> ResponseBody {
         ResponseBody { source: Source::Streamed { body: Box::new(body), progress }, memory: None }
     }
 
--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -18,7 +18,7 @@
 use crate::downstream::server::{Server, UpstreamTransport};
 use crate::lifecycle::Phase;
 use crate::limits::Permit;
-use crate::upstream::body_prefix::MAX_BUFFERED_BODY;
+use crate::upstream::body_prefix::MAX_BUFFERED_BODY_BYTES;
 use crate::upstream::request_body_stream::RequestBodyStream;
 use crate::upstream::{RequestBody, UpstreamBody, UpstreamResponse};
 
@@ -121,8 +121,8 @@
     /// A 503 if the bodies of the open requests leave too little memory for this one.
     fn acquire_body_memory(&self, request: &Request<Incoming>) -> Result<Permit, RequestError> {
         let length = request.body().size_hint().exact().unwrap_or(u64::MAX);
-        let buffered = length.min(MAX_BUFFERED_BODY as u64) as usize;
-        self.body_memory.try_acquire(buffered + MAX_BUFFERED_BODY).ok_or(RequestError::NO_BODY_CAPACITY)
+        let buffered = length.min(MAX_BUFFERED_BODY_BYTES as u64) as usize;
+        self.body_memory.try_acquire(buffered + MAX_BUFFERED_BODY_BYTES).ok_or(RequestError::NO_BODY_CAPACITY)
     }
 }
 
--- a/crates/proxy/src/limits/mod.rs
+++ b/crates/proxy/src/limits/mod.rs
@@ -28,11 +28,11 @@
     /// Acquires `amount`, or returns `None` if that would exceed the limit.
     pub fn try_acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
         let used = self.used.get().checked_add(amount)?;
-        (used <= self.limit.get()).then(|| self.acquire_over_limit(amount))
+        (used <= self.limit.get()).then(|| self.acquire_ignoring_limit(amount))
     }
 
-    /// Acquires `amount` even if that exceeds the limit.
-    pub fn acquire_over_limit(self: &Rc<Self>, amount: usize) -> Permit {
+    /// Acquires `amount` without checking the limit, which may then be exceeded.
+    pub fn acquire_ignoring_limit(self: &Rc<Self>, amount: usize) -> Permit {
         self.used.set(self.used.get() + amount);
         Permit { limit: self.clone(), amount }
     }
--- a/crates/proxy/src/sockets/socket.rs
+++ b/crates/proxy/src/sockets/socket.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns whether the runtime has been notified of the end of input. Unread bytes may precede it.
-    pub fn saw_end_of_input(&self) -> bool {
+    pub fn is_read_closed(&self) -> bool {
         let readiness = pin!(self.stream.ready(Interest::READABLE));
         let polled = readiness.poll(&mut Context::from_waker(Waker::noop()));
         matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -8,12 +8,12 @@
 use zincstand_policy::{Micros, Outcome};
 
 use crate::discovery::endpoint::Target;
-use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::connection_lease::ConnectionLease;
 use crate::upstream::pool::{ConnectionOrigin, ConnectionPool, PooledConnection};
 use crate::upstream::request::UpstreamRequest;
 use crate::upstream::response::{ExchangeResult, read_response};
 use crate::upstream::send_guard::{SendGuard, SendSuppressed};
+use crate::upstream::upstream_connection::UpstreamConnection;
 
 /// How much of an attempt's request has been written. Shared between the attempt's task and its [`Attempt`], which may
 /// abort the task at any time.
--- a/crates/proxy/src/upstream/body_prefix.rs
+++ b/crates/proxy/src/upstream/body_prefix.rs
@@ -9,9 +9,9 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Maximum length in bytes of a buffered body; a longer body is streamed.
-pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// Maximum length in bytes of a streamed body; a longer body is rejected.
-pub const MAX_STREAMED_BODY: u64 = 32 << 20;
+pub const MAX_STREAMED_BODY_BYTES: u64 = 32 << 20;
 /// Maximum time for buffering a response of undeclared length. After it the response is streamed, beginning with the
 /// bytes buffered so far.
 const MAX_RESPONSE_BUFFERING: Duration = Duration::from_millis(100);
@@ -24,15 +24,15 @@
     More(Bytes, Incoming),
     /// The body ended early, or its framing is invalid.
     Broken,
-    /// The declared length exceeds [`MAX_STREAMED_BODY`].
+    /// The declared length exceeds [`MAX_STREAMED_BODY_BYTES`].
     TooLong,
 }
 
-/// Reads a body until it is complete or longer than [`MAX_BUFFERED_BODY`]. A body of undeclared length is read for at
+/// Reads a body until it is complete or longer than [`MAX_BUFFERED_BODY_BYTES`]. A body of undeclared length is read for at
 /// most `max_wait`, but at least until its first bytes arrive; `None` sets no time limit.
 pub async fn read_prefix(mut body: Incoming, max_wait: Option<Duration>) -> BodyPrefix {
     let declared_length = body.size_hint().exact();
-    if declared_length.is_some_and(|length| length > MAX_STREAMED_BODY) {
+    if declared_length.is_some_and(|length| length > MAX_STREAMED_BODY_BYTES) {
         return BodyPrefix::TooLong;
     }
     let wait_until = max_wait.filter(|_| declared_length.is_none()).map(|wait| Instant::now() + wait);
@@ -55,7 +55,7 @@
                 }
             }
         }
-        if buffered.len() > MAX_BUFFERED_BODY {
+        if buffered.len() > MAX_BUFFERED_BODY_BYTES {
             return BodyPrefix::More(buffered.freeze(), body);
         }
     }
@@ -65,7 +65,7 @@
 pub async fn read_response_prefix(body: Incoming) -> BodyPrefix {
     match body.size_hint().exact() {
         // The declared length already requires streaming, so no byte has to be waited for.
-        Some(length) if length > MAX_BUFFERED_BODY as u64 && length <= MAX_STREAMED_BODY => {
+        Some(length) if length > MAX_BUFFERED_BODY_BYTES as u64 && length <= MAX_STREAMED_BODY_BYTES => {
             BodyPrefix::More(Bytes::new(), body)
         }
         _ => read_prefix(body, Some(MAX_RESPONSE_BUFFERING)).await,
--- a/crates/proxy/src/upstream/connection_lease.rs
+++ b/crates/proxy/src/upstream/connection_lease.rs
@@ -5,8 +5,8 @@
 use tokio::task::spawn_local;
 use zincstand_policy::ServerId;
 
-use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::pool::ConnectionPool;
+use crate::upstream::upstream_connection::UpstreamConnection;
 
 /// A connection from which a response is being read. Dropping the lease closes the connection.
 pub struct ConnectionLease {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -2,15 +2,15 @@
 
 mod attempt;
 pub mod body_prefix;
-pub mod client_handle;
-pub mod connection;
 mod connection_lease;
+pub mod downstream_client;
 pub mod pool;
 mod request;
 pub mod request_body_stream;
 mod response;
+mod response_body_stream;
 mod send_guard;
-mod streamed_body;
+pub mod upstream_connection;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub use crate::upstream::attempt::Attempt;
 pub use crate::upstream::request::{RequestBody, UpstreamRequest};
 pub use crate::upstream::response::{UpstreamBody, UpstreamResponse};
-pub use crate::upstream::streamed_body::StreamedBody;
+pub use crate::upstream::response_body_stream::ResponseBodyStream;
 
 /// Time limit of a health check, from acquiring a connection to the end of the response.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -14,7 +14,7 @@
 
 use crate::discovery::endpoint::Target;
 use crate::sockets::{self, is_out_of_resources};
-use crate::upstream::connection::{ConnectionSlot, UpstreamConnection};
+use crate::upstream::upstream_connection::{ConnectionSlot, UpstreamConnection};
 
 /// Fraction of the upstreams' idle timeout after which the pool closes an idle connection. Closing earlier than the
 /// upstream makes it rare that a request is sent on a connection that the upstream is closing.
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -9,7 +9,7 @@
 use zincstand_policy::Micros;
 
 use crate::dispatch::BodyEnd;
-use crate::upstream::client_handle::ClientHandle;
+use crate::upstream::downstream_client::DownstreamClient;
 use crate::upstream::request_body_stream::{OutgoingBody, RequestBodyStream};
 
 /// Header with the time that the client still waits, in whole milliseconds.
@@ -26,7 +26,7 @@
     /// The body.
     pub body: RequestBody,
     /// The connection of the client that waits for the response; `None` for a health check.
-    pub client: Option<Weak<dyn ClientHandle>>,
+    pub client: Option<Weak<dyn DownstreamClient>>,
 }
 
 /// The body of a request.
@@ -94,8 +94,9 @@
     /// Returns whether the client has disconnected, so that no attempt may begin. A client whose connection was dropped
     /// has disconnected; a health check has no client and returns false.
     pub fn client_disconnected(&self) -> bool {
-        let has_disconnected =
-            |client: &Weak<dyn ClientHandle>| client.upgrade().is_none_or(|client| client.is_disconnected());
+        let has_disconnected = |client: &Weak<dyn DownstreamClient>| {
+            client.upgrade().is_none_or(|client| client.is_disconnected())
+        };
         self.client.as_ref().is_some_and(has_disconnected)
     }
 
--- a/crates/proxy/src/upstream/request_body_stream.rs
+++ b/crates/proxy/src/upstream/request_body_stream.rs
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 
 use crate::dispatch::BodyEnd;
-use crate::upstream::body_prefix::MAX_STREAMED_BODY;
-use crate::upstream::client_handle::ClientHandle;
+use crate::upstream::body_prefix::MAX_STREAMED_BODY_BYTES;
+use crate::upstream::downstream_client::DownstreamClient;
 
 /// A request body of which the beginning is buffered and the rest is still arriving. The request can be sent again until
 /// an attempt has read from the rest.
@@ -23,7 +23,7 @@
     /// Length of the complete body in bytes; `None` if the client has not declared it.
     declared_length: Option<u64>,
     rest: RefCell<Incoming>,
-    client: Rc<dyn ClientHandle>,
+    client: Rc<dyn DownstreamClient>,
     /// Number of bytes of the rest that were forwarded to an upstream.
     rest_forwarded: Cell<u64>,
     /// Whether an attempt has begun to read the rest.
@@ -36,9 +36,9 @@
 
 impl RequestBodyStream {
     /// Creates a body that begins with `prefix` and continues with `rest`, which arrives from `client`.
-    pub fn new(prefix: Bytes, rest: Incoming, client: Rc<dyn ClientHandle>) -> Rc<RequestBodyStream> {
+    pub fn new(prefix: Bytes, rest: Incoming, client: Rc<dyn DownstreamClient>) -> Rc<RequestBodyStream> {
         // No attempt reads the rest yet, so the client's time limit does not run.
-        client.set_body_wanted(false);
+        client.set_waiting_for_body(false);
         let declared_length = rest.size_hint().exact().map(|length| length + prefix.len() as u64);
         Rc::new(RequestBodyStream {
             prefix,
@@ -99,7 +99,7 @@
         let mut rest = self.rest.borrow_mut();
         loop {
             let polled = Pin::new(&mut *rest).poll_frame(context);
-            self.client.set_body_wanted(polled.is_pending());
+            self.client.set_waiting_for_body(polled.is_pending());
             let frame = match ready!(polled) {
                 None => {
                     self.set_end(BodyEnd::Complete);
@@ -114,7 +114,7 @@
             // Trailers belong to the client's connection and are not forwarded.
             let Some(data) = frame.data_ref() else { continue };
             self.rest_forwarded.set(self.rest_forwarded.get() + data.len() as u64);
-            if self.length_so_far() > MAX_STREAMED_BODY {
+            if self.length_so_far() > MAX_STREAMED_BODY_BYTES {
                 self.set_end(BodyEnd::TooLong);
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -6,10 +6,10 @@
 use hyper::{Response, StatusCode, body::Incoming, http::response::Parts};
 use zincstand_policy::{LoadReport, Micros, Outcome};
 
-use crate::upstream::body_prefix::{BodyPrefix, MAX_BUFFERED_BODY, read_response_prefix};
-use crate::upstream::connection::UpstreamConnection;
+use crate::upstream::body_prefix::{BodyPrefix, MAX_BUFFERED_BODY_BYTES, read_response_prefix};
 use crate::upstream::connection_lease::ConnectionLease;
-use crate::upstream::streamed_body::StreamedBody;
+use crate::upstream::response_body_stream::ResponseBodyStream;
+use crate::upstream::upstream_connection::UpstreamConnection;
 
 /// Header that is `1` if the upstream has rejected the request without running it.
 const REJECTED: &str = "srv-declined";
@@ -31,7 +31,7 @@
     /// The complete body.
     Complete(Bytes),
     /// A body that is still arriving from the upstream.
-    Streamed(StreamedBody),
+    Streamed(ResponseBodyStream),
 }
 
 /// The result of sending a request and reading its response.
@@ -76,7 +76,7 @@
         },
         // The outcome is final although the body is incomplete: from here on, the speed of the body depends on the client.
         BodyPrefix::More(prefix, rest) => {
-            let body = UpstreamBody::Streamed(StreamedBody::new(prefix, rest, lease));
+            let body = UpstreamBody::Streamed(ResponseBodyStream::new(prefix, rest, lease));
             ExchangeResult { response: Some(UpstreamResponse { headers, body }), ..Outcome::Ok.into() }
         }
         BodyPrefix::Broken | BodyPrefix::TooLong => Outcome::Reset.into(),
@@ -84,7 +84,7 @@
 }
 
 async fn read_failure(head: &Parts, body: Incoming, lease: ConnectionLease) -> ExchangeResult {
-    let is_complete = Limited::new(body, MAX_BUFFERED_BODY).collect().await.is_ok();
+    let is_complete = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await.is_ok();
     if !is_complete {
         // An incomplete response is not evidence of a rejection, whatever its head says.
         return Outcome::Reset.into();
--- a/crates/proxy/src/upstream/streamed_body.rs
+++ b/crates/proxy/src/upstream/response_body_stream.rs
@@ -10,14 +10,14 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::upstream::body_prefix::MAX_STREAMED_BODY;
+use crate::upstream::body_prefix::MAX_STREAMED_BODY_BYTES;
 use crate::upstream::connection_lease::ConnectionLease;
 
 /// Time without a byte from the upstream, while the client waits for more, after which the response fails.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A response body of which the rest is still arriving, with the connection that it arrives on.
-pub struct StreamedBody {
+pub struct ResponseBodyStream {
     /// The buffered beginning; `None` if it is empty or was returned.
     prefix: Option<Bytes>,
     rest: Incoming,
@@ -29,16 +29,19 @@
     stall_timer: Pin<Box<Sleep>>,
 }
 
-impl fmt::Debug for StreamedBody {
+impl fmt::Debug for ResponseBodyStream {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.debug_struct("StreamedBody").field("forwarded", &self.forwarded).finish_non_exhaustive()
+        formatter
+            .debug_struct("ResponseBodyStream")
+            .field("forwarded", &self.forwarded)
+            .finish_non_exhaustive()
     }
 }
 
-impl StreamedBody {
+impl ResponseBodyStream {
     /// Creates a body that begins with `prefix` and continues with `rest`, which arrives on the leased connection.
-    pub fn new(prefix: Bytes, rest: Incoming, lease: ConnectionLease) -> StreamedBody {
-        StreamedBody {
+    pub fn new(prefix: Bytes, rest: Incoming, lease: ConnectionLease) -> ResponseBodyStream {
+        ResponseBodyStream {
             prefix: Some(prefix).filter(|prefix| !prefix.is_empty()),
             rest,
             forwarded: 0,
@@ -70,7 +73,7 @@
             let Some(data) = frame.data_ref() else { continue };
             self.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
             self.forwarded += data.len() as u64;
-            if self.forwarded > MAX_STREAMED_BODY {
+            if self.forwarded > MAX_STREAMED_BODY_BYTES {
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
             if self.rest.is_end_stream() {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -14,7 +14,7 @@
 use super::*;
 use crate::downstream::{ClientStream, ConnectionProgress};
 use crate::sockets::Socket;
-use crate::upstream::client_handle::ClientHandle;
+use crate::upstream::downstream_client::DownstreamClient;
 use crate::upstream::pool::ConnectError;
 use crate::upstream::response::parse_load_report;
 
@@ -200,7 +200,7 @@
     let stream = ClientStream::new(Socket::new(accepted), tokio::time::Instant::now());
     let connection = ConnectionProgress::new(Rc::default(), &stream);
     connection.request_complete();
-    let client: Weak<dyn ClientHandle> = Rc::<ConnectionProgress>::downgrade(&connection);
+    let client: Weak<dyn DownstreamClient> = Rc::<ConnectionProgress>::downgrade(&connection);
     let request = UpstreamRequest {
         method: Method::GET,
         uri: Uri::from_static("/api"),
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/upstream_connection.rs
@@ -16,7 +16,7 @@
 
 /// Maximum size in bytes of each of hyper's buffers of one connection. It limits the connection's memory and the length
 /// of a message head: a longer head is a protocol error.
-pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
+pub const MAX_HTTP_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Counts one open connection until its socket is closed.
 pub struct ConnectionSlot {
@@ -154,7 +154,7 @@
         // The task that owns the socket holds the only strong reference, so the stream is closed with that task.
         let stream = Rc::downgrade(&stream);
         let (sender, connection) =
-            http1::Builder::new().max_buf_size(MAX_BUFFERED_BYTES).handshake(socket).await?;
+            http1::Builder::new().max_buf_size(MAX_HTTP_BUFFER_BYTES).handshake(socket).await?;
         let driver = spawn_local(async move {
             // The attempt whose request is on the connection receives the same error from hyper and reports it.
             let _ = connection.await;
