--- a/crates/proxy/src/sockets/connect.rs
+++ b/crates/proxy/src/sockets/connect.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Starts to connect. A call that a signal has interrupted may have started to connect too, so the repeated call may
-/// report that the connection is being or has been established.
+/// Starts to connect. A call that was interrupted by a signal may already have started the connection, so the repeated
+/// call may report that the connection is being or has been established.
 fn start_connecting(socket: &socket2::Socket, address: SocketAddr) -> io::Result<()> {
     loop {
         let Err(error) = socket.connect(&address.into()) else { return Ok(()) };
--- a/crates/proxy/src/sockets/mod.rs
+++ b/crates/proxy/src/sockets/mod.rs
@@ -1,5 +1,6 @@
 //! System calls on TCP sockets. Calls that a signal has interrupted are repeated, and a short read or write is not mistaken
-//! for an empty or full socket. The modules above therefore see only errors of the peer or of this machine's resources.
+//! for an empty or full socket. Callers therefore see only errors that are caused by the peer or by a lack of resources
+//! on this machine.
 
 mod accept;
 mod connect;
--- a/crates/proxy/src/sockets/resources.rs
+++ b/crates/proxy/src/sockets/resources.rs
@@ -1,4 +1,4 @@
-//! Errors of the operating system that concern this process or machine, not a peer.
+//! Errors of the operating system that are caused by a lack of resources of this process or machine, not by a peer.
 
 use std::io;
 
--- a/crates/proxy/src/sockets/socket.rs
+++ b/crates/proxy/src/sockets/socket.rs
@@ -13,13 +13,13 @@
 use tokio::net::TcpStream;
 
 /// Maximum number of bytes that one call reads for hyper.
-const READ_CHUNK: usize = 8 * 1024;
-/// Maximum number of repetitions of a call that signals interrupt, before the error is returned. The limit prevents
-/// an endless loop on the thread that serves all connections.
+const READ_CHUNK_BYTES: usize = 8 * 1024;
+/// Maximum number of times that a call interrupted by a signal is repeated before the error is returned. The limit
+/// prevents an endless loop on the thread that serves all connections.
 const MAX_INTERRUPTIONS: u32 = 1000;
 
-/// A connected TCP socket. Only the kernel's `EWOULDBLOCK` counts as an empty or full socket. The runtime's own calls also
-/// infer that from a short transfer, and may then wait for an event that never comes.
+/// A connected TCP socket. It is taken to be empty or full only if the kernel returns `EWOULDBLOCK`. The runtime's own
+/// read and write methods also infer that from a short read or write, and may then wait for an event that never comes.
 pub struct Socket {
     stream: TcpStream,
 }
@@ -149,8 +149,8 @@
     unless_blocked(|| SockRef::from(stream).peek(&mut byte))
 }
 
-/// Returns the result of a system call on a socket; `None` if the socket was empty or full. Repeats the call if a signal
-/// has interrupted it.
+/// Returns the result of a system call on a socket; `None` if the socket was empty or full. Repeats the call if it was
+/// interrupted by a signal.
 fn unless_blocked(mut call: impl FnMut() -> io::Result<usize>) -> Option<io::Result<usize>> {
     let mut interruptions = 0;
     loop {
@@ -168,12 +168,12 @@
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        mut target: ReadBufCursor<'_>,
+        mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0; READ_CHUNK];
-        let limit = target.remaining().min(READ_CHUNK);
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let limit = buffer.remaining().min(READ_CHUNK_BYTES);
         let read = ready!(Socket::poll_read(&self, cx, &mut chunk[..limit]))?;
-        target.put_slice(&chunk[..read]);
+        buffer.put_slice(&chunk[..read]);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/proxy/src/sockets/tests.rs
+++ b/crates/proxy/src/sockets/tests.rs
@@ -4,20 +4,21 @@
 use super::is_out_of_resources;
 
 #[test]
-fn only_errors_of_local_resources_are_out_of_resources() {
-    let failure = |number| AcceptFailure::from(&io::Error::from_raw_os_error(number));
-    let [interrupted, aborted, protocol, net_down, unreachable] = [4, 103, 71, 100, 113];
-    for number in [interrupted, aborted, protocol, net_down, unreachable] {
-        assert_eq!(failure(number), AcceptFailure::Transient, "{number}");
+fn only_a_lack_of_local_resources_counts_as_out_of_resources() {
+    let failure = |errno| AcceptFailure::from(&io::Error::from_raw_os_error(errno));
+    let [interrupted, connection_aborted, protocol_error, network_down, host_unreachable] =
+        [4, 103, 71, 100, 113];
+    for errno in [interrupted, connection_aborted, protocol_error, network_down, host_unreachable] {
+        assert_eq!(failure(errno), AcceptFailure::Transient, "{errno}");
     }
-    let [descriptors, files, memory, buffers] = [24, 23, 12, 105];
-    for number in [descriptors, files, memory, buffers] {
-        assert_eq!(failure(number), AcceptFailure::OutOfResources, "{number}");
+    let [process_descriptors, system_files, memory, buffers] = [24, 23, 12, 105];
+    for errno in [process_descriptors, system_files, memory, buffers] {
+        assert_eq!(failure(errno), AcceptFailure::OutOfResources, "{errno}");
     }
     let [timed_out, connection_refused] = [110, 111];
     assert!(
         [timed_out, connection_refused]
             .iter()
-            .all(|number| !is_out_of_resources(&io::Error::from_raw_os_error(*number)))
+            .all(|errno| !is_out_of_resources(&io::Error::from_raw_os_error(*errno)))
     );
 }
--- a/crates/proxy/src/upstream/body_prefix.rs
+++ b/crates/proxy/src/upstream/body_prefix.rs
@@ -12,9 +12,9 @@
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// Maximum length in bytes of a streamed body; a longer body is rejected.
 pub const MAX_STREAMED_BODY_BYTES: u64 = 32 << 20;
-/// Maximum time for buffering a response of undeclared length. After it the response is streamed, beginning with the
-/// bytes buffered so far.
-const MAX_RESPONSE_BUFFERING: Duration = Duration::from_millis(100);
+/// Maximum time for buffering a response of undeclared length. After that time the response is streamed, beginning with
+/// the bytes buffered so far.
+const MAX_RESPONSE_BUFFERING_TIME: Duration = Duration::from_millis(100);
 
 /// The beginning of a body.
 pub enum BodyPrefix {
@@ -64,10 +64,10 @@
 /// Reads the part of a response body that is buffered; see [`read_prefix`].
 pub async fn read_response_prefix(body: Incoming) -> BodyPrefix {
     match body.size_hint().exact() {
-        // The declared length already requires streaming, so no byte has to be waited for.
+        // The declared length already requires streaming, so there is no need to wait for the first bytes.
         Some(length) if length > MAX_BUFFERED_BODY_BYTES as u64 && length <= MAX_STREAMED_BODY_BYTES => {
             BodyPrefix::More(Bytes::new(), body)
         }
-        _ => read_prefix(body, Some(MAX_RESPONSE_BUFFERING)).await,
+        _ => read_prefix(body, Some(MAX_RESPONSE_BUFFERING_TIME)).await,
     }
 }
--- a/crates/proxy/src/upstream/connection_lease.rs
+++ b/crates/proxy/src/upstream/connection_lease.rs
@@ -30,9 +30,9 @@
         self.connection
     }
 
-    /// Puts the connection back into the pool in a task of its own, since hyper may not be ready for the next request yet.
-    /// To be called once the response was read to its end.
-    pub fn give_back(self) {
+    /// Puts the connection back into the pool from a separate task, since hyper may not be ready for the next request
+    /// yet. Must be called only after the response has been read to its end.
+    pub fn return_to_pool(self) {
         spawn_local(async move { self.pool.put_when_ready(self.server, self.connection).await });
     }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The upstream side: the connection pool, and attempts and health checks on its connections.
+//! The upstream side: the connection pool, and the attempts and health checks that use its connections.
 
 mod attempt;
 pub mod body_prefix;
@@ -39,12 +39,12 @@
 }
 
 impl Upstreams {
-    /// Creates an empty set of connections that opens at most `max_connections`.
+    /// Creates an empty pool that opens at most `max_connections` connections.
     pub fn new(limits: &policy::Limits, max_connections: usize) -> Upstreams {
         Upstreams { pool: Rc::new(ConnectionPool::new(limits, max_connections)) }
     }
 
-    /// Changes the limit on open connections. Idle connections in excess are closed.
+    /// Changes the limit on open connections. Idle connections above the new limit are closed.
     pub fn resize(&self, max_connections: usize) {
         self.pool.resize(max_connections);
     }
@@ -68,8 +68,8 @@
         let task_progress = progress.clone();
         let task = spawn_local(async move {
             let result = exchange(&pool, target, Some(time_limit), &task_progress).await;
-            // The connection is put back before the outcome is reported, so that a request which the dispatcher sends
-            // on this outcome can reuse it.
+            // The connection is put back before the outcome is reported, so that an attempt which the dispatcher starts
+            // in response to this outcome can reuse it.
             let not_ready =
                 result.connection.and_then(|connection| pool.put_if_ready(target.server, connection));
             completion.report(result.outcome, result.load_report, result.response);
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -19,11 +19,11 @@
 /// Fraction of the upstreams' idle timeout after which the pool closes an idle connection. Closing earlier than the
 /// upstream makes it rare that a request is sent on a connection that the upstream is closing.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
-/// Idle timeout of pooled connections if the settings give no idle timeout of the upstreams.
+/// Idle timeout of pooled connections if the settings give no idle timeout for the upstreams.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Connections that have been idle for at least this long are preferred. A faulty upstream may send a second response
-/// some milliseconds after the first, which would be taken for the response to the next request.
-const SETTLE_TIME: Duration = Duration::from_millis(20);
+/// Connections that have been idle for at least this long are preferred for reuse. A faulty upstream may send a second
+/// response some milliseconds after the first, and it would be taken for the response to the next request.
+const PREFERRED_IDLE_TIME: Duration = Duration::from_millis(20);
 /// Time limit for establishing a connection if the settings give none.
 pub const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time limit for a connection to become ready for the next request after its response was read.
@@ -32,7 +32,7 @@
 /// Why no connection could be acquired for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectError {
-    /// This process may not open another connection. Nothing was sent, and the upstream is not at fault.
+    /// This process cannot open another connection. Nothing was sent, and the upstream is not at fault.
     NoCapacity,
     /// The upstream refused the connection, or it was not established in time.
     Failed,
@@ -57,14 +57,14 @@
 }
 
 /// A connection acquired for one request.
-pub struct PooledConnection {
+pub struct AcquiredConnection {
     /// The connection.
     pub connection: UpstreamConnection,
     /// Where the connection came from.
     pub origin: ConnectionOrigin,
 }
 
-struct PoolEntry {
+struct IdleConnection {
     connection: UpstreamConnection,
     idle_since: Instant,
 }
@@ -72,14 +72,14 @@
 /// The idle connections by upstream, and the number of open connections.
 pub struct ConnectionPool {
     /// The idle connections of each upstream, least recently used first.
-    idle: RefCell<HashMap<ServerId, Vec<PoolEntry>>>,
+    idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
     /// Number of open connections, whether idle or in use. Each [`ConnectionSlot`] counts as one.
     open_connections: Rc<Cell<usize>>,
     max_connections: Cell<usize>,
     idle_timeout: Duration,
     connect_timeout: Duration,
-    /// Notified when a connection becomes idle, for [`close_expired`](Self::close_expired), which otherwise has no time to
-    /// wait for.
+    /// Notified when a connection becomes idle. [`close_expired`](Self::close_expired) waits for this while no
+    /// connection is idle.
     connection_added: Notify,
 }
 
@@ -108,8 +108,8 @@
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Changes the limit on open connections. Idle connections in excess are closed now, connections in use when they
-    /// are put back.
+    /// Changes the limit on open connections. Idle connections above the limit are closed at once, connections in use
+    /// when they are put back.
     pub fn resize(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         let mut excess = self.open_connections.get().saturating_sub(max_connections);
@@ -123,17 +123,17 @@
     /// # Errors
     ///
     /// See [`connect`](Self::connect).
-    pub async fn acquire(&self, target: Target) -> Result<PooledConnection, ConnectError> {
+    pub async fn acquire(&self, target: Target) -> Result<AcquiredConnection, ConnectError> {
         if let Some(connection) = self.take_idle(target) {
-            return Ok(PooledConnection { connection, origin: ConnectionOrigin::Pooled });
+            return Ok(AcquiredConnection { connection, origin: ConnectionOrigin::Pooled });
         }
         let connection = self.connect(target.address).await?;
-        Ok(PooledConnection { connection, origin: ConnectionOrigin::New })
+        Ok(AcquiredConnection { connection, origin: ConnectionOrigin::New })
     }
 
-    /// Takes the most recently used of the idle connections that have been idle for [`SETTLE_TIME`], or of all idle
-    /// connections if none has been idle for that long. Closes connections that cannot be reused; returns `None` if no
-    /// other is left.
+    /// Takes the most recently used of the connections that have been idle for [`PREFERRED_IDLE_TIME`], or of all idle
+    /// connections if none has been idle for that long. Closes connections that cannot be reused, and returns `None` if
+    /// no reusable one is left.
     pub fn take_idle(&self, target: Target) -> Option<UpstreamConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&target.server)?;
@@ -141,8 +141,9 @@
             entry.connection.address() == target.address && entry.idle_since.elapsed() < self.idle_timeout
         });
         loop {
-            let settled = connections.partition_point(|entry| entry.idle_since.elapsed() >= SETTLE_TIME);
-            let PoolEntry { connection, .. } = match settled {
+            let preferred_count =
+                connections.partition_point(|entry| entry.idle_since.elapsed() >= PREFERRED_IDLE_TIME);
+            let IdleConnection { connection, .. } = match preferred_count {
                 0 => connections.pop()?,
                 count => connections.remove(count - 1),
             };
@@ -152,12 +153,13 @@
         }
     }
 
-    /// Puts a connection back for the next request to this upstream, or closes it if too many are open.
+    /// Puts a connection back for the next request to this upstream, or closes it if the limit on open connections
+    /// is exceeded.
     pub fn put(&self, server: ServerId, connection: UpstreamConnection) {
         if self.open_connections.get() > self.max_connections.get() {
             return;
         }
-        let entry = PoolEntry { connection, idle_since: Instant::now() };
+        let entry = IdleConnection { connection, idle_since: Instant::now() };
         self.idle.borrow_mut().entry(server).or_default().push(entry);
         self.connection_added.notify_one();
     }
@@ -197,7 +199,7 @@
     /// [`ConnectError::NoCapacity`] if all connections are in use or the operating system is out of resources,
     /// [`ConnectError::Failed`] if the upstream cannot be reached in time.
     pub async fn connect(&self, address: SocketAddr) -> Result<UpstreamConnection, ConnectError> {
-        self.evict_idle_connection().await?;
+        self.evict_until_below_limit().await?;
         let slot = ConnectionSlot::acquire(&self.open_connections);
         let stream = match timeout(self.connect_timeout, sockets::connect(address)).await {
             Ok(Ok(stream)) => stream,
@@ -212,17 +214,17 @@
     }
 
     /// Closes idle connections until the number of open connections is below the limit, so that another connection does
-    /// not exceed the file descriptors of the process.
+    /// not exceed the process's limit on file descriptors.
     ///
     /// # Errors
     ///
     /// [`ConnectError::NoCapacity`] if all connections are in use.
-    async fn evict_idle_connection(&self) -> Result<(), ConnectError> {
+    async fn evict_until_below_limit(&self) -> Result<(), ConnectError> {
         while self.open_connections.get() >= self.max_connections.get() {
             if !self.close_longest_idle() {
                 return Err(ConnectError::NoCapacity);
             }
-            // The count falls once the runtime has dropped the task that owns the socket.
+            // The count decreases once the runtime has dropped the task that owns the socket.
             tokio::task::yield_now().await;
         }
         Ok(())
@@ -253,7 +255,7 @@
     }
 }
 
-/// Converts a duration of the settings, in which 0 means that none is given.
+/// Converts a duration from the settings, where 0 means that none is given.
 fn duration_or(micros: Micros, default: Duration) -> Duration {
     if micros == 0 { default } else { Duration::from_micros(micros) }
 }
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -12,8 +12,8 @@
 use crate::upstream::downstream_client::DownstreamClient;
 use crate::upstream::request_body_stream::{OutgoingBody, RequestBodyStream};
 
-/// Header with the time that the client still waits, in whole milliseconds.
-const DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
+/// Header with the client's remaining time in whole milliseconds.
+const DEADLINE_HEADER: HeaderName = HeaderName::from_static("req-deadline-ms");
 
 /// A request to be forwarded to an upstream.
 pub struct UpstreamRequest {
@@ -57,8 +57,9 @@
         }
     }
 
-    /// Returns whether the body ended before its last byte, because the client ended it early or exceeded the limit.
-    pub fn is_broken_off(&self) -> bool {
+    /// Returns whether the body ended before its last byte, because the client broke it off or it exceeded the maximum
+    /// length.
+    pub fn is_truncated(&self) -> bool {
         match self {
             RequestBody::Complete(_) => false,
             RequestBody::Streamed(stream) => stream.end().is_some_and(|end| end != BodyEnd::Complete),
@@ -92,7 +93,7 @@
     }
 
     /// Returns whether the client has disconnected, so that no attempt may begin. A client whose connection was dropped
-    /// has disconnected; a health check has no client and returns false.
+    /// counts as disconnected. False for a health check, which has no client.
     pub fn client_disconnected(&self) -> bool {
         let has_disconnected = |client: &Weak<dyn DownstreamClient>| {
             client.upgrade().is_none_or(|client| client.is_disconnected())
@@ -114,7 +115,7 @@
             headers.insert(HOST, host);
         }
         if let Some(time_left) = time_left {
-            headers.insert(DEADLINE, HeaderValue::from(time_left.div_ceil(1000)));
+            headers.insert(DEADLINE_HEADER, HeaderValue::from(time_left.div_ceil(1000)));
         }
         if self.method == Method::POST
             && let Some(length) = self.body.declared_length()
--- a/crates/proxy/src/upstream/request_body_stream.rs
+++ b/crates/proxy/src/upstream/request_body_stream.rs
@@ -37,7 +37,7 @@
 impl RequestBodyStream {
     /// Creates a body that begins with `prefix` and continues with `rest`, which arrives from `client`.
     pub fn new(prefix: Bytes, rest: Incoming, client: Rc<dyn DownstreamClient>) -> Rc<RequestBodyStream> {
-        // No attempt reads the rest yet, so the client's time limit does not run.
+        // No attempt is reading the rest yet, so the client's time limit does not run.
         client.set_waiting_for_body(false);
         let declared_length = rest.size_hint().exact().map(|length| length + prefix.len() as u64);
         Rc::new(RequestBodyStream {
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -12,9 +12,9 @@
 use crate::upstream::upstream_connection::UpstreamConnection;
 
 /// Header that is `1` if the upstream has rejected the request without running it.
-const REJECTED: &str = "srv-declined";
+const REJECTED_HEADER: &str = "srv-declined";
 /// Header with the upstream's load report.
-const LOAD_REPORT: &str = "srv-load";
+const LOAD_REPORT_HEADER: &str = "srv-load";
 
 /// A response to be forwarded.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
 /// only if the response was read to its end.
 pub async fn read_response(response: Response<Incoming>, lease: ConnectionLease) -> ExchangeResult {
     let (head, body) = response.into_parts();
-    let report = head.headers.get(LOAD_REPORT).and_then(|value| value.to_str().ok());
+    let report = head.headers.get(LOAD_REPORT_HEADER).and_then(|value| value.to_str().ok());
     let load_report = report.map(parse_load_report);
     let result = if head.status == StatusCode::OK {
         read_success(head.headers, body, lease).await
@@ -74,7 +74,7 @@
             connection: Some(lease.into_connection()),
             ..Outcome::Ok.into()
         },
-        // The outcome is final although the body is incomplete: from here on, the speed of the body depends on the client.
+        // The outcome is final although the body is incomplete: from here on, the body's speed depends on the client.
         BodyPrefix::More(prefix, rest) => {
             let body = UpstreamBody::Streamed(ResponseBodyStream::new(prefix, rest, lease));
             ExchangeResult { response: Some(UpstreamResponse { headers, body }), ..Outcome::Ok.into() }
@@ -86,7 +86,7 @@
 async fn read_failure(head: &Parts, body: Incoming, lease: ConnectionLease) -> ExchangeResult {
     let is_complete = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await.is_ok();
     if !is_complete {
-        // An incomplete response is not evidence of a rejection, whatever its head says.
+        // An incomplete response does not count as a rejection, even if its head marks the request as rejected.
         return Outcome::Reset.into();
     }
     let outcome = match head.status {
@@ -99,7 +99,7 @@
 }
 
 fn is_marked_rejected(head: &Parts) -> bool {
-    head.headers.get(REJECTED).is_some_and(|value| value == "1")
+    head.headers.get(REJECTED_HEADER).is_some_and(|value| value == "1")
 }
 
 /// Parses a load report of the form `name=value,name=value`. Ignores unknown names and values that are not finite
@@ -107,7 +107,7 @@
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        // The policy sums these values up, and a single `NaN` or `inf` would spoil the sums permanently.
+        // The policy adds these values up, and a single `NaN` or `inf` would make the sums invalid permanently.
         let is_valid = |value: &f64| value.is_finite() && *value >= 0.0;
         let Some(value) = value.trim().parse::<f64>().ok().filter(is_valid) else { continue };
         match name.trim() {
--- a/crates/proxy/src/upstream/response_body_stream.rs
+++ b/crates/proxy/src/upstream/response_body_stream.rs
@@ -13,7 +13,8 @@
 use crate::upstream::body_prefix::MAX_STREAMED_BODY_BYTES;
 use crate::upstream::connection_lease::ConnectionLease;
 
-/// Time without a byte from the upstream, while the client waits for more, after which the response fails.
+/// Maximum time without a byte from the upstream while the client is waiting for more. After that time the response
+/// fails.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A response body of which the rest is still arriving, with the connection that it arrives on.
@@ -63,7 +64,7 @@
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
                 Poll::Ready(None) => {
-                    self.give_back_connection();
+                    self.return_connection();
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(error))) => return Poll::Ready(Some(Err(io::Error::other(error)))),
@@ -77,7 +78,7 @@
                 return Poll::Ready(Some(Err(io::ErrorKind::FileTooLarge.into())));
             }
             if self.rest.is_end_stream() {
-                self.give_back_connection();
+                self.return_connection();
             }
             return Poll::Ready(Some(Ok(frame)));
         }
@@ -95,10 +96,10 @@
         self.rest.size_hint().exact().map_or_else(SizeHint::default, total)
     }
 
-    /// Puts the connection back into the pool, once the body was read to its end.
-    fn give_back_connection(&mut self) {
+    /// Puts the connection back into the pool, after the body was read to its end.
+    fn return_connection(&mut self) {
         if let Some(lease) = self.lease.take() {
-            lease.give_back();
+            lease.return_to_pool();
         }
     }
 }
--- a/crates/proxy/src/upstream/send_guard.rs
+++ b/crates/proxy/src/upstream/send_guard.rs
@@ -1,5 +1,5 @@
-//! The last check of an attempt, made immediately before its first byte is written. Every attempt passes it, on a pooled
-//! connection as on a new one.
+//! The last check of an attempt, made immediately before its first byte is written. It applies to every attempt,
+//! whether the connection is pooled or new.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,55 +11,56 @@
 use crate::log::log_line;
 use crate::upstream::request::UpstreamRequest;
 
-/// Maximum time from preparing a request to writing its first byte. The prepared head states how long the client still
-/// waits. When the upstream reads the head, the stated time may exceed the true time by at most 150 ms.
-const MAX_TIME_TO_FIRST_BYTE: Duration = Duration::from_millis(120);
+/// Maximum time from preparing a request to writing its first byte. The head states the client's remaining time as of
+/// the preparation. When the upstream reads the head, the stated time may exceed the actual remaining time by at most
+/// 150 ms.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(120);
 
-/// Number of attempts of this process that were suppressed as [`SendSuppressed::PreparedTooLongAgo`], for the log.
-static SUPPRESSED_TOO_LATE: AtomicU64 = AtomicU64::new(0);
+/// Number of attempts that this process suppressed for [`SuppressionReason::PreparedTooLongAgo`], for the log.
+static PREPARED_TOO_LONG_AGO_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// Why an attempt was suppressed before its first byte.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SendSuppressed {
+pub enum SuppressionReason {
     /// The client has disconnected.
     ClientDisconnected,
-    /// More than [`MAX_TIME_TO_FIRST_BYTE`] passed since the request was prepared, because the process or the
-    /// connection's task was delayed.
+    /// More than [`MAX_WRITE_DELAY`] passed since the request was prepared, because the process or the connection's
+    /// task was delayed.
     PreparedTooLongAgo,
 }
 
-/// The check of one attempt, created when its request is prepared.
+/// The check before the first byte of one attempt. Created when the attempt's request is prepared.
 pub struct SendGuard {
     request: Rc<UpstreamRequest>,
     prepared_at: Instant,
-    suppressed: Rc<Cell<Option<SendSuppressed>>>,
+    suppression: Rc<Cell<Option<SuppressionReason>>>,
 }
 
 impl SendGuard {
     /// Creates the guard of a request that is prepared now. If the attempt is suppressed, the reason is stored in
-    /// `suppressed`.
-    pub fn new(request: Rc<UpstreamRequest>, suppressed: Rc<Cell<Option<SendSuppressed>>>) -> SendGuard {
-        SendGuard { request, prepared_at: Instant::now(), suppressed }
+    /// `suppression`.
+    pub fn new(request: Rc<UpstreamRequest>, suppression: Rc<Cell<Option<SuppressionReason>>>) -> SendGuard {
+        SendGuard { request, prepared_at: Instant::now(), suppression }
     }
 
     /// Returns whether the first byte may be written now.
     pub fn may_write(&self) -> bool {
-        let suppressed = self.check();
-        self.suppressed.set(suppressed);
-        suppressed.is_none()
+        let suppression = self.check();
+        self.suppression.set(suppression);
+        suppression.is_none()
     }
 
-    /// Returns why the attempt has to be suppressed; `None` if it may be sent.
-    fn check(&self) -> Option<SendSuppressed> {
+    /// Returns why the attempt must be suppressed; `None` if it may be sent.
+    fn check(&self) -> Option<SuppressionReason> {
         if self.request.client_disconnected() {
-            return Some(SendSuppressed::ClientDisconnected);
+            return Some(SuppressionReason::ClientDisconnected);
         }
         let waited = self.prepared_at.elapsed();
-        if waited <= MAX_TIME_TO_FIRST_BYTE {
+        if waited <= MAX_WRITE_DELAY {
             return None;
         }
-        let count = SUPPRESSED_TOO_LATE.fetch_add(1, Ordering::Relaxed) + 1;
+        let count = PREPARED_TOO_LONG_AGO_COUNT.fetch_add(1, Ordering::Relaxed) + 1;
         log_line!("invariant: an attempt was held back that was prepared {waited:?} ago, {count} so far");
-        Some(SendSuppressed::PreparedTooLongAgo)
+        Some(SuppressionReason::PreparedTooLongAgo)
     }
 }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -22,7 +22,7 @@
 async fn respond_to_one_request(stream: &mut TcpStream) {
     let mut received = Vec::new();
     while !received.ends_with(b"\r\n\r\n") {
-        received.push(stream.read_u8().await.expect("a request"));
+        received.push(stream.read_u8().await.expect("a request arrives"));
     }
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -32,11 +32,13 @@
 
 /// Runs a test with a pool of at most `max_connections` connections and one listening upstream.
 fn run_with_upstream(max_connections: usize, test: impl AsyncFnOnce(Upstreams, TcpListener, Target)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
         let settings = policy::Settings::new(Vec::new());
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let target = Target { server: 0, address: listener.local_addr().expect("an address") };
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let target =
+            Target { server: 0, address: listener.local_addr().expect("the listener has an address") };
         test(Upstreams::new(&settings.limits, max_connections), listener, target).await;
     });
 }
@@ -51,8 +53,8 @@
     })
 }
 
-/// The progress of a new attempt at a request without body and client.
-fn new_attempt() -> Rc<AttemptProgress> {
+/// Returns the progress of a new attempt for a request without body and client.
+fn new_attempt_progress() -> Rc<AttemptProgress> {
     AttemptProgress::new(&request(Method::GET, Bytes::new()))
 }
 
@@ -65,14 +67,14 @@
 
 /// Runs one exchange on a new connection.
 async fn exchange_once(upstreams: &Upstreams, listener: &TcpListener, target: Target) -> FinishedExchange {
-    let progress = new_attempt();
+    let progress = new_attempt_progress();
     let pool = &upstreams.pool;
-    let peer = async {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+    let upstream = async {
+        let (mut stream, _) = listener.accept().await.expect("a connection arrives");
         respond_to_one_request(&mut stream).await;
         stream
     };
-    let (upstream_socket, result) = tokio::join!(peer, exchange(pool, target, None, &progress));
+    let (upstream_socket, result) = tokio::join!(upstream, exchange(pool, target, None, &progress));
     if let Some(connection) = result.connection {
         pool.put_when_ready(target.server, connection).await;
     }
@@ -80,28 +82,28 @@
 }
 
 #[test]
-fn idle_connections_are_closed_on_request() {
+fn close_idle_closes_the_idle_connections_to_an_upstream() {
     run_with_upstream(9, async |upstreams, listener, target| {
         let mut exchange = exchange_once(&upstreams, &listener, target).await;
         assert_eq!(exchange.outcome, Outcome::Ok);
         assert_eq!(upstreams.pool.open_connections(), 1);
         upstreams.close_idle(target.server);
-        assert_eq!(exchange.upstream_socket.read(&mut [0]).await.expect("end of input"), 0);
+        assert_eq!(exchange.upstream_socket.read(&mut [0]).await.expect("the read succeeds"), 0);
         assert_eq!(upstreams.pool.open_connections(), 0);
     });
 }
 
 #[test]
-fn a_full_pool_evicts_an_idle_connection_or_else_sends_nothing() {
+fn a_full_pool_evicts_an_idle_connection_or_reports_no_capacity() {
     run_with_upstream(1, async |upstreams, listener, target| {
         let mut first = exchange_once(&upstreams, &listener, target).await;
-        // The pool takes a target with another server id for another upstream.
+        // The pool treats a target with another server id as another upstream.
         let other = Target { server: 1, ..target };
         let second = exchange_once(&upstreams, &listener, other).await;
         assert_eq!(second.outcome, Outcome::Ok);
         assert_eq!(upstreams.pool.open_connections(), 1);
-        assert_eq!(first.upstream_socket.read(&mut [0]).await.expect("end of input"), 0);
-        let in_use = upstreams.pool.take_idle(other).expect("an idle connection");
+        assert_eq!(first.upstream_socket.read(&mut [0]).await.expect("the read succeeds"), 0);
+        let in_use = upstreams.pool.take_idle(other).expect("a connection is idle");
         let error = upstreams.pool.connect(target.address).await.err();
         assert_eq!(error, Some(ConnectError::NoCapacity));
         assert_eq!(error.map(Outcome::from), Some(Outcome::NotSent));
@@ -114,31 +116,33 @@
     run_with_upstream(9, async |upstreams, listener, target| {
         let exchange = exchange_once(&upstreams, &listener, target).await;
         drop(exchange.upstream_socket);
-        // The runtime has polled nothing since, so only the kernel knows of the close.
+        // The runtime has polled nothing since, so only the kernel knows that the connection is closed.
         assert!(upstreams.pool.take_idle(target).is_none());
     });
 }
 
 #[test]
-fn a_connection_past_its_settle_time_is_taken_before_a_more_recently_used_one() {
+fn a_connection_idle_for_long_enough_is_taken_before_a_more_recently_used_one() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("the runtime starts"), async {
         let pool = ConnectionPool::new(&policy::Settings::new(Vec::new()).limits, 9);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let target = Target { server: 0, address: listener.local_addr().expect("an address") };
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let target =
+            Target { server: 0, address: listener.local_addr().expect("the listener has an address") };
         let first = pool.connect(target.address).await;
         let last = pool.connect(target.address).await;
-        let first = first.expect("a connection");
-        let last = last.expect("a connection");
-        let settled = first.written().clone();
-        let just_used = last.written().clone();
+        let first = first.expect("the connection is established");
+        let last = last.expect("the connection is established");
+        let long_idle = first.bytes_written().clone();
+        let recently_used = last.bytes_written().clone();
         pool.put(0, first);
         tokio::time::advance(Duration::from_millis(30)).await;
         pool.put(0, last);
-        // The connection used last may still receive a second response, so it is taken only when it is the last one.
+        // The recently used connection may still receive a second response, so it is taken only if no other is left.
         let taken = [pool.take_idle(target), pool.take_idle(target)];
-        let taken = taken.map(|connection| connection.expect("a reusable connection").written().clone());
-        assert!(Rc::ptr_eq(&taken[0], &settled) && Rc::ptr_eq(&taken[1], &just_used));
+        let taken =
+            taken.map(|connection| connection.expect("the connection is reusable").bytes_written().clone());
+        assert!(Rc::ptr_eq(&taken[0], &long_idle) && Rc::ptr_eq(&taken[1], &recently_used));
     });
 }
 
@@ -146,7 +150,7 @@
 fn a_request_without_an_established_connection_has_not_run() {
     run_with_upstream(9, async |upstreams, listener, target| {
         drop(listener);
-        let progress = new_attempt();
+        let progress = new_attempt_progress();
         let result = exchange(&upstreams.pool, target, None, &progress).await;
         assert_eq!(result.outcome, Outcome::ConnectFailed);
         assert!(!progress.may_have_run());
@@ -158,11 +162,11 @@
     run_with_upstream(9, async |upstreams, listener, target| {
         // The body is longer than the socket buffers, and the upstream does not read it.
         let progress = AttemptProgress::new(&request(Method::POST, vec![0; 32 << 20].into()));
-        let peer = async {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
-            stream.read_u8().await.expect("the first byte");
+        let upstream = async {
+            let (mut stream, _) = listener.accept().await.expect("a connection arrives");
+            stream.read_u8().await.expect("the first byte arrives");
         };
-        let ((), result) = tokio::join!(peer, exchange(&upstreams.pool, target, None, &progress));
+        let ((), result) = tokio::join!(upstream, exchange(&upstreams.pool, target, None, &progress));
         assert_eq!(result.outcome, Outcome::ConnectFailed);
     });
 }
@@ -184,19 +188,20 @@
 struct WaitingClient {
     /// The client's end of its connection.
     socket: TcpStream,
-    /// The attempt at its request.
+    /// The progress of the attempt for its request.
     progress: Rc<AttemptProgress>,
-    /// The proxy's end of the connection. The client counts as disconnected once it was dropped.
+    /// The proxy's end of the connection. The client counts as disconnected once this is dropped.
     _stream: Rc<RefCell<ClientStream>>,
-    /// The proxy's progress of the connection, to which the request refers.
+    /// The proxy's progress on the connection, to which the request holds a weak reference.
     _connection: Rc<ConnectionProgress>,
 }
 
-async fn waiting_client() -> WaitingClient {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let socket =
-        TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connected client");
-    let accepted = listener.accept().await.expect("a connection").0;
+async fn connect_waiting_client() -> WaitingClient {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let socket = TcpStream::connect(listener.local_addr().expect("the listener has an address"))
+        .await
+        .expect("the client connects");
+    let accepted = listener.accept().await.expect("a connection arrives").0;
     let stream = ClientStream::new(Socket::new(accepted), tokio::time::Instant::now());
     let connection = ConnectionProgress::new(Rc::default(), &stream);
     connection.request_complete();
@@ -216,13 +221,13 @@
 fn nothing_is_written_for_a_client_that_disconnects_before_its_attempt_has_a_connection() {
     run_with_upstream(9, async |upstreams, listener, target| {
         let _pooled = exchange_once(&upstreams, &listener, target).await;
-        let WaitingClient { socket, progress, _stream, _connection } = waiting_client().await;
+        let WaitingClient { socket, progress, _stream, _connection } = connect_waiting_client().await;
         drop(socket);
         // The runtime has polled nothing since, so only the kernel knows that the client has disconnected.
         let result = exchange(&upstreams.pool, target, None, &progress).await;
         assert_eq!((result.outcome, progress.has_connection()), (Outcome::NotSent, false));
         // The unused connection goes back into the pool.
-        let connection = result.connection.expect("the connection");
+        let connection = result.connection.expect("the result has the unused connection");
         upstreams.pool.put_when_ready(target.server, connection).await;
         assert_eq!(upstreams.pool.open_connections(), 1);
         assert!(upstreams.pool.take_idle(target).is_some(), "the unused connection is reusable");
@@ -233,17 +238,17 @@
 fn nothing_is_written_for_a_client_that_disconnects_before_the_first_byte() {
     run_with_upstream(9, async |upstreams, listener, target| {
         let mut pooled = exchange_once(&upstreams, &listener, target).await;
-        let WaitingClient { socket, progress, _stream, _connection } = waiting_client().await;
+        let WaitingClient { socket, progress, _stream, _connection } = connect_waiting_client().await;
         let mut exchange = Box::pin(exchange(&upstreams.pool, target, None, &progress));
         let is_pending = poll_fn(|context| Poll::Ready(exchange.as_mut().poll(context).is_pending())).await;
         assert!(is_pending);
         drop(socket);
-        // The last query of the kernel is valid for 1 ms.
+        // The result of the previous kernel query is reused for 1 ms.
         std::thread::sleep(Duration::from_millis(2));
         let result = timeout(Duration::from_secs(10), exchange).await.expect("the attempt ends");
         assert_eq!(result.outcome, Outcome::NotSent);
         assert_eq!(
-            pooled.upstream_socket.read(&mut [0]).await.expect("end of input"),
+            pooled.upstream_socket.read(&mut [0]).await.expect("the read succeeds"),
             0,
             "bytes were written"
         );
@@ -254,7 +259,8 @@
 fn nothing_is_written_of_a_request_that_was_prepared_too_long_ago() {
     run_with_upstream(9, async |upstreams, listener, target| {
         let mut pooled = exchange_once(&upstreams, &listener, target).await;
-        let WaitingClient { socket: _socket, progress, _stream, _connection } = waiting_client().await;
+        let WaitingClient { socket: _socket, progress, _stream, _connection } =
+            connect_waiting_client().await;
         let mut exchange = Box::pin(exchange(&upstreams.pool, target, Some(400_000), &progress));
         let is_pending = poll_fn(|context| Poll::Ready(exchange.as_mut().poll(context).is_pending())).await;
         assert!(is_pending);
@@ -263,7 +269,7 @@
         let result = timeout(Duration::from_secs(10), exchange).await.expect("the attempt ends");
         assert_eq!(result.outcome, Outcome::NotSent);
         assert_eq!(
-            pooled.upstream_socket.read(&mut [0]).await.expect("end of input"),
+            pooled.upstream_socket.read(&mut [0]).await.expect("the read succeeds"),
             0,
             "bytes were written"
         );
--- a/crates/proxy/src/upstream/upstream_connection.rs
+++ b/crates/proxy/src/upstream/upstream_connection.rs
@@ -41,27 +41,27 @@
 /// fails without writing the request.
 pub type FirstByteCheck = Box<dyn FnOnce() -> bool>;
 
-/// The socket that hyper's connection owns. Counts the written bytes, and shares the stream so that
-/// [`UpstreamConnection::is_reusable`] can query the kernel.
-struct WatchedSocket {
+/// The socket that hyper's connection owns. Counts the written bytes, runs the check before a first byte, and shares
+/// the stream so that [`UpstreamConnection::is_reusable`] can query the kernel.
+struct InstrumentedSocket {
     stream: Rc<RefCell<Socket>>,
     /// Bytes written since the connection was opened.
-    written: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
     /// The check to run before the next write; `None` after it has run.
     first_byte_check: Rc<Cell<Option<FirstByteCheck>>>,
-    /// Whether a first byte check has failed, after which nothing is written.
+    /// Whether a first-byte check has failed. Nothing more is written then.
     write_closed: Cell<bool>,
     _slot: ConnectionSlot,
 }
 
-impl WatchedSocket {
-    /// Runs the check of the first byte if one is set.
+impl InstrumentedSocket {
+    /// Runs the first-byte check if one is set.
     ///
     /// # Errors
     ///
     /// `ConnectionAborted` if this or an earlier check failed.
     fn check_before_write(&self) -> io::Result<()> {
-        if self.first_byte_check.take().is_some_and(|may_be_written| !may_be_written()) {
+        if self.first_byte_check.take().is_some_and(|may_write| !may_write()) {
             self.write_closed.set(true);
         }
         if self.write_closed.get() { Err(io::ErrorKind::ConnectionAborted.into()) } else { Ok(()) }
@@ -69,12 +69,12 @@
 
     fn count_written(&self, result: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = result {
-            self.written.set(self.written.get() + *bytes as u64);
+            self.bytes_written.set(self.bytes_written.get() + *bytes as u64);
         }
     }
 }
 
-impl Read for WatchedSocket {
+impl Read for InstrumentedSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Write for WatchedSocket {
+impl Write for InstrumentedSocket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &[u8]) -> Poll<io::Result<usize>> {
         self.check_before_write()?;
         let result = self.stream.borrow().poll_write(context, buffer);
@@ -125,7 +125,7 @@
     /// The socket, which the driver owns; dropped once the driver has ended.
     stream: Weak<RefCell<Socket>>,
     /// Bytes written since the connection was opened.
-    written: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
     first_byte_check: Rc<Cell<Option<FirstByteCheck>>>,
     address: SocketAddr,
 }
@@ -142,28 +142,28 @@
         slot: ConnectionSlot,
     ) -> Result<UpstreamConnection, hyper::Error> {
         let stream = Rc::new(RefCell::new(stream));
-        let written = Rc::new(Cell::new(0));
+        let bytes_written = Rc::new(Cell::new(0));
         let first_byte_check = Rc::new(Cell::new(None));
-        let socket = WatchedSocket {
+        let socket = InstrumentedSocket {
             stream: stream.clone(),
-            written: written.clone(),
+            bytes_written: bytes_written.clone(),
             first_byte_check: first_byte_check.clone(),
             write_closed: Cell::new(false),
             _slot: slot,
         };
-        // The task that owns the socket holds the only strong reference, so the stream is closed with that task.
+        // The task that owns the socket holds the only strong reference, so the stream is closed when that task ends.
         let stream = Rc::downgrade(&stream);
         let (sender, connection) =
             http1::Builder::new().max_buf_size(MAX_HTTP_BUFFER_BYTES).handshake(socket).await?;
         let driver = spawn_local(async move {
-            // The attempt whose request is on the connection receives the same error from hyper and reports it.
+            // The attempt whose request is on this connection receives the same error from hyper and reports it.
             let _ = connection.await;
         });
         Ok(UpstreamConnection {
             sender,
             driver: driver.abort_handle(),
             stream,
-            written,
+            bytes_written,
             first_byte_check,
             address,
         })
@@ -179,9 +179,9 @@
         &self.driver
     }
 
-    /// Returns the counter of the bytes written on this connection. It is updated by later writes.
-    pub fn written(&self) -> &Rc<Cell<u64>> {
-        &self.written
+    /// Returns the counter of the bytes written on this connection. Later writes update it.
+    pub fn bytes_written(&self) -> &Rc<Cell<u64>> {
+        &self.bytes_written
     }
 
     /// Sets the check that is called once, before the next byte is written.
@@ -190,8 +190,8 @@
     }
 
     /// Returns whether this idle connection can carry another request: the upstream has neither closed it nor sent
-    /// unexpected bytes. Queries the kernel, since the runtime may not have polled the socket recently, and a request
-    /// on a closed connection would fail as a reset.
+    /// unexpected bytes. Queries the kernel, since the runtime may not have polled the socket recently. On a closed
+    /// connection, a request would fail with a connection reset.
     pub fn is_reusable(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else { return false };
         let peeked = stream.borrow().peek_now();
