--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -204,7 +204,7 @@
     let accepted = listener.accept().await.expect("a connection arrives").0;
     let stream = ClientStream::new(Socket::new(accepted), tokio::time::Instant::now());
     let connection = ConnectionProgress::new(Rc::default(), &stream);
-    connection.request_complete();
+    connection.record_request_complete();
     let client: Weak<dyn DownstreamClient> = Rc::<ConnectionProgress>::downgrade(&connection);
     let request = UpstreamRequest {
         method: Method::GET,
