--- a/crates/proxy/src/downstream/progress.rs
+++ b/crates/proxy/src/downstream/progress.rs
@@ -1,6 +1,6 @@
 //! The progress of a client connection with its current request, and the time limit of its current stage.
 
-mod client_handle;
+mod downstream_client_impl;
 mod eviction_entry;
 mod request_input;
 mod response_write;
--- a/crates/proxy/src/downstream/progress/client_handle.rs
+++ b/crates/proxy/src/downstream/progress/downstream_client_impl.rs
@@ -1,4 +1,4 @@
-//! Gives the upstream side access to a client connection.
+//! Implements [`DownstreamClient`] for the progress of a client connection.
 
 use crate::downstream::progress::ConnectionProgress;
 use crate::upstream::downstream_client::DownstreamClient;
