--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,16 +1,16 @@
-//! The upstream side: the connection pool, and attempts and health checks on its connections.
+//! The upstream side: the connection pool, and the attempts and health checks that use its connections.
 
 mod attempt;
 pub mod body_prefix;
-pub mod client_handle;
-pub mod connection;
 mod connection_lease;
+pub mod downstream_client;
 pub mod pool;
 mod request;
 pub mod request_body_stream;
 mod response;
+mod response_body_stream;
 mod send_guard;
-mod streamed_body;
+pub mod upstream_connection;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub use crate::upstream::attempt::Attempt;
 pub use crate::upstream::request::{RequestBody, UpstreamRequest};
 pub use crate::upstream::response::{UpstreamBody, UpstreamResponse};
-pub use crate::upstream::streamed_body::StreamedBody;
+pub use crate::upstream::response_body_stream::ResponseBodyStream;
 
 /// Time limit of a health check, from acquiring a connection to the end of the response.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
@@ -39,12 +39,12 @@
 }
 
 impl Upstreams {
-    /// Creates an empty set of connections that opens at most `max_connections`.
+    /// Creates an empty pool that opens at most `max_connections` connections.
     pub fn new(limits: &policy::Limits, max_connections: usize) -> Upstreams {
         Upstreams { pool: Rc::new(ConnectionPool::new(limits, max_connections)) }
     }
 
-    /// Changes the limit on open connections. Idle connections in excess are closed.
+    /// Changes the limit on open connections. Idle connections above the new limit are closed.
     pub fn resize(&self, max_connections: usize) {
         self.pool.resize(max_connections);
     }
@@ -68,8 +68,8 @@
         let task_progress = progress.clone();
         let task = spawn_local(async move {
             let result = exchange(&pool, target, Some(time_limit), &task_progress).await;
-            // The connection is put back before the outcome is reported, so that a request which the dispatcher sends
-            // on this outcome can reuse it.
+            // The connection is put back before the outcome is reported, so that an attempt which the dispatcher starts
+            // in response to this outcome can reuse it.
             let not_ready =
                 result.connection.and_then(|connection| pool.put_if_ready(target.server, connection));
             completion.report(result.outcome, result.load_report, result.response);
