--- a/crates/cli/src/model/plots/concurrency_limits.rs
+++ b/crates/cli/src/model/plots/concurrency_limits.rs
@@ -55,7 +55,7 @@
         lines.push(TimeLine {
             name: format!("concurrency limit, tier {tier}"),
             colour: tier_shade(BLUE, tier),
-            values: tier_means(samples, tier, |sample| sample.window),
+            values: tier_means(samples, tier, |sample| sample.concurrency_limit),
         });
         lines.push(TimeLine {
             name: format!("in flight, tier {tier}"),
--- a/crates/cli/src/model/plots/servers.rs
+++ b/crates/cli/src/model/plots/servers.rs
@@ -28,7 +28,7 @@
         match sample {
             Sample { up: false, .. } => GREY.mix(0.5),
             Sample { choked: true, .. } => RED.mix(depth.max(0.3)),
-            Sample { share, .. } if *share < 1.0 => BLUE.mix(depth.max(0.2)),
+            Sample { capacity_share, .. } if *capacity_share < 1.0 => BLUE.mix(depth.max(0.2)),
             _ => GREEN.mix(depth),
         }
     })
@@ -44,9 +44,9 @@
 
 /// Draws, for each server, how many balancers have opened their circuit breaker for it.
 pub fn circuit_breakers(samples: &[Vec<Sample>]) -> Result<String> {
-    let highest = samples.iter().flatten().map(|sample| sample.open).max().unwrap_or(0).max(1);
+    let highest = samples.iter().flatten().map(|sample| sample.open_breakers).max().unwrap_or(0).max(1);
     heat_map("Balancers with an open circuit breaker for the server (darker: more)", samples, |sample| {
-        RED.mix(f64::from(sample.open) / f64::from(highest))
+        RED.mix(f64::from(sample.open_breakers) / f64::from(highest))
     })
 }
 
--- a/crates/cli/src/model/tables.rs
+++ b/crates/cli/src/model/tables.rs
@@ -40,7 +40,7 @@
     Column { title: "total", cell: |row| format!("{:.3}", row.result.total) },
     Column {
         title: "worst 10 s",
-        cell: |row| format!("{:.3} at {} s", row.result.worst_window, row.result.worst_at),
+        cell: |row| format!("{:.3} at {} s", row.result.worst_window, row.result.worst_window_start),
     },
     Column { title: "class", cell: |row| format!("{:.3}", row.result.worst_class) },
     Column { title: "tenant", cell: |row| format!("{:.3}", row.result.worst_tenant) },
@@ -51,7 +51,7 @@
     Column { title: "failed", cell: |row| row.result.ends.failed.to_string() },
     Column { title: "attempts per request", cell: |row| format!("{:.2}", attempts_per_request(&row.result)) },
     Column { title: "choked", cell: |row| row.result.choked.to_string() },
-    Column { title: "rules broken", cell: |row| row.result.broken.to_string() },
+    Column { title: "rules broken", cell: |row| row.result.breach_count.to_string() },
 ];
 
 /// Returns the requests and the retries of clients, divided by the requests.
@@ -87,7 +87,7 @@
         "\n{policy}, at {:.3} s, balancer {number} of tier {tier}: rule {:?}: {}\n  {}\n",
         breach.at as f64 / 1e6,
         breach.rule,
-        breach.what,
-        breach.before.join("\n  ")
+        breach.description,
+        breach.preceding_events.join("\n  ")
     )
 }
--- a/crates/fleet-model/benches/scenarios.rs
+++ b/crates/fleet-model/benches/scenarios.rs
@@ -23,7 +23,7 @@
     scenario.tiers[1].servers = vec![5, 4];
     scenario.load.rate = 69.0;
     scenario.length = Span::s(60.0);
-    scenario.faults.retain(|fault| fault.which.iter().all(|server| *server < 8));
+    scenario.faults.retain(|fault| fault.targets.iter().all(|server| *server < 8));
     scenario
 }
 
--- a/crates/fleet-model/src/catalog/base/classes.rs
+++ b/crates/fleet-model/src/catalog/base/classes.rs
@@ -3,8 +3,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::random::{self, Purpose, within};
-use crate::scenario::{Class, Effect, Spread};
+use crate::random::{self, Purpose, uniform};
+use crate::scenario::{Class, DistributionKind, Idempotency};
 use crate::span::Span;
 
 /// Number of requests that are drawn to estimate the mean work of a class.
@@ -89,31 +89,31 @@
 }
 
 fn class(rng: &mut ChaCha8Rng, ranges: &ClassRanges) -> Class {
-    let spread = match ranges.name {
-        "view-ad" => Spread::Lognormal,
-        _ if rng.random() => Spread::Lognormal,
-        _ => Spread::Pareto,
+    let distribution = match ranges.name {
+        "view-ad" => DistributionKind::Lognormal,
+        _ if rng.random() => DistributionKind::Lognormal,
+        _ => DistributionKind::Pareto,
     };
     let objectives = Objectives::of(ranges.name);
     let keyed = ranges.name == "post-ad";
     Class {
         name: ranges.name.to_owned(),
-        share: within(rng, ranges.share),
-        work: Span::ms(within(rng, ranges.work_ms)),
-        spread,
-        cv: within(rng, ranges.variation),
-        most_work: Span::s(objectives.latency_objective * MAX_WORK_SHARE),
-        attempt_noise: within(rng, ranges.attempt_noise),
+        share: uniform(rng, ranges.share),
+        work: Span::ms(uniform(rng, ranges.work_ms)),
+        distribution,
+        work_cv: uniform(rng, ranges.variation),
+        max_work: Span::s(objectives.latency_objective * MAX_WORK_SHARE),
+        attempt_noise: uniform(rng, ranges.attempt_noise),
         latency_objective: Span::s(objectives.latency_objective),
         deadline: Span::s(objectives.deadline),
         priority_weight: objectives.priority_weight,
         late_weight: objectives.late_weight,
-        effect: if keyed { Effect::Keyed } else { Effect::Safe },
+        idempotency: if keyed { Idempotency::WithKey } else { Idempotency::Idempotent },
         dedup_window: Span::s(if keyed { 10.0 } else { 0.0 }),
     }
 }
 
-/// Estimates the mean work of a class in seconds, after the cut at `most_work`.
+/// Estimates the mean work of a class in seconds, after the cut at `max_work`.
 pub(crate) fn mean_work(class: &Class, seed: u64) -> f64 {
     let mut rng = random::stream(seed, Purpose::Arrivals, MEAN_WORK_STREAM);
     (0..SAMPLES).map(|_| random::request_work(class, &mut rng)).sum::<f64>() / 1e6 / f64::from(SAMPLES)
--- a/crates/fleet-model/src/catalog/base/mod.rs
+++ b/crates/fleet-model/src/catalog/base/mod.rs
@@ -9,12 +9,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Size;
-use crate::random::{self, Purpose, within};
+use crate::random::{self, Purpose, uniform};
 use crate::scenario::{Goal, Limits, Prices, Rules, Scenario, Tier};
 use crate::span::Span;
 
 pub(crate) use self::classes::mean_work;
-pub(crate) use self::tiers::zoned;
+pub(crate) use self::tiers::split_between_zones;
 
 /// Number of the random stream from which the base of a scenario is drawn.
 const BASE_STREAM: u64 = 999;
@@ -45,10 +45,10 @@
 
 /// Draws the base of a kind with these parts. Its name is empty.
 pub(in crate::catalog) fn draw(seed: u64, size: Size, parts: &[&str]) -> Scenario {
-    let rng = &mut random::stream(seed, Purpose::Fate, BASE_STREAM);
+    let rng = &mut random::stream(seed, Purpose::Failure, BASE_STREAM);
     let fleet = FleetSize::draw(rng, size);
-    let back_servers = (f64::from(fleet.front_servers) * within(rng, (1.1, 1.3))).round() as u32;
-    let first_zone_share = within(rng, (0.37, 0.79));
+    let back_servers = (f64::from(fleet.front_servers) * uniform(rng, (1.1, 1.3))).round() as u32;
+    let first_zone_share = uniform(rng, (0.37, 0.79));
     let mut tiers = tiers::draw(rng, fleet.front_servers, back_servers);
     if matches!(size, Size::Vast | Size::Huge) {
         tiers::limit_connections(&mut tiers, fleet.balancers);
@@ -61,7 +61,7 @@
     Scenario {
         name: String::new(),
         seed,
-        length: Span::s(within(rng, (38.0, 50.0)).round()),
+        length: Span::s(uniform(rng, (38.0, 50.0)).round()),
         zones: ZONES.map(str::to_owned).to_vec(),
         passes_deadline: rng.random(),
         network: environment::network(rng),
@@ -97,11 +97,11 @@
 /// Draws the rate of requests as a share of the capacity.
 fn relative_load(rng: &mut ChaCha8Rng, parts: &[&str]) -> f64 {
     if parts.contains(&"overload") {
-        within(rng, (0.97, 1.3))
+        uniform(rng, (0.97, 1.3))
     } else if parts.contains(&"calm") {
-        within(rng, (0.26, 0.41))
+        uniform(rng, (0.26, 0.41))
     } else {
-        within(rng, (0.54, 0.68))
+        uniform(rng, (0.54, 0.68))
     }
 }
 
@@ -109,7 +109,7 @@
 fn limits() -> Limits {
     Limits {
         max_attempts: 6,
-        max_open: 20_000,
+        max_open_requests: 20_000,
         hedging: true,
         health_checks: true,
         retry_after: true,
@@ -121,7 +121,7 @@
 fn rules() -> Rules {
     Rules {
         drain_grace: Span::ms(2_500.0),
-        answer_grace: Span::ms(20.0),
+        response_grace: Span::ms(20.0),
         overload_factor: 4.0,
         overload_window: Span::ms(1_500.0),
         poll_within: Span::s(10.0),
--- a/crates/fleet-model/src/catalog/base/tiers.rs
+++ b/crates/fleet-model/src/catalog/base/tiers.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::integer;
-use crate::random::within;
+use crate::random::uniform;
 use crate::scenario::{Choke, Connections, Tier};
 use crate::span::Span;
 
@@ -12,7 +12,7 @@
 const CHOKING_SCENARIOS: f64 = 0.6;
 
 /// Divides servers or balancers between two zones. Each zone gets at least one if there are two.
-pub(crate) fn zoned(count: u32, first_share: f64) -> Vec<u32> {
+pub(crate) fn split_between_zones(count: u32, first_share: f64) -> Vec<u32> {
     let rounded = (f64::from(count) * first_share).round() as u32;
     let in_first = rounded.clamp(1.min(count), count.saturating_sub(1).max(1));
     vec![in_first, count - in_first]
@@ -20,11 +20,13 @@
 
 /// Draws the tiers.
 pub(super) fn draw(rng: &mut ChaCha8Rng, front_servers: u32, back_servers: u32) -> Vec<Tier> {
-    let first_zone_share = within(rng, (0.4, 0.6));
-    let mut front = tier(rng, "front", zoned(front_servers, first_zone_share), (7.0, 16.0), (21.0, 44.0));
-    let mut back = tier(rng, "annonces", zoned(back_servers, first_zone_share), (2.0, 6.0), (6.5, 14.0));
+    let first_zone_share = uniform(rng, (0.4, 0.6));
+    let mut front =
+        tier(rng, "front", split_between_zones(front_servers, first_zone_share), (7.0, 16.0), (21.0, 44.0));
+    let mut back =
+        tier(rng, "annonces", split_between_zones(back_servers, first_zone_share), (2.0, 6.0), (6.5, 14.0));
     front.work = 0.58;
-    front.calls = within(rng, (1.0, 2.0));
+    front.calls = uniform(rng, (1.0, 2.0));
     back.work = 0.42;
     let chokes = rng.random::<f64>() < CHOKING_SCENARIOS;
     let mut tiers = vec![front, back];
@@ -39,12 +41,18 @@
 /// Limits the connections of a server where many balancers share few servers.
 pub(super) fn limit_connections(tiers: &mut [Tier], balancer_count: u32) {
     for tier in tiers {
-        tier.connections.most = tier.connections.most.min(3 * balancer_count / 2);
+        tier.connections.max_connections = tier.connections.max_connections.min(3 * balancer_count / 2);
     }
 }
 
-/// Draws a tier. `slots` and `crowded` are ranges, the former for each core.
-fn tier(rng: &mut ChaCha8Rng, name: &str, servers: Vec<u32>, slots: (f64, f64), crowded: (f64, f64)) -> Tier {
+/// Draws a tier. `slots` and `thrash_threshold` are ranges, `slots` for each core.
+fn tier(
+    rng: &mut ChaCha8Rng,
+    name: &str,
+    servers: Vec<u32>,
+    slots: (f64, f64),
+    thrash_threshold: (f64, f64),
+) -> Tier {
     let cores = 2;
     let for_all_cores = |per_core: f64| (per_core * f64::from(cores)).round() as u32;
     Tier {
@@ -54,27 +62,27 @@
         calls: 0.0,
         cell_size: integer(rng, 4, 8),
         cores,
-        speed: within(rng, (0.85, 1.1)),
-        speed_cv: within(rng, (0.05, 0.2)),
-        slots: for_all_cores(within(rng, slots)),
-        waiting: for_all_cores(within(rng, (230.0, 480.0))),
-        thrash: within(rng, (0.032, 0.12)),
-        crowded: within(rng, crowded),
-        initial_capacity: within(rng, (0.3, 0.6)),
-        warm_up_time: Span::s(within(rng, (3.8, 8.8))),
-        pause_every: Span::s(within(rng, (5.0, 12.0))),
-        pause: Span::ms(within(rng, (0.0, 200.0))),
-        pause_grow: within(rng, (0.0, 1.2)),
-        error_rate: within(rng, (0.0, 0.001)),
+        speed: uniform(rng, (0.85, 1.1)),
+        speed_cv: uniform(rng, (0.05, 0.2)),
+        slots: for_all_cores(uniform(rng, slots)),
+        queue_capacity: for_all_cores(uniform(rng, (230.0, 480.0))),
+        thrash: uniform(rng, (0.032, 0.12)),
+        thrash_threshold: uniform(rng, thrash_threshold),
+        initial_capacity: uniform(rng, (0.3, 0.6)),
+        warm_up_time: Span::s(uniform(rng, (3.8, 8.8))),
+        pause_interval: Span::s(uniform(rng, (5.0, 12.0))),
+        pause: Span::ms(uniform(rng, (0.0, 200.0))),
+        pause_growth: uniform(rng, (0.0, 1.2)),
+        error_rate: uniform(rng, (0.0, 0.001)),
         connections: Connections {
-            handshake_trips: within(rng, (1.0, 3.0)),
-            handshake_work: Span::ms(within(rng, (3.1, 6.9))),
-            idle_close: Span::s(30.0),
+            handshake_round_trips: uniform(rng, (1.0, 3.0)),
+            handshake_work: Span::ms(uniform(rng, (3.1, 6.9))),
+            idle_timeout: Span::s(30.0),
             connect_timeout: Span::ms(100.0),
-            most: for_all_cores(within(rng, (600.0, 900.0))),
-            full_tax: within(rng, (0.19, 0.35)),
+            max_connections: for_all_cores(uniform(rng, (600.0, 900.0))),
+            full_table_overhead: uniform(rng, (0.19, 0.35)),
         },
-        health_check_work: Span::ms(within(rng, (2.5, 4.9))),
+        health_check_work: Span::ms(uniform(rng, (2.5, 4.9))),
         choke: None,
     }
 }
@@ -82,11 +90,11 @@
 /// Draws the metastable overload of a tier.
 fn choke(rng: &mut ChaCha8Rng) -> Choke {
     Choke {
-        at: within(rng, (4.0, 7.0)),
-        over: Span::s(within(rng, (1.5, 2.5))),
-        slower: within(rng, (2.1, 3.1)),
-        below: within(rng, (0.25, 0.4)),
-        rest: Span::s(within(rng, (3.1, 4.7))),
-        most: Span::s(within(rng, (18.0, 33.0))),
+        queue_threshold: uniform(rng, (4.0, 7.0)),
+        time_to_choke: Span::s(uniform(rng, (1.5, 2.5))),
+        slowdown: uniform(rng, (2.1, 3.1)),
+        recovery_utilization: uniform(rng, (0.25, 0.4)),
+        recovery_window: Span::s(uniform(rng, (3.1, 4.7))),
+        max_duration: Span::s(uniform(rng, (18.0, 33.0))),
     }
 }
--- a/crates/fleet-model/src/catalog/faults.rs
+++ b/crates/fleet-model/src/catalog/faults.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::random::within;
+use crate::random::uniform;
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::span::Span;
 
@@ -19,14 +19,14 @@
         at: Span::s(at),
         length: Span::s(length),
         tier: 0,
-        which: Vec::new(),
+        targets: Vec::new(),
         zone: None,
         class: None,
         share: 1.0,
         factor: 1.0,
-        learned: false,
+        restores_learned_state: false,
         restarts: false,
-        drain: Span(0),
+        drain_time: Span(0),
     }
 }
 
@@ -62,8 +62,8 @@
     let draft = Draft {
         tier,
         servers: count_servers(scenario, tier),
-        begin: within(rng, (0.15, 0.35)) * scenario_length,
-        length: within(rng, (0.4, 0.6)) * scenario_length,
+        begin: uniform(rng, (0.15, 0.35)) * scenario_length,
+        length: uniform(rng, (0.4, 0.6)) * scenario_length,
         scenario,
     };
     let drawn = draft.server_fault(part, rng).or_else(|| draft.fleet_fault(part, rng));
@@ -86,18 +86,18 @@
             "heavy" => self.heavy(rng),
             "deploy" => self.deploy(rng),
             "silent" => {
-                let which = choose(rng, self.servers, 0.0);
-                Fault { tier: self.tier, which, ..fault(FaultKind::Silent, self.begin, self.length) }
+                let targets = choose(rng, self.servers, 0.0);
+                Fault { tier: self.tier, targets, ..fault(FaultKind::Silent, self.begin, self.length) }
             }
             "slowclass" => self.slow_class(rng),
             "resets" => {
-                let which = choose(rng, self.servers, 0.25);
-                let share = within(rng, (0.1, 0.6));
-                Fault { tier: self.tier, which, share, ..fault(FaultKind::Resets, self.begin, self.length) }
+                let targets = choose(rng, self.servers, 0.25);
+                let share = uniform(rng, (0.1, 0.6));
+                Fault { tier: self.tier, targets, share, ..fault(FaultKind::Resets, self.begin, self.length) }
             }
             "join" => {
-                let which = choose(rng, self.servers, 0.6);
-                Fault { tier: self.tier, which, ..fault(FaultKind::Replaced, self.begin, 7.0) }
+                let targets = choose(rng, self.servers, 0.6);
+                Fault { tier: self.tier, targets, ..fault(FaultKind::Replaced, self.begin, 7.0) }
             }
             _ => return None,
         };
@@ -110,14 +110,14 @@
         let drawn = match part {
             "zone" => {
                 let zone = Some(self.scenario.zones[1].clone());
-                Fault { zone, ..fault(FaultKind::ZoneLost, begin, within(rng, (6.0, 12.0))) }
+                Fault { zone, ..fault(FaultKind::ZoneLost, begin, uniform(rng, (6.0, 12.0))) }
             }
             "killed" => self.one_balancer(rng, FaultKind::BalancerKilled, (4.0, 9.0)),
             "together" => fault(FaultKind::BalancerKilled, begin, 1.0),
             "restart" => fault(FaultKind::BalancerRestart, begin, self.length),
             "upgrade" | "bare" => {
-                let learned = part == "upgrade";
-                Fault { learned, ..fault(FaultKind::ProcessReplaced, begin, self.length) }
+                let restores_learned_state = part == "upgrade";
+                Fault { restores_learned_state, ..fault(FaultKind::ProcessReplaced, begin, self.length) }
             }
             "hand" => self.excluded_by_operators(rng),
             "evacuate" => self.one_balancer(rng, FaultKind::Evacuated, (5.0, 10.0)),
@@ -130,50 +130,55 @@
     fn errors(&self, rng: &mut ChaCha8Rng) -> Fault {
         // The share of the servers is drawn from a copy of the generator, so that the choice of the servers starts
         // with the same number. Stored results fix this.
-        let server_share = within(&mut rng.clone(), (0.1, 0.2));
-        let which = choose(rng, self.servers, server_share);
-        let share = within(rng, (0.32, 0.99));
-        let length = within(rng, (6.1, 29.0));
-        Fault { tier: self.tier, which, share, ..fault(FaultKind::FastErrors, self.begin, length) }
+        let server_share = uniform(&mut rng.clone(), (0.1, 0.2));
+        let targets = choose(rng, self.servers, server_share);
+        let share = uniform(rng, (0.32, 0.99));
+        let length = uniform(rng, (6.1, 29.0));
+        Fault { tier: self.tier, targets, share, ..fault(FaultKind::FastErrors, self.begin, length) }
     }
 
     fn heavy(&self, rng: &mut ChaCha8Rng) -> Fault {
         let class = Some(draw_class(rng));
-        let share = within(rng, (0.0069, 0.029));
-        let factor = within(rng, (5.1, 30.0));
-        let length = within(rng, (11.0, 30.0));
+        let share = uniform(rng, (0.0069, 0.029));
+        let factor = uniform(rng, (5.1, 30.0));
+        let length = uniform(rng, (11.0, 30.0));
         Fault { class, share, factor, ..fault(FaultKind::HeavyTail, self.begin, length) }
     }
 
     fn deploy(&self, rng: &mut ChaCha8Rng) -> Fault {
         // A copy of the generator, as in `errors`.
-        let server_share = within(&mut rng.clone(), (0.51, 0.99));
-        let which = choose(rng, self.servers, server_share);
-        let share = within(rng, (0.074, 0.19));
-        let drain = Span::s(within(rng, (2.9, 6.0)));
-        let length = within(rng, (22.0, 38.0)).min(self.scenario.length.secs() - self.begin);
+        let server_share = uniform(&mut rng.clone(), (0.51, 0.99));
+        let targets = choose(rng, self.servers, server_share);
+        let share = uniform(rng, (0.074, 0.19));
+        let drain_time = Span::s(uniform(rng, (2.9, 6.0)));
+        let length = uniform(rng, (22.0, 38.0)).min(self.scenario.length.secs() - self.begin);
         let tier = self.tier;
-        Fault { tier, which, share, drain, ..fault(FaultKind::RollingDeploy, self.begin, length) }
+        Fault { tier, targets, share, drain_time, ..fault(FaultKind::RollingDeploy, self.begin, length) }
     }
 
     fn slow_class(&self, rng: &mut ChaCha8Rng) -> Fault {
         let class = Some(draw_class(rng));
-        let which = choose(rng, self.servers, 0.15);
-        let factor = within(rng, (3.0, 10.0));
+        let targets = choose(rng, self.servers, 0.15);
+        let factor = uniform(rng, (3.0, 10.0));
         let tier = self.tier;
-        Fault { tier, which, class, factor, ..fault(FaultKind::Slow, self.begin, self.length) }
+        Fault { tier, targets, class, factor, ..fault(FaultKind::Slow, self.begin, self.length) }
     }
 
-    /// Draws the servers that operators exclude, which are in the first tier.
+    /// Draws the servers that operators exclude, from the first tier.
     fn excluded_by_operators(&self, rng: &mut ChaCha8Rng) -> Fault {
-        let which = choose(rng, count_servers(self.scenario, 0), 0.2);
-        let drain = Span::s(within(rng, (2.5, 4.0)));
-        let length = within(rng, (6.0, 14.0));
-        Fault { which, drain, restarts: true, ..fault(FaultKind::ExcludedByOperators, self.begin, length) }
+        let targets = choose(rng, count_servers(self.scenario, 0), 0.2);
+        let drain_time = Span::s(uniform(rng, (2.5, 4.0)));
+        let length = uniform(rng, (6.0, 14.0));
+        Fault {
+            targets,
+            drain_time,
+            restarts: true,
+            ..fault(FaultKind::ExcludedByOperators, self.begin, length)
+        }
     }
 
     fn one_balancer(&self, rng: &mut ChaCha8Rng, kind: FaultKind, length: (f64, f64)) -> Fault {
-        let which = choose(rng, self.scenario.balancers.zones.len(), 0.0);
-        Fault { which, ..fault(kind, self.begin, within(rng, length)) }
+        let targets = choose(rng, self.scenario.balancers.zones.len(), 0.0);
+        Fault { targets, ..fault(kind, self.begin, uniform(rng, length)) }
     }
 }
--- a/crates/fleet-model/src/catalog/mod.rs
+++ b/crates/fleet-model/src/catalog/mod.rs
@@ -6,7 +6,7 @@
 mod faults;
 mod plain;
 
-pub(crate) use base::{mean_work, zoned};
+pub(crate) use base::{mean_work, split_between_zones};
 pub(crate) use faults::fault;
 pub(crate) use plain::plain;
 
@@ -122,7 +122,7 @@
     let mut scenario = base::draw(seed, size, &parts);
     scenario.name = format!("{kind} {seed} {}", size.name());
     for (index, part) in parts.iter().enumerate() {
-        let mut rng = random::stream(seed, Purpose::Fate, FAULT_STREAMS + index as u64);
+        let mut rng = random::stream(seed, Purpose::Failure, FAULT_STREAMS + index as u64);
         faults::add(&mut scenario, part, &mut rng);
     }
     scenario.faults.sort_by_key(|fault| fault.at);
--- a/crates/fleet-model/src/catalog/plain.rs
+++ b/crates/fleet-model/src/catalog/plain.rs
@@ -1,8 +1,8 @@
 //! The plain scenario: one tier and one class without faults. Only cores are scarce.
 
 use crate::scenario::{
-    Balancers, Class, Clients, Connections, Discovery, DiscoveryMode, Effect, Goal, Limits, Load, Network,
-    Prices, Rules, Scenario, Shape, Spread, Tier,
+    Balancers, Class, Clients, Connections, Discovery, DiscoveryMode, DistributionKind, Goal, Idempotency,
+    Limits, Load, LoadShape, Network, Prices, Rules, Scenario, Tier,
 };
 use crate::span::Span;
 
@@ -42,12 +42,12 @@
 fn discovery() -> Discovery {
     Discovery {
         mode: DiscoveryMode::Push,
-        notice: Span::ms(200.0),
-        silent_notice: Span::s(3.0),
-        add: Span::ms(500.0),
-        period: Span::ms(200.0),
-        spread: Span::ms(500.0),
-        failing: 0.0,
+        detection_delay: Span::ms(200.0),
+        silent_detection_delay: Span::s(3.0),
+        registration_delay: Span::ms(500.0),
+        batch_interval: Span::ms(200.0),
+        max_delivery_delay: Span::ms(500.0),
+        failure_share: 0.0,
     }
 }
 
@@ -60,22 +60,34 @@
         cores: 1.0,
         event_cost: Span(10),
         clock_spread: Span(0),
-        notice: Span::s(1.0),
+        detection_delay: Span::s(1.0),
     }
 }
 
 fn load(rate: f64, zone_count: usize) -> Load {
-    Load { rate, swing: 0.0, shape: Shape::Wave, zone_shares: vec![1.0; zone_count], over_quota_weight: 1.0 }
+    Load {
+        rate,
+        amplitude: 0.0,
+        shape: LoadShape::Sine,
+        zone_shares: vec![1.0; zone_count],
+        over_quota_weight: 1.0,
+    }
 }
 
 fn clients() -> Clients {
-    Clients { retries: 0, attempt_timeout_share: 1.0, backoff: Span::ms(50.0), honour: 1.0, impatient: 0.0 }
+    Clients {
+        retries: 0,
+        attempt_timeout_share: 1.0,
+        backoff: Span::ms(50.0),
+        retry_after_share: 1.0,
+        early_cancel_share: 0.0,
+    }
 }
 
 fn limits() -> Limits {
     Limits {
         max_attempts: 4,
-        max_open: 100_000,
+        max_open_requests: 100_000,
         hedging: false,
         health_checks: false,
         retry_after: true,
@@ -86,7 +98,7 @@
 fn rules() -> Rules {
     Rules {
         drain_grace: Span::s(1.0),
-        answer_grace: Span::ms(20.0),
+        response_grace: Span::ms(20.0),
         overload_factor: 2.0,
         overload_window: Span::s(1.0),
         poll_within: Span::s(10.0),
@@ -104,14 +116,14 @@
         speed: 1.0,
         speed_cv: 0.0,
         slots: UNLIMITED,
-        waiting: UNLIMITED,
+        queue_capacity: UNLIMITED,
         thrash: 0.0,
-        crowded: f64::from(UNLIMITED),
+        thrash_threshold: f64::from(UNLIMITED),
         initial_capacity: 0.3,
         warm_up_time: Span::s(10.0),
-        pause_every: Span(0),
+        pause_interval: Span(0),
         pause: Span(0),
-        pause_grow: 0.0,
+        pause_growth: 0.0,
         error_rate: 0.0,
         connections: connections(),
         health_check_work: Span::ms(1.0),
@@ -121,12 +133,12 @@
 
 fn connections() -> Connections {
     Connections {
-        handshake_trips: 1.0,
+        handshake_round_trips: 1.0,
         handshake_work: Span(0),
-        idle_close: Span::s(30.0),
+        idle_timeout: Span::s(30.0),
         connect_timeout: Span::ms(100.0),
-        most: 1_000_000,
-        full_tax: 0.0,
+        max_connections: 1_000_000,
+        full_table_overhead: 0.0,
     }
 }
 
@@ -135,15 +147,15 @@
         name: "call".to_owned(),
         share: 1.0,
         work: Span::ms(100.0),
-        spread: Spread::Lognormal,
-        cv: 0.5,
-        most_work: Span::ms(400.0),
+        distribution: DistributionKind::Lognormal,
+        work_cv: 0.5,
+        max_work: Span::ms(400.0),
         attempt_noise: 0.0,
         latency_objective: Span::s(1.0),
         deadline: Span::s(2.0),
         priority_weight: 1.0,
         late_weight: 0.5,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         dedup_window: Span(0),
     }
 }
--- a/crates/fleet-model/src/depth/measure.rs
+++ b/crates/fleet-model/src/depth/measure.rs
@@ -46,7 +46,7 @@
         answered: f64::from(answered),
         tiers: sum_by_tier(&detail.tiers, scenario.tiers.len()),
         answered_work: detail.served_work.iter().skip(UNMEASURED_SECONDS).sum(),
-        broken: run.result.broken,
+        broken: run.result.breach_count,
     })
 }
 
--- a/crates/fleet-model/src/depth/scenario.rs
+++ b/crates/fleet-model/src/depth/scenario.rs
@@ -49,12 +49,12 @@
     };
     if condition == DepthCondition::EvenWork {
         class.work = Span::ms(MEAN_WORK_MS);
-        class.cv = EVEN_WORK_VARIATION;
+        class.work_cv = EVEN_WORK_VARIATION;
     } else {
         class.work = Span::ms(UNLIMITED_MEAN_WORK_MS);
-        class.cv = WORK_VARIATION;
+        class.work_cv = WORK_VARIATION;
     }
-    class.most_work = Span::ms(MAX_WORK_MS);
+    class.max_work = Span::ms(MAX_WORK_MS);
     class.latency_objective = Span::ms(deadline * OBJECTIVE_MS / DEADLINE_MS);
     class.deadline = Span::ms(deadline);
 }
@@ -77,10 +77,10 @@
     match condition {
         DepthCondition::Healthy | DepthCondition::FixedDeadline | DepthCondition::EvenWork => Vec::new(),
         DepthCondition::OnePercent => {
-            vec![Fault { which: one_server, share: ERROR_SHARE, ..in_last_tier(FaultKind::FastErrors) }]
+            vec![Fault { targets: one_server, share: ERROR_SHARE, ..in_last_tier(FaultKind::FastErrors) }]
         }
         DepthCondition::FivePercent => {
-            vec![Fault { which: one_server, ..in_last_tier(FaultKind::FastErrors) }]
+            vec![Fault { targets: one_server, ..in_last_tier(FaultKind::FastErrors) }]
         }
         DepthCondition::TwentyPercent => {
             vec![Fault { share: ERROR_SHARE, ..in_last_tier(FaultKind::FastErrors) }]
--- a/crates/fleet-model/src/experiment/mod.rs
+++ b/crates/fleet-model/src/experiment/mod.rs
@@ -101,12 +101,12 @@
             worst_class: score.worst_class,
             worst_tenant: score.worst_tenant,
             prices: score.prices,
-            waste: score.waste,
+            waste: score.wasted_share,
             requests: score.requests,
             attempts: score.attempts,
             choked: score.choked,
             collapsed: score.collapsed,
-            broken: score.broken,
+            broken: score.breach_count,
         }
     }
 
--- a/crates/fleet-model/src/failures/scenario.rs
+++ b/crates/fleet-model/src/failures/scenario.rs
@@ -47,7 +47,7 @@
     let work = 1_000.0 * UTILIZATION * CORES / sizes.rate;
     let class = &mut scenario.classes[0];
     class.work = Span::ms(work);
-    class.most_work = Span::ms(MAX_WORK_FACTOR * work);
+    class.max_work = Span::ms(MAX_WORK_FACTOR * work);
     class.latency_objective = Span::ms(OBJECTIVE_FACTOR * work);
     class.deadline = Span::ms(DEADLINE_FACTOR * work);
     // Balancers with neighbouring numbers are in one zone, as they run beside their servers.
@@ -75,7 +75,7 @@
         Failure::Region => {
             // Rounded up: the first region also has the zones that an even division leaves over.
             let zones = 0..sizes.zones.div_ceil(REGIONS);
-            zones.map(|zone| zone_fault(FaultKind::ZoneCut, &span, zone)).collect()
+            zones.map(|zone| zone_fault(FaultKind::ZonePartition, &span, zone)).collect()
         }
     }
 }
@@ -106,9 +106,9 @@
     faults
 }
 
-fn targeted_fault(kind: FaultKind, at: f64, length: f64, which: Vec<usize>) -> Fault {
+fn targeted_fault(kind: FaultKind, at: f64, length: f64, targets: Vec<usize>) -> Fault {
     let share = if kind == FaultKind::RollingDeploy { DEPLOY_BATCH_SHARE } else { 1.0 };
-    Fault { which, share, drain: Span::s(DRAIN_SECONDS), ..fault(kind, at, length) }
+    Fault { targets, share, drain_time: Span::s(DRAIN_SECONDS), ..fault(kind, at, length) }
 }
 
 fn zone_fault(kind: FaultKind, span: &FailureSpan, zone: u32) -> Fault {
--- a/crates/fleet-model/src/random.rs
+++ b/crates/fleet-model/src/random.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal, Pareto};
 
-use crate::scenario::{Class, Spread};
+use crate::scenario::{Class, DistributionKind};
 
 /// Purpose of a random number. Its value is part of the seed, so the order of the variants is fixed by stored results.
 #[derive(Clone, Copy)]
@@ -21,11 +21,11 @@
     /// Jitter of a message.
     Message,
     /// Failures of attempts, and the faults of a scenario.
-    Fate,
+    Failure,
     /// Behaviour of a client.
     Client,
     /// Choice of a balancer for a client.
-    Front,
+    BalancerChoice,
     /// Seed and clock of a balancer process, and the resamples of a bootstrap.
     Process,
     /// Delays and failures of notifications.
@@ -35,7 +35,7 @@
 }
 
 /// Returns the seed for a purpose and a number. Two mixing rounds make the seeds of neighbouring numbers independent.
-fn mixed(seed: u64, purpose: Purpose, number: u64) -> u64 {
+fn derive_seed(seed: u64, purpose: Purpose, number: u64) -> u64 {
     let first = splitmix(seed.wrapping_add((purpose as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     splitmix(first ^ number.wrapping_mul(0xd1b5_4a32_d192_ed03))
 }
@@ -49,30 +49,30 @@
 
 /// Returns the generator for a purpose and a number.
 pub(crate) fn stream(seed: u64, purpose: Purpose, number: u64) -> ChaCha8Rng {
-    ChaCha8Rng::seed_from_u64(mixed(seed, purpose, number))
+    ChaCha8Rng::seed_from_u64(derive_seed(seed, purpose, number))
 }
 
 /// Returns a single number from 0 to 1. This is cheaper than a generator.
 pub(crate) fn unit(seed: u64, purpose: Purpose, number: u64) -> f64 {
-    (mixed(seed, purpose, number) >> 11) as f64 / (1u64 << 53) as f64
+    (derive_seed(seed, purpose, number) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// Combines two numbers into one key.
-pub(crate) fn pair(a: u64, b: u64) -> u64 {
+pub(crate) fn combine(a: u64, b: u64) -> u64 {
     a.wrapping_mul(0x1_0000_01b3) ^ b.rotate_left(17)
 }
 
 /// Draws a factor with mean 1 and the coefficient of variation `cv`.
-pub(crate) fn factor(rng: &mut impl Rng, spread: Spread, cv: f64) -> f64 {
+pub(crate) fn factor(rng: &mut impl Rng, spread: DistributionKind, cv: f64) -> f64 {
     if cv <= 0.0 {
         return 1.0;
     }
     let drawn = match spread {
-        Spread::Lognormal => {
+        DistributionKind::Lognormal => {
             let variance = (1.0 + cv * cv).ln();
             LogNormal::new(-variance / 2.0, variance.sqrt()).map(|distribution| distribution.sample(rng))
         }
-        Spread::Pareto => {
+        DistributionKind::Pareto => {
             let shape = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
             return Pareto::new((shape - 1.0) / shape, shape)
                 .map_or(1.0, |distribution| distribution.sample(rng));
@@ -83,12 +83,12 @@
 
 /// Draws the work of a request of a class, in microseconds.
 pub(crate) fn request_work(class: &Class, rng: &mut impl Rng) -> f64 {
-    let drawn = class.work.0 as f64 * factor(rng, class.spread, class.cv);
-    drawn.min(class.most_work.0 as f64)
+    let drawn = class.work.0 as f64 * factor(rng, class.distribution, class.work_cv);
+    drawn.min(class.max_work.0 as f64)
 }
 
 /// Draws a number that is uniformly distributed within a range.
-pub(crate) fn within(rng: &mut impl Rng, (from, to): (f64, f64)) -> f64 {
+pub(crate) fn uniform(rng: &mut impl Rng, (from, to): (f64, f64)) -> f64 {
     from + (to - from) * rng.random::<f64>()
 }
 
--- a/crates/fleet-model/src/random/tests.rs
+++ b/crates/fleet-model/src/random/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn factors_have_mean_one_and_the_given_deviation() {
-    for (spread, cv) in [(Spread::Lognormal, 0.5), (Spread::Pareto, 0.5)] {
+    for (spread, cv) in [(DistributionKind::Lognormal, 0.5), (DistributionKind::Pareto, 0.5)] {
         let mut rng = stream(7, Purpose::Request, 1);
         let drawn: Vec<f64> = (0..200_000).map(|_| factor(&mut rng, spread, cv)).collect();
         let mean = drawn.iter().sum::<f64>() / drawn.len() as f64;
--- a/crates/fleet-model/src/scenario/environment.rs
+++ b/crates/fleet-model/src/scenario/environment.rs
@@ -37,18 +37,23 @@
     /// Whether lists are pushed or polled.
     pub mode: DiscoveryMode,
     /// Time from a change of a server that deregisters until discovery has detected it.
-    pub notice: Span,
+    #[serde(rename = "notice")]
+    pub detection_delay: Span,
     /// Time until discovery has detected that a server vanished without deregistering.
-    pub silent_notice: Span,
+    #[serde(rename = "silent_notice")]
+    pub silent_detection_delay: Span,
     /// Time from a server's start until discovery lists it.
-    pub add: Span,
+    #[serde(rename = "add")]
+    pub registration_delay: Span,
     /// Interval at which discovery sends the changes of that time in one batch.
-    pub period: Span,
+    #[serde(rename = "period")]
+    pub batch_interval: Span,
     /// Largest random delay between a batch and its arrival at a balancer.
-    pub spread: Span,
+    #[serde(rename = "spread")]
+    pub max_delivery_delay: Span,
     /// Share of the calls to discovery that fail, and of the watches that break with each batch.
-    #[serde(default)]
-    pub failing: f64,
+    #[serde(rename = "failing", default)]
+    pub failure_share: f64,
 }
 
 /// The balancers of the first tier, and the processor share of the balancers of all tiers.
@@ -68,5 +73,6 @@
     #[serde(default)]
     pub clock_spread: Span,
     /// Time after which clients open no connections to a balancer that has died.
-    pub notice: Span,
+    #[serde(rename = "notice")]
+    pub detection_delay: Span,
 }
--- a/crates/fleet-model/src/scenario/fault.rs
+++ b/crates/fleet-model/src/scenario/fault.rs
@@ -19,8 +19,8 @@
     #[serde(default)]
     pub tier: usize,
     /// Indexes of the affected servers of the tier, or of the affected balancers. All are affected if empty.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub which: Vec<usize>,
+    #[serde(rename = "which", default, skip_serializing_if = "Vec::is_empty")]
+    pub targets: Vec<usize>,
     /// Name of the affected zone. Required by faults of a zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -35,14 +35,14 @@
     #[serde(default = "one")]
     pub factor: f64,
     /// Whether the new process of a balancer restores the learned state of the old one.
-    #[serde(default)]
-    pub learned: bool,
+    #[serde(rename = "learned", default)]
+    pub restores_learned_state: bool,
     /// Whether excluded servers restart during the fault. They warm up when they are allowed again.
     #[serde(default)]
     pub restarts: bool,
     /// Time for which servers drain before they restart.
-    #[serde(default)]
-    pub drain: Span,
+    #[serde(rename = "drain", default)]
+    pub drain_time: Span,
 }
 
 /// Default of shares and factors.
@@ -72,7 +72,8 @@
     /// beside them keep running.
     Vanished,
     /// A network partition separates zones from the others. Zones that are cut off at the same time reach each other.
-    ZoneCut,
+    #[serde(rename = "zone_cut")]
+    ZonePartition,
     /// Servers stop, and servers with new ids start at the same addresses and warm up.
     Replaced,
     /// Balancers are killed and start again after `length`.
--- a/crates/fleet-model/src/scenario/mod.rs
+++ b/crates/fleet-model/src/scenario/mod.rs
@@ -20,7 +20,7 @@
 pub use fault::{Fault, FaultKind};
 pub use rules::{Goal, Limits, Prices, Rules};
 pub use tier::{Choke, Connections, Tier};
-pub use traffic::{Class, Clients, Effect, Load, Shape, Spread, Tenant};
+pub use traffic::{Class, Clients, DistributionKind, Idempotency, Load, LoadShape, Tenant};
 
 use crate::span::Span;
 
--- a/crates/fleet-model/src/scenario/policy_settings.rs
+++ b/crates/fleet-model/src/scenario/policy_settings.rs
@@ -2,7 +2,7 @@
 
 use zincstand_policy::{self as policy, Micros};
 
-use super::{Class, DiscoveryMode, Effect, Scenario, Tier};
+use super::{Class, DiscoveryMode, Idempotency, Scenario, Tier};
 
 impl Scenario {
     /// Returns the settings of the balancer with index `balancer_index` of `tier`, located in `zone`.
@@ -59,9 +59,9 @@
             retry_after: self.limits.retry_after,
             max_retry_after: self.limits.max_retry_after.0,
             max_attempts: self.limits.max_attempts,
-            max_open_requests: self.limits.max_open,
+            max_open_requests: self.limits.max_open_requests,
             max_streams: 1,
-            idle_timeout: tier.connections.idle_close.0,
+            idle_timeout: tier.connections.idle_timeout.0,
             connect_timeout: tier.connections.connect_timeout.0,
             cpu_per_second: (self.balancers.cores * 1e6) as Micros,
             cpu_per_request: 0.0,
@@ -76,7 +76,7 @@
             overload_window: self.rules.overload_window.0,
             max_poll_interval: self.rules.poll_within.0,
             drain_grace: self.rules.drain_grace.0,
-            response_grace: self.rules.answer_grace.0,
+            response_grace: self.rules.response_grace.0,
         }
     }
 
@@ -115,11 +115,11 @@
 }
 
 fn idempotency(class: &Class) -> policy::Idempotency {
-    match class.effect {
-        Effect::Safe => policy::Idempotency::Idempotent,
-        Effect::Keyed => {
+    match class.idempotency {
+        Idempotency::Idempotent => policy::Idempotency::Idempotent,
+        Idempotency::WithKey => {
             policy::Idempotency::WithKey { scope: policy::DedupScope::Cell, window: class.dedup_window.0 }
         }
-        Effect::Unsafe => policy::Idempotency::NotIdempotent,
+        Idempotency::NotIdempotent => policy::Idempotency::NotIdempotent,
     }
 }
--- a/crates/fleet-model/src/scenario/rules.rs
+++ b/crates/fleet-model/src/scenario/rules.rs
@@ -11,7 +11,8 @@
     /// Largest number of attempts of a request.
     pub max_attempts: u32,
     /// Largest number of open requests of a balancer.
-    pub max_open: u32,
+    #[serde(rename = "max_open")]
+    pub max_open_requests: u32,
     /// Whether requests may be hedged, that is, have two attempts in flight at the same time.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
@@ -31,7 +32,8 @@
     /// Time after the notification that a server drains during which a balancer may still send new requests to it.
     pub drain_grace: Span,
     /// Time after the deadline within which a final response still counts as in time.
-    pub answer_grace: Span,
+    #[serde(rename = "answer_grace")]
+    pub response_grace: Span,
     /// A warming server collapses if it receives more than this multiple of its capacity within
     /// [`overload_window`](Rules::overload_window).
     pub overload_factor: f64,
--- a/crates/fleet-model/src/scenario/tier.rs
+++ b/crates/fleet-model/src/scenario/tier.rs
@@ -29,11 +29,13 @@
     /// tier.
     pub slots: u32,
     /// Capacity of a server's queue. The server rejects further requests.
-    pub waiting: u32,
+    #[serde(rename = "waiting")]
+    pub queue_capacity: u32,
     /// Loss of efficiency for each request beyond `crowded`, as a share.
     pub thrash: f64,
     /// Number of requests at a server above which it loses efficiency.
-    pub crowded: f64,
+    #[serde(rename = "crowded")]
+    pub thrash_threshold: f64,
     /// Share of its capacity with which a server starts, until it has warmed up.
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
@@ -41,14 +43,14 @@
     #[serde(rename = "warm_after")]
     pub warm_up_time: Span,
     /// Mean time between two pauses of a server, such as garbage collections. Zero disables pauses.
-    #[serde(default)]
-    pub pause_every: Span,
+    #[serde(rename = "pause_every", default)]
+    pub pause_interval: Span,
     /// Length of a pause of an idle server.
     #[serde(default)]
     pub pause: Span,
     /// Growth of a pause with each request per core at the server, as a share of `pause`.
-    #[serde(default)]
-    pub pause_grow: f64,
+    #[serde(rename = "pause_grow", default)]
+    pub pause_growth: f64,
     /// Share of the requests that fail at random.
     #[serde(default)]
     pub error_rate: f64,
@@ -67,17 +69,21 @@
 #[serde(deny_unknown_fields)]
 pub struct Connections {
     /// Number of round trips until a new connection is usable.
-    pub handshake_trips: f64,
+    #[serde(rename = "handshake_trips")]
+    pub handshake_round_trips: f64,
     /// Work of a new connection at the server.
     pub handshake_work: Span,
     /// Time after which a server closes an idle connection.
-    pub idle_close: Span,
+    #[serde(rename = "idle_close")]
+    pub idle_timeout: Span,
     /// Time limit for establishing a connection.
     pub connect_timeout: Span,
     /// Largest number of connections of a server.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_connections: u32,
     /// Share of a server's capacity that a full table of connections consumes.
-    pub full_tax: f64,
+    #[serde(rename = "full_tax")]
+    pub full_table_overhead: f64,
 }
 
 /// Metastable overload of a single server: a server with a long queue turns slow (it chokes), and recovers only after
@@ -86,15 +92,21 @@
 #[serde(deny_unknown_fields)]
 pub struct Choke {
     /// Number of waiting requests per core above which a server counts as crowded.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub queue_threshold: f64,
     /// Time for which a server must be crowded to choke.
-    pub over: Span,
+    #[serde(rename = "over")]
+    pub time_to_choke: Span,
     /// Factor by which the work at a choked server takes longer.
-    pub slower: f64,
+    #[serde(rename = "slower")]
+    pub slowdown: f64,
     /// Utilization below which a choked server recovers, measured over `rest`.
-    pub below: f64,
+    #[serde(rename = "below")]
+    pub recovery_utilization: f64,
     /// Time over which the utilization of a choked server is measured.
-    pub rest: Span,
+    #[serde(rename = "rest")]
+    pub recovery_window: Span,
     /// Time after which a choked server recovers in any case.
-    pub most: Span,
+    #[serde(rename = "most")]
+    pub max_duration: Span,
 }
--- a/crates/fleet-model/src/scenario/traffic.rs
+++ b/crates/fleet-model/src/scenario/traffic.rs
@@ -11,10 +11,10 @@
     /// Mean rate, in requests a second.
     pub rate: f64,
     /// Amplitude of the rate, as a share of the mean rate.
-    #[serde(default)]
-    pub swing: f64,
+    #[serde(rename = "swing", default)]
+    pub amplitude: f64,
     /// Course of the rate over time.
-    pub shape: Shape,
+    pub shape: LoadShape,
     /// Relative share of each zone in the requests, in the order of the scenario's zones.
     pub zone_shares: Vec<f64>,
     /// Priority weight of requests beyond a tenant's quota, as a share of the weight of their class.
@@ -25,9 +25,10 @@
 /// Course of the rate over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum LoadShape {
     /// A sine.
-    Wave,
+    #[serde(rename = "wave")]
+    Sine,
     /// High and low phases of a second or two.
     Bursty,
 }
@@ -44,22 +45,26 @@
     /// Backoff before the first retry. It doubles with each further retry.
     pub backoff: Span,
     /// Share of the clients that honour `Retry-After`.
-    pub honour: f64,
+    #[serde(rename = "honour")]
+    pub retry_after_share: f64,
     /// Share of the attempts that clients cancel early.
-    #[serde(default)]
-    pub impatient: f64,
+    #[serde(rename = "impatient", default)]
+    pub early_cancel_share: f64,
 }
 
 /// Idempotency of the requests of a class, which decides whether they may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum Idempotency {
     /// All requests are idempotent.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// Requests carry an idempotency key. Servers of the same cell detect duplicates for [`Class::dedup_window`].
-    Keyed,
+    #[serde(rename = "keyed")]
+    WithKey,
     /// No request may be repeated that a server may have executed.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    NotIdempotent,
 }
 
 /// A class of requests.
@@ -73,11 +78,14 @@
     /// Mean work of a request, summed over one call of each tier.
     pub work: Span,
     /// Distribution of the work of a request.
-    pub spread: Spread,
+    #[serde(rename = "spread")]
+    pub distribution: DistributionKind,
     /// Coefficient of variation of the work, which is its standard deviation divided by its mean.
-    pub cv: f64,
+    #[serde(rename = "cv")]
+    pub work_cv: f64,
     /// Largest work of a request. Larger draws are cut off.
-    pub most_work: Span,
+    #[serde(rename = "most_work")]
+    pub max_work: Span,
     /// Coefficient of variation of the work between attempts of one request.
     #[serde(default)]
     pub attempt_noise: f64,
@@ -93,7 +101,8 @@
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
     /// Idempotency of the requests.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// Time for which servers detect duplicates of requests with an idempotency key.
     #[serde(rename = "repeats_dropped", default)]
     pub dedup_window: Span,
@@ -102,7 +111,7 @@
 /// The distribution of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Spread {
+pub enum DistributionKind {
     /// Log-normal distribution.
     Lognormal,
     /// Pareto distribution, whose tail is heavier.
--- a/crates/fleet-model/src/scenario/validation/environment.rs
+++ b/crates/fleet-model/src/scenario/validation/environment.rs
@@ -20,8 +20,8 @@
     pub(super) fn validate_network_and_discovery(&self) -> Validation {
         Table::named("network").require(is_share(self.network.jitter), "jitter", WITHIN_0_AND_1)?;
         let discovery = Table::named("discovery");
-        discovery.require(is_share(self.discovery.failing), "failing", WITHIN_0_AND_1)?;
-        discovery.require(self.discovery.period.0 > 0, "period", ABOVE_ZERO)
+        discovery.require(is_share(self.discovery.failure_share), "failing", WITHIN_0_AND_1)?;
+        discovery.require(self.discovery.batch_interval.0 > 0, "period", ABOVE_ZERO)
     }
 
     /// Validates the table `balancers`.
--- a/crates/fleet-model/src/scenario/validation/faults.rs
+++ b/crates/fleet-model/src/scenario/validation/faults.rs
@@ -16,13 +16,13 @@
         table.require(known_tier, "tier", "no such tier; they are numbered from 0")?;
         let target_count = self.count_targets(fault);
         table.require(
-            fault.which.iter().all(|target| *target < target_count),
+            fault.targets.iter().all(|target| *target < target_count),
             "which",
             "no such server or balancer; they are numbered from 0",
         )?;
         let known_zone = fault.zone.as_ref().is_none_or(|zone| self.zones.contains(zone));
         table.require(known_zone, "zone", "no such zone in `zones`")?;
-        let needs_zone = matches!(fault.kind, FaultKind::ZoneLost | FaultKind::ZoneCut);
+        let needs_zone = matches!(fault.kind, FaultKind::ZoneLost | FaultKind::ZonePartition);
         let zone_given = !needs_zone || fault.zone.is_some();
         table.require(zone_given, "zone", "name the zone that is lost or cut off")?;
         let is_class = |name: &String| self.classes.iter().any(|class| class.name == *name);
--- a/crates/fleet-model/src/scenario/validation/tiers.rs
+++ b/crates/fleet-model/src/scenario/validation/tiers.rs
@@ -58,28 +58,28 @@
     table.require(is_share(tier.speed_cv), "speed_cv", WITHIN_0_AND_1)?;
     table.require(tier.slots > 0, "slots", AT_LEAST_ONE)?;
     table.require(is_zero_or_more(tier.thrash), "thrash", ZERO_OR_MORE)?;
-    table.require(is_zero_or_more(tier.pause_grow), "pause_grow", ZERO_OR_MORE)?;
-    table.require(is_positive(tier.crowded), "crowded", ABOVE_ZERO)?;
+    table.require(is_zero_or_more(tier.pause_growth), "pause_grow", ZERO_OR_MORE)?;
+    table.require(is_positive(tier.thrash_threshold), "crowded", ABOVE_ZERO)?;
     table.require(is_share_above_zero(tier.initial_capacity), "cold_from", ABOVE_0_UP_TO_1)?;
     table.require(tier.warm_up_time.0 > 0, "warm_after", ABOVE_ZERO)?;
     table.require(is_share(tier.error_rate), "error_rate", WITHIN_0_AND_1)?;
-    let pauses_apart = tier.pause_every.0 == 0 || tier.pause_every > tier.pause;
+    let pauses_apart = tier.pause_interval.0 == 0 || tier.pause_interval > tier.pause;
     table.require(pauses_apart, "pause_every", "must be longer than `pause`")
 }
 
 fn validate_connections(tier_index: usize, connections: &Connections) -> Validation {
     let table = Table::inner("tier", tier_index, "connections");
-    table.require(connections.most > 0, "most", AT_LEAST_ONE)?;
-    table.require(is_share(connections.full_tax), "full_tax", WITHIN_0_AND_1)?;
+    table.require(connections.max_connections > 0, "most", AT_LEAST_ONE)?;
+    table.require(is_share(connections.full_table_overhead), "full_tax", WITHIN_0_AND_1)?;
     table.require(connections.connect_timeout.0 > 0, "connect_timeout", ABOVE_ZERO)
 }
 
 fn validate_choke(tier_index: usize, choke: &Choke) -> Validation {
     let table = Table::inner("tier", tier_index, "choke");
-    let valid_slowdown = choke.slower >= 1.0 && choke.slower.is_finite();
+    let valid_slowdown = choke.slowdown >= 1.0 && choke.slowdown.is_finite();
     table.require(valid_slowdown, "slower", "at least 1")?;
-    table.require(is_positive(choke.at), "at", ABOVE_ZERO)?;
-    table.require(is_share(choke.below), "below", WITHIN_0_AND_1)?;
-    let valid_rest = choke.rest.0 > 0 && choke.most >= choke.rest;
+    table.require(is_positive(choke.queue_threshold), "at", ABOVE_ZERO)?;
+    table.require(is_share(choke.recovery_utilization), "below", WITHIN_0_AND_1)?;
+    let valid_rest = choke.recovery_window.0 > 0 && choke.max_duration >= choke.recovery_window;
     table.require(valid_rest, "most", "at least as long as `rest`")
 }
--- a/crates/fleet-model/src/scenario/validation/traffic.rs
+++ b/crates/fleet-model/src/scenario/validation/traffic.rs
@@ -5,7 +5,7 @@
     ABOVE_0_UP_TO_1, ABOVE_ZERO, WITHIN_0_AND_1, ZERO_OR_MORE, is_positive, is_share, is_share_above_zero,
     is_zero_or_more,
 };
-use crate::scenario::{Class, Effect, Scenario};
+use crate::scenario::{Class, Idempotency, Scenario};
 
 /// Largest mean number of requests of a scenario, because every arrival is stored in memory.
 const MAX_REQUESTS: f64 = 5e6;
@@ -25,7 +25,7 @@
             "rate",
             "more than five million requests in a scenario; lower `load.rate` or `length`",
         )?;
-        table.require(is_share(load.swing), "swing", WITHIN_0_AND_1)?;
+        table.require(is_share(load.amplitude), "swing", WITHIN_0_AND_1)?;
         table.require(is_share(load.over_quota_weight), "over_share_worth", WITHIN_0_AND_1)?;
         let right_count = load.zone_shares.len() == self.zones.len();
         let all_valid = load.zone_shares.iter().all(|share| is_zero_or_more(*share));
@@ -41,8 +41,8 @@
         let table = Table::named("clients");
         let clients = &self.clients;
         table.require(is_share_above_zero(clients.attempt_timeout_share), "try_share", ABOVE_0_UP_TO_1)?;
-        table.require(is_share(clients.honour), "honour", WITHIN_0_AND_1)?;
-        table.require(is_share(clients.impatient), "impatient", WITHIN_0_AND_1)?;
+        table.require(is_share(clients.retry_after_share), "honour", WITHIN_0_AND_1)?;
+        table.require(is_share(clients.early_cancel_share), "impatient", WITHIN_0_AND_1)?;
         table.require(clients.retries <= MAX_RETRIES, "retries", "at most 100")
     }
 
@@ -74,9 +74,9 @@
     let table = Table::entry("class", index);
     table.require(is_positive(class.share), "share", ABOVE_ZERO)?;
     table.require(class.work.0 > 0, "work", ABOVE_ZERO)?;
-    table.require(class.most_work >= class.work, "most_work", "must not be less than `work`")?;
+    table.require(class.max_work >= class.work, "most_work", "must not be less than `work`")?;
     let variation = 0.0..=MAX_VARIATION;
-    table.require(variation.contains(&class.cv), "cv", "must lie within 0 and 10")?;
+    table.require(variation.contains(&class.work_cv), "cv", "must lie within 0 and 10")?;
     table.require(variation.contains(&class.attempt_noise), "attempt_noise", "must lie within 0 and 10")?;
     table.require(class.latency_objective.0 > 0, "aim", ABOVE_ZERO)?;
     table.require(class.deadline.0 > 0, "deadline", "a class needs a deadline above zero")?;
@@ -84,7 +84,7 @@
     table.require(is_zero_or_more(class.priority_weight), "worth", ZERO_OR_MORE)?;
     table.require(is_share(class.late_weight), "late_worth", WITHIN_0_AND_1)?;
     table.require(
-        class.effect != Effect::Keyed || class.dedup_window.0 > 0,
+        class.idempotency != Idempotency::WithKey || class.dedup_window.0 > 0,
         "repeats_dropped",
         "a keyed class needs the span in which repeats are dropped",
     )
--- a/crates/fleet-model/src/scoring/breach.rs
+++ b/crates/fleet-model/src/scoring/breach.rs
@@ -32,7 +32,9 @@
     /// Index of the server concerned. `None` if the breach concerns none.
     pub server: Option<u32>,
     /// Description of the breach.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The last events and actions of the balancer before the breach.
-    pub before: Vec<String>,
+    #[serde(rename = "before")]
+    pub preceding_events: Vec<String>,
 }
--- a/crates/fleet-model/src/scoring/metrics.rs
+++ b/crates/fleet-model/src/scoring/metrics.rs
@@ -22,13 +22,13 @@
     /// Work that servers did, in microseconds.
     pub work: f64,
     /// Work that contributed to an answer which a client received, in microseconds.
-    pub useful: f64,
+    pub useful_work: f64,
     /// Events of the world.
     pub events: u64,
     /// Reports of the first broken rules.
     pub breaches: Vec<Breach>,
     /// Number of broken rules, including those that were not reported.
-    pub broken: u64,
+    pub breach_count: u64,
     /// Counts by second and tier.
     pub tiers: Vec<Vec<TierCount>>,
     /// Counts of discovery by second.
@@ -38,7 +38,7 @@
 impl Metrics {
     /// Returns the work that contributed to no answer, in microseconds.
     pub fn wasted_work(&self) -> f64 {
-        (self.work - self.useful).max(0.0)
+        (self.work - self.useful_work).max(0.0)
     }
 
     /// Returns the share of the work that contributed to no answer, and 0 without work.
--- a/crates/fleet-model/src/scoring/mod.rs
+++ b/crates/fleet-model/src/scoring/mod.rs
@@ -79,10 +79,10 @@
         let g = weighted / total_weight(goal) - prices;
         Score {
             g,
-            counted: if metrics.broken > 0 { 0.0 } else { g.max(0.0) },
+            counted: if metrics.breach_count > 0 { 0.0 } else { g.max(0.0) },
             total: ledger.total.share(),
             worst_window: worst_window.share,
-            worst_at: worst_window.start,
+            worst_window_start: worst_window.start,
             worst_class,
             worst_tenant,
             prices,
@@ -90,10 +90,10 @@
             ends: ledger.ends,
             attempts: metrics.attempts,
             client_retries: metrics.client_retries,
-            waste: metrics.wasted_share(),
+            wasted_share: metrics.wasted_share(),
             choked: self.servers.choked,
             collapsed: self.servers.collapsed,
-            broken: metrics.broken,
+            breach_count: metrics.breach_count,
             events: metrics.events,
             breaches: metrics.breaches.clone(),
         }
--- a/crates/fleet-model/src/scoring/result.rs
+++ b/crates/fleet-model/src/scoring/result.rs
@@ -46,7 +46,8 @@
     /// Share of utility of the worst ten seconds.
     pub worst_window: f64,
     /// Second in which the worst ten seconds began.
-    pub worst_at: usize,
+    #[serde(rename = "worst_at")]
+    pub worst_window_start: usize,
     /// Share of utility of the worst-served class.
     pub worst_class: f64,
     /// Share of utility of the worst-served tenant, of its requests within the quota.
@@ -62,14 +63,16 @@
     /// Number of retries of clients.
     pub client_retries: u64,
     /// Share of the work that contributed to no answer.
-    pub waste: f64,
+    #[serde(rename = "waste")]
+    pub wasted_share: f64,
     /// Number of servers that choked at least once.
     pub choked: usize,
     /// Number of servers that collapsed while warming up.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
     /// Number of broken rules.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub breach_count: u64,
     /// Number of events of the world.
     pub events: u64,
     /// Reports of the first broken rules.
@@ -106,11 +109,14 @@
     /// Whether the server is choked.
     pub choked: bool,
     /// Current capacity as a share of the full capacity.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub capacity_share: f64,
     /// Number of balancers whose circuit breaker for the server is open.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub open_breakers: u32,
     /// Concurrency limit of the server's zone in slots for each server, summed over the balancers.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub concurrency_limit: f64,
     /// Mean latency of the attempts answered since the previous sample, in microseconds. 0 without answers.
     pub latency: f64,
 }
--- a/crates/fleet-model/src/server/choke.rs
+++ b/crates/fleet-model/src/server/choke.rs
@@ -50,18 +50,19 @@
 
     /// Returns the factor by which work takes longer.
     pub fn slowdown(&self) -> f64 {
-        if self.is_choked() { self.settings.slower } else { 1.0 }
+        if self.is_choked() { self.settings.slowdown } else { 1.0 }
     }
 
     /// Returns the number of jobs that may run or wait at a server before it counts as crowded.
     pub fn crowding_limit(&self, cores: f64) -> f64 {
-        (1.0 + self.settings.at) * cores
+        (1.0 + self.settings.queue_threshold) * cores
     }
 
     /// Returns the time at which the state must be updated if nothing happens before. `None` if it will not change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let choke_at = self.crowded_since.map(|since| (since + self.settings.over.0).max(now + 1));
-        let sample_at = self.choked_since.map(|_| now + (self.settings.rest.0 / SAMPLES_PER_REST).max(1));
+        let choke_at = self.crowded_since.map(|since| (since + self.settings.time_to_choke.0).max(now + 1));
+        let sample_at =
+            self.choked_since.map(|_| now + (self.settings.recovery_window.0 / SAMPLES_PER_REST).max(1));
         [choke_at, sample_at].into_iter().flatten().min()
     }
 
@@ -81,7 +82,7 @@
     }
 
     fn recover_if_rested(&mut self, now: Micros, since: Micros, busy_time: f64) {
-        let rest = self.settings.rest.0;
+        let rest = self.settings.recovery_window.0;
         let sample_interval = rest / SAMPLES_PER_REST;
         if self.busy_samples.back().is_none_or(|last| now >= last.at + sample_interval) {
             self.busy_samples.push_back(BusySample { at: now, busy_time });
@@ -91,20 +92,20 @@
         }
         let first = self.busy_samples[0];
         let busy_since_first = busy_time - first.busy_time;
-        let rested =
-            now >= first.at + rest && busy_since_first < self.settings.below * (now - first.at) as f64;
-        if rested || now >= since + self.settings.most.0 {
+        let rested = now >= first.at + rest
+            && busy_since_first < self.settings.recovery_utilization * (now - first.at) as f64;
+        if rested || now >= since + self.settings.max_duration.0 {
             self.reset();
         }
     }
 
     fn choke_if_crowded(&mut self, now: Micros, excess_jobs: f64, cores: f64) {
-        if excess_jobs <= self.settings.at * cores {
+        if excess_jobs <= self.settings.queue_threshold * cores {
             self.crowded_since = None;
             return;
         }
         let since = *self.crowded_since.get_or_insert(now);
-        if now >= since + self.settings.over.0 {
+        if now >= since + self.settings.time_to_choke.0 {
             self.choked_since = Some(now);
             self.ever_choked = true;
             self.crowded_since = None;
--- a/crates/fleet-model/src/server/mod.rs
+++ b/crates/fleet-model/src/server/mod.rs
@@ -16,7 +16,7 @@
 use self::choke::ChokeState;
 use self::warm_up::WarmUpWorkWindow;
 use crate::random::{self, Purpose};
-use crate::scenario::{Spread, Tier};
+use crate::scenario::{DistributionKind, Tier};
 
 pub(crate) use self::capacity::Condition;
 pub(crate) use self::jobs::{JobAdmission, JobIndex};
@@ -90,20 +90,20 @@
 impl Properties {
     fn draw(seed: u64, number: u64, tier: &Tier) -> Properties {
         let mut rng = random::stream(seed, Purpose::Server, number);
-        let speed = tier.speed * random::factor(&mut rng, Spread::Lognormal, tier.speed_cv);
+        let speed = tier.speed * random::factor(&mut rng, DistributionKind::Lognormal, tier.speed_cv);
         // Warm-up times differ between servers and never exceed that of the tier.
         let warm_up_share = MIN_WARM_UP_SHARE + (1.0 - MIN_WARM_UP_SHARE) * rng.random::<f64>();
         Properties {
             cores: f64::from(tier.cores),
             speed,
             slots: tier.slots as usize,
-            queue_capacity: tier.waiting as usize,
+            queue_capacity: tier.queue_capacity as usize,
             thrash: tier.thrash,
-            crowded_from: tier.crowded,
+            crowded_from: tier.thrash_threshold,
             initial_capacity: tier.initial_capacity,
             warm_up_time: (tier.warm_up_time.0 as f64 * warm_up_share) as Micros,
-            max_connections: tier.connections.most,
-            full_table_tax: tier.connections.full_tax,
+            max_connections: tier.connections.max_connections,
+            full_table_tax: tier.connections.full_table_overhead,
         }
     }
 }
--- a/crates/fleet-model/src/slow_start/scenario.rs
+++ b/crates/fleet-model/src/slow_start/scenario.rs
@@ -4,8 +4,8 @@
 
 use super::{BINS, BINS_PER_WARM_UP, RuleOverrides, Shape};
 use crate::catalog::{self, Size};
-use crate::random::{self, Purpose, within};
-use crate::scenario::{Class, Fault, FaultKind, Scenario, ScenarioError, Spread};
+use crate::random::{self, Purpose, uniform};
+use crate::scenario::{Class, DistributionKind, Fault, FaultKind, Scenario, ScenarioError};
 use crate::span::Span;
 
 /// Time at which servers begin to restart, in seconds. By then, balancers with little traffic have sent some requests.
@@ -48,12 +48,12 @@
     rules: RuleOverrides,
 ) -> Result<Scenario, ScenarioError> {
     let mut scenario = catalog::generate("busy", seed, Size::Site)?;
-    let rng = &mut random::stream(seed, Purpose::Fate, RANDOM_STREAM);
+    let rng = &mut random::stream(seed, Purpose::Failure, RANDOM_STREAM);
     let count = server_count(balancers);
     scenario.name = format!("slow-start {} {balancers} {seed}", shape.name());
     scenario.tiers.truncate(1);
     let tier = &mut scenario.tiers[0];
-    tier.servers = catalog::zoned(count, within(rng, FIRST_ZONE_SHARE));
+    tier.servers = catalog::split_between_zones(count, uniform(rng, FIRST_ZONE_SHARE));
     tier.calls = 0.0;
     tier.work = 1.0;
     tier.initial_capacity = rules.initial_capacity.unwrap_or(tier.initial_capacity);
@@ -61,11 +61,11 @@
     let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let work = mean_work(&scenario.classes, seed) / shares;
     let cores = f64::from(count * scenario.tiers[0].cores) * scenario.tiers[0].speed;
-    scenario.load.rate = cores / work * within(rng, UTILIZATION);
-    let in_first_zone = catalog::zoned(balancers, scenario.load.zone_shares[0])[0];
+    scenario.load.rate = cores / work * uniform(rng, UTILIZATION);
+    let in_first_zone = catalog::split_between_zones(balancers, scenario.load.zone_shares[0])[0];
     let zone_of = |balancer: u32| scenario.zones[usize::from(balancer >= in_first_zone)].clone();
     scenario.balancers.zones = (0..balancers).map(zone_of).collect();
-    let mut draw_share = |_| random::factor(rng, Spread::Lognormal, TRAFFIC_DEVIATION);
+    let mut draw_share = |_| random::factor(rng, DistributionKind::Lognormal, TRAFFIC_DEVIATION);
     scenario.balancers.shares = (0..balancers).map(&mut draw_share).collect();
     let shuffled = shuffled_servers(count, rng);
     let faults_last = add_faults(&mut scenario, shape, &shuffled);
@@ -88,8 +88,8 @@
 fn add_faults(scenario: &mut Scenario, shape: Shape, shuffled: &[usize]) -> f64 {
     let replaced = |share: f64, seconds: f64| {
         let affected = (shuffled.len() as f64 * share).round().max(1.0) as usize;
-        let which = shuffled[..affected].to_vec();
-        Fault { which, ..catalog::fault(FaultKind::Replaced, FAULTS_BEGIN, seconds) }
+        let targets = shuffled[..affected].to_vec();
+        Fault { targets, ..catalog::fault(FaultKind::Replaced, FAULTS_BEGIN, seconds) }
     };
     match shape {
         Shape::Restart => {
@@ -109,7 +109,7 @@
             scenario.faults.push(replaced(0.6, 1.0));
             scenario.faults.push(catalog::fault(FaultKind::BalancerKilled, FAULTS_BEGIN, 1.0));
             // A notice that arrived after the restart would be attributed to the new process.
-            scenario.balancers.notice = Span::ms(500.0);
+            scenario.balancers.detection_delay = Span::ms(500.0);
             1.0
         }
     }
--- a/crates/fleet-model/src/world/actions.rs
+++ b/crates/fleet-model/src/world/actions.rs
@@ -6,7 +6,7 @@
 use super::event::{Message, Reply, WorldEvent};
 use super::index::{AttemptIndex, ProcessIndex, RequestIndex, ServerIndex};
 use super::state::{PossibleRun, RecentEvent};
-use crate::scenario::{Class, Effect};
+use crate::scenario::{Class, Idempotency};
 use crate::scoring::Rule;
 
 /// A rule that an action breaks, with a description.
@@ -52,7 +52,7 @@
         if record.closed {
             return;
         }
-        let idempotent = self.scenario.classes[record.class].effect == Effect::Safe;
+        let idempotent = self.scenario.classes[record.class].idempotency == Idempotency::Idempotent;
         if record.possible_run.is_some() && !idempotent {
             let what = format!("request {request} is rejected though it may have run");
             self.record_breach(Rule::Duplicate, process, None, what);
@@ -169,13 +169,13 @@
 
     /// Whether a request that may have run may be sent to a server.
     fn may_repeat(&self, class: &Class, run: PossibleRun, server: ServerIndex) -> bool {
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey => {
                 let same_cell = run.cell == self.servers[server].cell;
                 same_cell && self.now < run.sent_at + class.dedup_window.0
             }
-            Effect::Unsafe => false,
+            Idempotency::NotIdempotent => false,
         }
     }
 }
--- a/crates/fleet-model/src/world/arrivals.rs
+++ b/crates/fleet-model/src/world/arrivals.rs
@@ -4,7 +4,7 @@
 use zincstand_policy::Micros;
 
 use crate::random::{self, Purpose};
-use crate::scenario::{Scenario, Shape, Tenant};
+use crate::scenario::{LoadShape, Scenario, Tenant};
 use crate::scoring::Arrival;
 
 /// Length of a phase of high or low load in a bursty scenario, in seconds.
@@ -40,8 +40,8 @@
 /// Returns the deviation of the load from its mean at a time of the scenario, from -1 to 1.
 fn load_swing(scenario: &Scenario, phase: f64, seconds: f64) -> f64 {
     match scenario.load.shape {
-        Shape::Wave => (std::f64::consts::TAU * (seconds / scenario.length.secs() * WAVES + phase)).sin(),
-        Shape::Bursty => {
+        LoadShape::Sine => (std::f64::consts::TAU * (seconds / scenario.length.secs() * WAVES + phase)).sin(),
+        LoadShape::Bursty => {
             let drawn = random::unit(scenario.seed, Purpose::Arrivals, 1 + (seconds / PHASE_SECONDS) as u64);
             if drawn < 0.5 { -1.0 } else { 1.0 }
         }
@@ -53,7 +53,7 @@
     let mut rng = random::stream(scenario.seed, Purpose::Arrivals, 0);
     let phase: f64 = rng.random();
     let length = scenario.length.secs();
-    let peak_rate = scenario.load.rate * (1.0 + scenario.load.swing);
+    let peak_rate = scenario.load.rate * (1.0 + scenario.load.amplitude);
     let mut buckets: Vec<TokenBucket> = scenario.tenants.iter().map(TokenBucket::full).collect();
     let mut arrivals = Vec::new();
     let mut now = 0.0;
@@ -63,7 +63,7 @@
             return arrivals;
         }
         // Thinning: candidates come at the peak rate, and are accepted with the ratio of the present rate to it.
-        let rate = scenario.load.rate * (1.0 + scenario.load.swing * load_swing(scenario, phase, now));
+        let rate = scenario.load.rate * (1.0 + scenario.load.amplitude * load_swing(scenario, phase, now));
         if rng.random::<f64>() * peak_rate > rate {
             continue;
         }
--- a/crates/fleet-model/src/world/attempt_arrival.rs
+++ b/crates/fleet-model/src/world/attempt_arrival.rs
@@ -9,7 +9,7 @@
 use super::state::{Attempt, Job, JobPhase};
 use super::{World, keys};
 use crate::random::{self, Purpose};
-use crate::scenario::Spread;
+use crate::scenario::DistributionKind;
 use crate::scoring::Rule;
 use crate::server::{JobAdmission, OverloadRule, Slowdown, WarmUpWork};
 
@@ -100,13 +100,13 @@
             self.schedule_outcome(attempt, latency, Outcome::Rejected);
             return true;
         }
-        if random::unit(self.scenario.seed, Purpose::Fate, keys::attempt_error(key)) < server.error_rate {
+        if random::unit(self.scenario.seed, Purpose::Failure, keys::attempt_error(key)) < server.error_rate {
             self.schedule_outcome(attempt, latency + FAST_ERROR_DELAY, Outcome::Error);
             return true;
         }
-        if random::unit(self.scenario.seed, Purpose::Fate, keys::attempt_reset(key)) < server.reset_rate {
+        if random::unit(self.scenario.seed, Purpose::Failure, keys::attempt_reset(key)) < server.reset_rate {
             // The server keeps working on an attempt whose connection breaks meanwhile.
-            let mut rng = random::stream(self.scenario.seed, Purpose::Fate, keys::attempt_reset_time(key));
+            let mut rng = random::stream(self.scenario.seed, Purpose::Failure, keys::attempt_reset_time(key));
             let breaks_after = (work * rng.random::<f64>()) as Micros;
             self.schedule_outcome(attempt, latency + breaks_after, Outcome::Reset);
         }
@@ -159,7 +159,7 @@
         let server = &self.servers[attempt.destination];
         let class = &self.scenario.classes[request.class];
         let mut rng = random::stream(self.scenario.seed, Purpose::Attempt, attempt.key);
-        let noise = random::factor(&mut rng, Spread::Lognormal, class.attempt_noise);
+        let noise = random::factor(&mut rng, DistributionKind::Lognormal, class.attempt_noise);
         let tier_work = self.scenario.tiers[server.tier].work;
         let mut work = self.arrivals[request.arrival].work * tier_work * noise;
         for heavy in &self.heavy_tails {
--- a/crates/fleet-model/src/world/attempts.rs
+++ b/crates/fleet-model/src/world/attempts.rs
@@ -65,7 +65,7 @@
         match self.requests[outer.request].caller {
             Caller::Client { .. } => key,
             // Without the outer key, the repeat of a call in an earlier tier would draw the same numbers again.
-            Caller::Job(_) => random::pair(key, outer.key),
+            Caller::Job(_) => random::combine(key, outer.key),
         }
     }
 
@@ -113,7 +113,7 @@
             self.attempts[attempt].connection = AttemptConnection::New;
             self.servers[destination].connections += 1;
             self.metrics.handshakes += 1;
-            delay += (connections.handshake_trips * 2.0 * latency as f64) as Micros;
+            delay += (connections.handshake_round_trips * 2.0 * latency as f64) as Micros;
         }
         self.schedule_after(delay, WorldEvent::AttemptArrived { attempt });
     }
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -8,7 +8,7 @@
 use super::state::{Caller, ClientAttempt, FrontBalancer, Request};
 use super::{World, keys};
 use crate::random::{self, Purpose};
-use crate::scenario::Effect;
+use crate::scenario::Idempotency;
 use crate::scoring::{Cause, RequestEnd, Rule};
 
 /// Shortest time limit with which a client sends an attempt.
@@ -75,7 +75,7 @@
     ///
     /// The reply to the client if no process accepts the connection.
     fn choose_front_process(&self, arrival: ArrivalIndex, key: u64) -> Result<ProcessIndex, Reply> {
-        let drawn = random::unit(self.scenario.seed, Purpose::Front, key);
+        let drawn = random::unit(self.scenario.seed, Purpose::BalancerChoice, key);
         let route = &self.front_routes[self.arrivals[arrival].zone as usize];
         let shares = &self.scenario.balancers.shares;
         let index = if shares.is_empty() {
@@ -88,7 +88,7 @@
         let alive = process.filter(|process| self.processes[*process].alive);
         let process = alive.ok_or(Reply::Unreachable)?;
         let open_requests = self.processes[process].open_requests.len();
-        if open_requests >= self.scenario.limits.max_open.max(1) as usize {
+        if open_requests >= self.scenario.limits.max_open_requests.max(1) as usize {
             return Err(Reply::Rejected { retry_after: 0 });
         }
         Ok(process)
@@ -104,7 +104,7 @@
         self.schedule_after(latency, WorldEvent::Message { process, message });
         let key = keys::client_attempt(arrival, number);
         let drawn = random::unit(self.scenario.seed, Purpose::Client, key);
-        let impatient = self.scenario.clients.impatient;
+        let impatient = self.scenario.clients.early_cancel_share;
         if drawn < impatient {
             // The client disconnects before its time limit. From then on it expects no answer.
             let disconnects_after = (limit as f64 * drawn / impatient) as Micros;
@@ -136,7 +136,7 @@
             latest_attempt: None,
         });
         self.processes[process].open_requests.insert(request);
-        let due = deadline + self.scenario.rules.answer_grace.0;
+        let due = deadline + self.scenario.rules.response_grace.0;
         self.schedule_at(due, WorldEvent::AnswerDue { request });
         request
     }
@@ -167,7 +167,7 @@
         }
         if let Reply::Served = reply {
             self.client_attempts[arrival].pending = false;
-            self.metrics.useful += useful;
+            self.metrics.useful_work += useful;
             self.arrivals[arrival].end = RequestEnd::Served(self.now);
             return;
         }
@@ -180,7 +180,7 @@
         let class = &self.scenario.classes[self.arrivals[arrival].class];
         let never_ran = matches!(reply, Reply::Rejected { .. } | Reply::Unreachable);
         // Only servers of the same cell detect duplicates by idempotency key, and the next attempt may reach any cell.
-        let repeatable = class.effect == Effect::Safe || never_ran;
+        let repeatable = class.idempotency == Idempotency::Idempotent || never_ran;
         let backoff = self.client_backoff(arrival, number, reply);
         let deadline = self.arrivals[arrival].at + class.deadline.0;
         if !repeatable || number >= self.scenario.clients.retries || self.now + backoff >= deadline {
@@ -200,7 +200,7 @@
         if let Reply::Rejected { retry_after } = reply
             && self.scenario.limits.retry_after
             && random::unit(self.scenario.seed, Purpose::Client, keys::honours_retry_after(key))
-                < clients.honour
+                < clients.retry_after_share
         {
             backoff = backoff.max(retry_after.min(self.scenario.limits.max_retry_after.0) as f64);
         }
--- a/crates/fleet-model/src/world/connections.rs
+++ b/crates/fleet-model/src/world/connections.rs
@@ -12,7 +12,7 @@
         let record = &self.servers[server];
         let epoch = record.epoch;
         let address = record.address as u32;
-        let idle_limit = self.scenario.tiers[record.tier].connections.idle_close.0;
+        let idle_limit = self.scenario.tiers[record.tier].connections.idle_timeout.0;
         let mut found = false;
         let mut expired = 0;
         if let Some(idle) = self.processes[process].idle_connections.get_mut(&address) {
@@ -35,7 +35,7 @@
     pub(super) fn pool_connection(&mut self, process: ProcessIndex, server: ServerIndex, epoch: u32) {
         let server = &self.servers[server];
         let address = server.address as u32;
-        let idle_limit = self.scenario.tiers[server.tier].connections.idle_close.0;
+        let idle_limit = self.scenario.tiers[server.tier].connections.idle_timeout.0;
         let idle = self.processes[process].idle_connections.entry(address).or_default();
         idle.connections.push_back(IdleConnection { since: self.now, epoch });
         if !idle.check_scheduled {
@@ -49,7 +49,7 @@
         let server = self.server_at_address[address as usize];
         let record = &self.servers[server];
         let epoch = record.epoch;
-        let idle_limit = self.scenario.tiers[record.tier].connections.idle_close.0;
+        let idle_limit = self.scenario.tiers[record.tier].connections.idle_timeout.0;
         let Some(idle) = self.processes[process].idle_connections.get_mut(&address) else { return };
         let mut closed = 0;
         while let Some(connection) = idle.connections.front() {
--- a/crates/fleet-model/src/world/discovery.rs
+++ b/crates/fleet-model/src/world/discovery.rs
@@ -54,12 +54,12 @@
     ) {
         let discovery = &self.scenario.discovery;
         let notice = match (state, visibility) {
-            (ListedState::Ready(_), _) => discovery.add,
-            (_, ChangeVisibility::Silent) => discovery.silent_notice,
-            (_, ChangeVisibility::Announced) => discovery.notice,
+            (ListedState::Ready(_), _) => discovery.registration_delay,
+            (_, ChangeVisibility::Silent) => discovery.silent_detection_delay,
+            (_, ChangeVisibility::Announced) => discovery.detection_delay,
         };
         // Discovery sends the changes of a period in one batch.
-        let at = (self.now + notice.0).div_ceil(discovery.period.0) * discovery.period.0;
+        let at = (self.now + notice.0).div_ceil(discovery.batch_interval.0) * discovery.batch_interval.0;
         self.schedule_at(at, WorldEvent::ChangeNoticed { server, state });
     }
 
@@ -80,7 +80,7 @@
     /// updates.
     pub(super) fn schedule_update(&mut self, process: ProcessIndex, version: u64, scope: UpdateScope) {
         let key = keys::notification_delay(process, version);
-        let spread = self.scenario.discovery.spread.0 as f64;
+        let spread = self.scenario.discovery.max_delivery_delay.0 as f64;
         let delay = spread * random::unit(self.scenario.seed, Purpose::Notification, key);
         self.schedule_after(delay as Micros, WorldEvent::DiscoveryUpdate { process, scope });
     }
@@ -124,7 +124,9 @@
             return;
         }
         let key = keys::watch_failure(process, position);
-        if random::unit(self.scenario.seed, Purpose::Notification, key) < self.scenario.discovery.failing {
+        if random::unit(self.scenario.seed, Purpose::Notification, key)
+            < self.scenario.discovery.failure_share
+        {
             return self.break_watch(process);
         }
         let changes = self.discovery_log[tier][received..position].to_vec();
@@ -148,8 +150,8 @@
     /// Executes a call to discovery for the complete list and, if `watch`, for all later changes.
     pub(super) fn call_discovery(&mut self, process: ProcessIndex, watch: bool) {
         let key = keys::call_failure(process, self.now);
-        let fails =
-            random::unit(self.scenario.seed, Purpose::Notification, key) < self.scenario.discovery.failing;
+        let fails = random::unit(self.scenario.seed, Purpose::Notification, key)
+            < self.scenario.discovery.failure_share;
         self.discovery_count().calls += 1;
         let record = &mut self.processes[process];
         if self.discovery_down || fails || self.partitioned_zones[record.zone as usize] {
@@ -202,7 +204,7 @@
             ListedState::Draining => (ServerState::Draining, server.started),
             ListedState::Removed => (ServerState::Removed, server.started),
         };
-        let ring_key = random::pair(server.address as u64 + 1, RING_SALT);
+        let ring_key = random::combine(server.address as u64 + 1, RING_SALT);
         ServerEntry {
             zone: server.zone,
             cell: server.cell,
--- a/crates/fleet-model/src/world/faults/balancers.rs
+++ b/crates/fleet-model/src/world/faults/balancers.rs
@@ -18,7 +18,7 @@
             TargetStep::Drain if replaced => {}
             TargetStep::Drain => {
                 let notice = match fault.kind {
-                    FaultKind::BalancerKilled => self.scenario.balancers.notice.0,
+                    FaultKind::BalancerKilled => self.scenario.balancers.detection_delay.0,
                     _ => FRONT_NOTICE,
                 };
                 let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open: false };
@@ -35,7 +35,8 @@
                 }
             }
             TargetStep::Start => {
-                let learned = if fault.learned { self.learned_state_of(balancer) } else { None };
+                let learned =
+                    if fault.restores_learned_state { self.learned_state_of(balancer) } else { None };
                 self.start_front_balancer(balancer, learned);
                 if !replaced {
                     let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open: true };
--- a/crates/fleet-model/src/world/faults/mod.rs
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -34,18 +34,18 @@
     /// Returns the addresses of servers, or the numbers of balancers, that a fault affects.
     fn fault_targets(&self, fault: &Fault) -> Vec<usize> {
         if fault.kind.affects_balancers() {
-            return if fault.which.is_empty() {
+            return if fault.targets.is_empty() {
                 (0..self.front_balancers.len()).collect()
             } else {
-                fault.which.clone()
+                fault.targets.clone()
             };
         }
         let first = self.first_address_of_tier[fault.tier];
         let count: u32 = self.scenario.tiers[fault.tier].servers.iter().sum();
-        if fault.which.is_empty() {
+        if fault.targets.is_empty() {
             (first..first + count as usize).collect()
         } else {
-            fault.which.iter().map(|number| first + number).collect()
+            fault.targets.iter().map(|number| first + number).collect()
         }
     }
 
@@ -80,7 +80,7 @@
         match fault.kind {
             FaultKind::HeavyTail => self.set_heavy_tail(number, fault, status),
             FaultKind::ZoneLost => self.lose_zone(fault, status),
-            FaultKind::ZoneCut => self.partition_zone(fault, status),
+            FaultKind::ZonePartition => self.partition_zone(fault, status),
             FaultKind::Vanished => {
                 for &address in targets {
                     self.vanish(self.server_at_address[address], status);
--- a/crates/fleet-model/src/world/faults/schedule.rs
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -53,7 +53,7 @@
         let rounds = targets.div_ceil(batch).max(1);
         for target in 0..targets {
             let at = fault.at.0 + fault.length.0 * u64::from(target / batch) / u64::from(rounds);
-            let stop = at + fault.drain.0;
+            let stop = at + fault.drain_time.0;
             self.schedule_target(number, at, target, TargetStep::Drain);
             self.schedule_target(number, stop, target, TargetStep::Stop);
             self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
@@ -96,7 +96,7 @@
     /// Schedules the restart of servers that operators have excluded. They warm up when they are allowed again.
     fn schedule_restarts(&mut self, number: u32, fault: &Fault, targets: u32) {
         let latest = fault.length.0.saturating_sub(RESTART_DELAY);
-        let stop = fault.at.0 + fault.drain.0.min(latest);
+        let stop = fault.at.0 + fault.drain_time.0.min(latest);
         for target in 0..targets {
             self.schedule_target(number, stop, target, TargetStep::Stop);
             self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
--- a/crates/fleet-model/src/world/faults/zones.rs
+++ b/crates/fleet-model/src/world/faults/zones.rs
@@ -31,7 +31,7 @@
                 if let Some(process) = self.front_balancers[balancer].process {
                     self.end_process(process, ProcessEnd::Silent);
                 }
-                let notice = self.scenario.balancers.notice.0;
+                let notice = self.scenario.balancers.detection_delay.0;
                 self.schedule_after(notice, WorldEvent::FrontUpdate { balancer: number, open: false });
             }
             FaultStatus::Over => {
--- a/crates/fleet-model/src/world/keys.rs
+++ b/crates/fleet-model/src/world/keys.rs
@@ -20,18 +20,18 @@
 
 /// Returns the key of a client's attempt.
 pub(super) fn client_attempt(arrival: ArrivalIndex, number: u32) -> u64 {
-    random::pair(u64::from(arrival), u64::from(number))
+    random::combine(u64::from(arrival), u64::from(number))
 }
 
 /// Returns the key of the backoff after a client's attempt.
 pub(super) fn client_backoff(arrival: ArrivalIndex, number: u32) -> u64 {
-    random::pair(u64::from(arrival), BACKOFF_OFFSET + u64::from(number))
+    random::combine(u64::from(arrival), BACKOFF_OFFSET + u64::from(number))
 }
 
 /// Returns the key of an attempt of a balancer in `tier`. `caller` is the number of the client's attempt, or the key
 /// of the calling job.
 pub(super) fn attempt(arrival: ArrivalIndex, tier: usize, number: u32, caller: u64) -> u64 {
-    random::pair(u64::from(arrival) << 8 | tier as u64, u64::from(number) << 24 | caller)
+    random::combine(u64::from(arrival) << 8 | tier as u64, u64::from(number) << 24 | caller)
 }
 
 /// Returns the key of a job's call of the next tier. `attempt_number` is the number of the attempt that the job
@@ -67,22 +67,22 @@
 
 /// Returns the key that decides whether a fault makes a request heavy.
 pub(super) fn heavy_tail(arrival: ArrivalIndex, fault: u32) -> u64 {
-    random::pair(u64::from(arrival), HEAVY_TAIL_OFFSET + u64::from(fault))
+    random::combine(u64::from(arrival), HEAVY_TAIL_OFFSET + u64::from(fault))
 }
 
 /// Returns the key of the number of calls of the next tier that a request makes in `tier`.
 pub(super) fn call_count(arrival: ArrivalIndex, tier: usize) -> u64 {
-    random::pair(u64::from(arrival), CALL_COUNT_OFFSET + tier as u64)
+    random::combine(u64::from(arrival), CALL_COUNT_OFFSET + tier as u64)
 }
 
 /// Returns the key of the interval before a pause of a server's process.
 pub(super) fn pause(server: ServerIndex, epoch: u32, number: u32) -> u64 {
-    random::pair(u64::from(server), u64::from(epoch) << 32 | u64::from(number))
+    random::combine(u64::from(server), u64::from(epoch) << 32 | u64::from(number))
 }
 
 /// Returns the key of a health check that is sent at `now`.
 pub(super) fn health_check(process: ProcessIndex, server: ServerIndex, now: Micros) -> u64 {
-    random::pair(u64::from(process) << 32 | u64::from(server), now)
+    random::combine(u64::from(process) << 32 | u64::from(server), now)
 }
 
 /// Returns the key of the clock of a balancer.
@@ -92,15 +92,15 @@
 
 /// Returns the key of the delay of a notification. `version` is the length of discovery's log or an instant.
 pub(super) fn notification_delay(process: ProcessIndex, version: u64) -> u64 {
-    random::pair(u64::from(process), version)
+    random::combine(u64::from(process), version)
 }
 
 /// Returns the key that decides whether a watch breaks at a position of discovery's log.
 pub(super) fn watch_failure(process: ProcessIndex, position: usize) -> u64 {
-    random::pair(u64::from(process) << 1 | 1, position as u64)
+    random::combine(u64::from(process) << 1 | 1, position as u64)
 }
 
 /// Returns the key that decides whether a call to discovery at `now` fails.
 pub(super) fn call_failure(process: ProcessIndex, now: Micros) -> u64 {
-    random::pair(u64::from(process) << 1, now)
+    random::combine(u64::from(process) << 1, now)
 }
--- a/crates/fleet-model/src/world/sampling.rs
+++ b/crates/fleet-model/src/world/sampling.rs
@@ -53,7 +53,7 @@
         server: Option<ServerIndex>,
         what: String,
     ) {
-        self.metrics.broken += 1;
+        self.metrics.breach_count += 1;
         if self.metrics.breaches.len() >= MAX_REPORTED_BREACHES {
             return;
         }
@@ -64,8 +64,8 @@
             at: self.now,
             balancer: (process.tier, process.balancer),
             server,
-            what,
-            before: process.recent_events.iter().map(describe).collect(),
+            description: what,
+            preceding_events: process.recent_events.iter().map(describe).collect(),
         });
     }
 
@@ -92,9 +92,9 @@
                 in_flight: server.job_count() as u32,
                 up: server.is_up() && !server.vanished && !server.silent,
                 choked: server.is_choked(),
-                share: server.warm_share(self.now),
-                open: 0,
-                window: 0.0,
+                capacity_share: server.warm_share(self.now),
+                open_breakers: 0,
+                concurrency_limit: 0.0,
                 latency: server.answered.mean_latency(),
             })
             .collect()
@@ -111,14 +111,14 @@
             let Some(learned) = process.policy.learned_state(local_now) else { continue };
             for server in &learned.servers {
                 let open = server.breakers.first().is_some_and(|breaker| breaker.open_until.is_some());
-                samples[server.server as usize].open += u32::from(open);
+                samples[server.server as usize].open_breakers += u32::from(open);
             }
             for zone in &learned.zones {
                 let servers_up = up_in_zone.get(&(process.tier, zone.zone)).copied().unwrap_or(1.0).max(1.0);
                 let per_server = zone.concurrency_limit / servers_up;
                 for (sample, server) in samples.iter_mut().zip(self.servers.iter()) {
                     if (server.tier, server.zone) == (process.tier, zone.zone) {
-                        sample.window += per_server;
+                        sample.concurrency_limit += per_server;
                     }
                 }
             }
--- a/crates/fleet-model/src/world/servers.rs
+++ b/crates/fleet-model/src/world/servers.rs
@@ -49,16 +49,16 @@
     pub(super) fn schedule_pause(&mut self, server: ServerIndex, epoch: u32, number: u32) {
         let record = &self.servers[server];
         let tier = &self.scenario.tiers[record.tier];
-        if tier.pause_every.0 == 0 || tier.pause.0 == 0 {
+        if tier.pause_interval.0 == 0 || tier.pause.0 == 0 {
             return;
         }
         let delay = if number % 2 == 1 {
-            let jobs_per_core = tier.pause_grow * record.job_count() as f64 / f64::from(tier.cores);
+            let jobs_per_core = tier.pause_growth * record.job_count() as f64 / f64::from(tier.cores);
             (tier.pause.0 as f64 * (1.0 + jobs_per_core)) as Micros
         } else {
             let key = keys::pause(server, epoch, number);
             let drawn = random::unit(self.scenario.seed, Purpose::Pause, key);
-            (tier.pause_every.0 as f64 * (0.5 + drawn)) as Micros
+            (tier.pause_interval.0 as f64 * (0.5 + drawn)) as Micros
         };
         self.schedule_after(delay, WorldEvent::ServerPause { server, epoch, number });
     }
--- a/crates/fleet-model/tests/scale.rs
+++ b/crates/fleet-model/tests/scale.rs
@@ -59,7 +59,7 @@
 #[test]
 fn eight_healthy_tiers_multiply_a_call_by_less_than_a_tenth_each() {
     let run = run_scenario(&short(8, DepthCondition::Healthy), Kind::Module, false).unwrap();
-    assert_eq!(run.result.broken, 0, "{:?}", run.result.breaches);
+    assert_eq!(run.result.breach_count, 0, "{:?}", run.result.breaches);
     let by_tier = attempts(&run);
     assert_eq!(by_tier.len(), 8);
     for (tier, attempts) in by_tier.iter().enumerate() {
@@ -128,7 +128,7 @@
         });
     fault.kind = FaultKind::RollingDeploy;
     fault.tier = 0;
-    fault.which = vec![3];
+    fault.targets = vec![3];
     fault.at = Span::ms(200.0);
     fault.length = Span::ms(100.0);
     fault.share = 1.0;
--- a/crates/fleet-model/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -2,7 +2,7 @@
 
 use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::policy::{Kind, Policy};
-use zincstand_fleet_model::scenario::{Choke, Effect, Fault, FaultKind, Scenario};
+use zincstand_fleet_model::scenario::{Choke, Fault, FaultKind, Idempotency, Scenario};
 use zincstand_fleet_model::scoring::{Cause, Rule};
 use zincstand_fleet_model::{ScenarioRun, Span, Truth, run_scenario, run_scenario_with};
 use zincstand_policy::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
@@ -14,10 +14,10 @@
     scenario.balancers.zones = vec!["a".to_owned()];
     scenario.load.zone_shares = vec![1.0];
     scenario.load.rate = rate;
-    scenario.load.swing = 0.0;
+    scenario.load.amplitude = 0.0;
     scenario.length = Span::s(10.0);
     scenario.network.jitter = 0.0;
-    scenario.clients.impatient = 0.0;
+    scenario.clients.early_cancel_share = 0.0;
     scenario.clients.retries = 0;
     scenario.tiers.truncate(1);
     let tier = &mut scenario.tiers[0];
@@ -30,10 +30,10 @@
     tier.error_rate = 0.0;
     tier.choke = None;
     tier.connections.handshake_work = Span(0);
-    tier.connections.full_tax = 0.0;
+    tier.connections.full_table_overhead = 0.0;
     scenario.classes.truncate(1);
     let class = &mut scenario.classes[0];
-    class.cv = 0.0;
+    class.work_cv = 0.0;
     class.attempt_noise = 0.0;
     class.work = Span::ms(20.0);
     scenario.tenants.clear();
@@ -136,15 +136,15 @@
 fn a_policy_that_answers_nothing_loses_requests() {
     let run = scripted(&plain(2, 20.0), |_, _, _, _| {});
     assert_eq!(rules(&run), [Rule::Lost]);
-    assert_eq!(run.result.broken, run.result.requests);
+    assert_eq!(run.result.breach_count, run.result.requests);
     let breach = &run.result.breaches[0];
-    assert!(breach.before.iter().any(|event| event.contains("came")), "{breach:?}");
+    assert!(breach.preceding_events.iter().any(|event| event.contains("came")), "{breach:?}");
 }
 
 #[test]
 fn a_keyed_request_sent_again_elsewhere_is_a_duplicate() {
     let mut scenario = plain(12, 20.0);
-    scenario.classes[0].effect = Effect::Keyed;
+    scenario.classes[0].idempotency = Idempotency::WithKey;
     scenario.classes[0].dedup_window = Span::s(10.0);
     scenario.tiers[0].cell_size = 1;
     scenario.faults.push(fault(FaultKind::FastErrors, 0.0, 10.0));
@@ -163,11 +163,11 @@
 fn sends_to_a_draining_server_break_the_rule_after_its_grace() {
     let mut scenario = plain(2, 40.0);
     let mut drains = fault(FaultKind::RollingDeploy, 1.0, 8.0);
-    drains.which = vec![0];
-    drains.drain = Span::s(8.0);
+    drains.targets = vec![0];
+    drains.drain_time = Span::s(8.0);
     scenario.faults.push(drains);
-    scenario.discovery.notice = Span::s(1.0);
-    scenario.discovery.period = Span::s(0.1);
+    scenario.discovery.detection_delay = Span::s(1.0);
+    scenario.discovery.batch_interval = Span::s(0.1);
     let stubborn: Decide = |policy, _, event, actions| match event {
         Event::Request { id, .. } => {
             let first = policy.servers.iter().map(|server| server.id).min().unwrap();
@@ -183,15 +183,15 @@
     let first = run.result.breaches[0].at as f64 / 1e6;
     assert!((4.5..5.2).contains(&first), "first breach at {first} s");
     scenario.rules.drain_grace = Span::s(20.0);
-    assert_eq!(scripted(&scenario, stubborn).result.broken, 0);
+    assert_eq!(scripted(&scenario, stubborn).result.breach_count, 0);
 }
 
 #[test]
 fn a_warming_server_that_gets_all_calls_collapses_and_the_rule_is_broken() {
     let mut scenario = plain(12, 700.0);
     let mut restarts = fault(FaultKind::RollingDeploy, 1.0, 1.0);
-    restarts.which = vec![3];
-    restarts.drain = Span::s(0.1);
+    restarts.targets = vec![3];
+    restarts.drain_time = Span::s(0.1);
     scenario.faults.push(restarts);
     scenario.tiers[0].warm_up_time = Span::s(8.0);
     let run = scripted(&scenario, |policy, _, event, actions| match event {
@@ -207,7 +207,7 @@
         Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
     });
-    assert_eq!((run.result.collapsed, run.result.broken), (1, 1), "{:?}", run.result.breaches);
+    assert_eq!((run.result.collapsed, run.result.breach_count), (1, 1), "{:?}", run.result.breaches);
     assert_eq!(rules(&run), [Rule::WarmUpOverload]);
     assert_eq!(run_scenario(&scenario, Kind::Module, false).unwrap().result.collapsed, 0);
 }
@@ -246,7 +246,7 @@
 fn losses_are_reported_with_their_cause_and_server() {
     let mut scenario = plain(3, 60.0);
     let mut silent = fault(FaultKind::Silent, 2.0, 7.0);
-    silent.which = vec![1];
+    silent.targets = vec![1];
     scenario.faults.push(silent);
     let run = run_scenario(&scenario, Kind::RoundRobin, false).unwrap();
     let worst = &run.detail.losses[0];
@@ -266,12 +266,12 @@
     for (at, expected) in [(5.0, true), (1e6, false)] {
         for tier in &mut scenario.tiers {
             tier.choke = Some(Choke {
-                at,
-                over: Span::s(2.0),
-                slower: 2.5,
-                below: 0.3,
-                rest: Span::s(4.0),
-                most: Span::s(20.0),
+                queue_threshold: at,
+                time_to_choke: Span::s(2.0),
+                slowdown: 2.5,
+                recovery_utilization: 0.3,
+                recovery_window: Span::s(4.0),
+                max_duration: Span::s(20.0),
             });
         }
         assert_eq!(choked(&scenario) > 0, expected, "with {at} waiting per core");
@@ -286,6 +286,6 @@
         let ends = result.ends;
         let ended = u64::from(ends.served + ends.late + ends.rejected + ends.failed);
         assert_eq!(ended, result.requests, "{part}: every first attempt has one outcome");
-        assert_eq!(result.broken, 0, "{part}: {:#?}", result.breaches.first());
+        assert_eq!(result.breach_count, 0, "{part}: {:#?}", result.breaches.first());
     }
 }
