--- a/crates/fleet-model/src/catalog/base/classes.rs
+++ b/crates/fleet-model/src/catalog/base/classes.rs
@@ -8,7 +8,7 @@
 use crate::span::Span;
 
 /// Number of requests that are drawn to estimate the mean work of a class.
-const SAMPLES: u32 = 5_000;
+const MEAN_WORK_SAMPLES: u32 = 5_000;
 /// Largest work of a request, as a share of the latency objective of its class. A request that no fleet can serve in
 /// time would not distinguish policies.
 const MAX_WORK_SHARE: f64 = 0.75;
@@ -22,7 +22,7 @@
     /// Mean work in milliseconds.
     work_ms: (f64, f64),
     /// Coefficient of variation of the work.
-    variation: (f64, f64),
+    work_cv: (f64, f64),
     attempt_noise: (f64, f64),
 }
 
@@ -61,7 +61,7 @@
                 name: "view-ad",
                 share: (0.46, 0.68),
                 work_ms: (83.0, 150.0),
-                variation: (1.7, 2.6),
+                work_cv: (1.7, 2.6),
                 attempt_noise: (0.062, 0.54),
             },
         ),
@@ -71,7 +71,7 @@
                 name: "search",
                 share: (0.26, 0.38),
                 work_ms: (170.0, 300.0),
-                variation: (1.7, 2.5),
+                work_cv: (1.7, 2.5),
                 attempt_noise: (0.29, 0.59),
             },
         ),
@@ -81,7 +81,7 @@
                 name: "post-ad",
                 share: (0.088, 0.13),
                 work_ms: (350.0, 590.0),
-                variation: (1.5, 2.7),
+                work_cv: (1.5, 2.7),
                 attempt_noise: (0.17, 0.45),
             },
         ),
@@ -101,7 +101,7 @@
         share: uniform(rng, ranges.share),
         work: Span::ms(uniform(rng, ranges.work_ms)),
         distribution,
-        work_cv: uniform(rng, ranges.variation),
+        work_cv: uniform(rng, ranges.work_cv),
         max_work: Span::s(objectives.latency_objective * MAX_WORK_SHARE),
         attempt_noise: uniform(rng, ranges.attempt_noise),
         latency_objective: Span::s(objectives.latency_objective),
@@ -113,10 +113,12 @@
     }
 }
 
-/// Estimates the mean work of a class in seconds, after the cut at `max_work`.
+/// Estimates the mean work of a class in seconds, with the work of each request limited to `max_work`.
 pub(crate) fn mean_work(class: &Class, seed: u64) -> f64 {
     let mut rng = random::stream(seed, Purpose::Arrivals, MEAN_WORK_STREAM);
-    (0..SAMPLES).map(|_| random::request_work(class, &mut rng)).sum::<f64>() / 1e6 / f64::from(SAMPLES)
+    (0..MEAN_WORK_SAMPLES).map(|_| random::request_work(class, &mut rng)).sum::<f64>()
+        / 1e6
+        / f64::from(MEAN_WORK_SAMPLES)
 }
 
 /// Estimates the mean work of a request of any class, in seconds.
--- a/crates/fleet-model/src/catalog/base/mod.rs
+++ b/crates/fleet-model/src/catalog/base/mod.rs
@@ -16,24 +16,24 @@
 pub(crate) use self::classes::mean_work;
 pub(crate) use self::tiers::split_between_zones;
 
-/// Number of the random stream from which the base of a scenario is drawn.
+/// Number of the random stream from which the scenario without faults is drawn.
 const BASE_STREAM: u64 = 999;
 /// Zones of every drawn scenario.
 const ZONES: [&str; 2] = ["dakar", "thies"];
 
 /// Numbers of servers and balancers of the first tier.
 struct FleetSize {
-    front_servers: u32,
+    first_tier_servers: u32,
     balancers: u32,
 }
 
 impl FleetSize {
     fn draw(rng: &mut ChaCha8Rng, size: Size) -> FleetSize {
         match size {
-            Size::Small => FleetSize { front_servers: 4, balancers: 2 },
-            Size::Site => FleetSize { front_servers: integer(rng, 6, 8), balancers: integer(rng, 2, 3) },
-            Size::Vast => FleetSize { front_servers: 27, balancers: 73 },
-            Size::Huge => FleetSize { front_servers: 270, balancers: 730 },
+            Size::Small => FleetSize { first_tier_servers: 4, balancers: 2 },
+            Size::Site => FleetSize { first_tier_servers: integer(rng, 6, 8), balancers: integer(rng, 2, 3) },
+            Size::Vast => FleetSize { first_tier_servers: 27, balancers: 73 },
+            Size::Huge => FleetSize { first_tier_servers: 270, balancers: 730 },
         }
     }
 }
@@ -43,13 +43,13 @@
     rng.random_range(from..=to)
 }
 
-/// Draws the base of a kind with these parts. Its name is empty.
+/// Draws the scenario without faults of a kind with these parts. Its name is empty.
 pub(in crate::catalog) fn draw(seed: u64, size: Size, parts: &[&str]) -> Scenario {
     let rng = &mut random::stream(seed, Purpose::Failure, BASE_STREAM);
     let fleet = FleetSize::draw(rng, size);
-    let back_servers = (f64::from(fleet.front_servers) * uniform(rng, (1.1, 1.3))).round() as u32;
+    let second_tier_servers = (f64::from(fleet.first_tier_servers) * uniform(rng, (1.1, 1.3))).round() as u32;
     let first_zone_share = uniform(rng, (0.37, 0.79));
-    let mut tiers = tiers::draw(rng, fleet.front_servers, back_servers);
+    let mut tiers = tiers::draw(rng, fleet.first_tier_servers, second_tier_servers);
     if matches!(size, Size::Vast | Size::Huge) {
         tiers::limit_connections(&mut tiers, fleet.balancers);
     }
@@ -57,7 +57,7 @@
     let capacity = capacity(&tiers, classes::mean_work_of_all(&classes, seed));
     let rate = capacity * relative_load(rng, parts);
     let tenants = traffic::tenants(rng, capacity);
-    // The fields are drawn in the order in which they are written.
+    // The fields are drawn in the order in which they stand here.
     Scenario {
         name: String::new(),
         seed,
@@ -80,7 +80,8 @@
     }
 }
 
-/// Returns the requests per second that the scarcest tier can serve, for a mean work in seconds.
+/// Returns the requests per second that the tier with the least capacity can serve. `work` is the mean work of a
+/// request in seconds.
 fn capacity(tiers: &[Tier], work: f64) -> f64 {
     let mut calls = 1.0;
     tiers
--- a/crates/fleet-model/src/catalog/base/tiers.rs
+++ b/crates/fleet-model/src/catalog/base/tiers.rs
@@ -9,7 +9,7 @@
 use crate::span::Span;
 
 /// Share of the scenarios in which servers choke when they are crowded.
-const CHOKING_SCENARIOS: f64 = 0.6;
+const CHOKING_SHARE: f64 = 0.6;
 
 /// Divides servers or balancers between two zones. Each zone gets at least one if there are two.
 pub(crate) fn split_between_zones(count: u32, first_share: f64) -> Vec<u32> {
@@ -19,17 +19,27 @@
 }
 
 /// Draws the tiers.
-pub(super) fn draw(rng: &mut ChaCha8Rng, front_servers: u32, back_servers: u32) -> Vec<Tier> {
+pub(super) fn draw(rng: &mut ChaCha8Rng, first_tier_servers: u32, second_tier_servers: u32) -> Vec<Tier> {
     let first_zone_share = uniform(rng, (0.4, 0.6));
-    let mut front =
-        tier(rng, "front", split_between_zones(front_servers, first_zone_share), (7.0, 16.0), (21.0, 44.0));
-    let mut back =
-        tier(rng, "annonces", split_between_zones(back_servers, first_zone_share), (2.0, 6.0), (6.5, 14.0));
-    front.work = 0.58;
-    front.calls = uniform(rng, (1.0, 2.0));
-    back.work = 0.42;
-    let chokes = rng.random::<f64>() < CHOKING_SCENARIOS;
-    let mut tiers = vec![front, back];
+    let mut first = tier(
+        rng,
+        "front",
+        split_between_zones(first_tier_servers, first_zone_share),
+        (7.0, 16.0),
+        (21.0, 44.0),
+    );
+    let mut second = tier(
+        rng,
+        "annonces",
+        split_between_zones(second_tier_servers, first_zone_share),
+        (2.0, 6.0),
+        (6.5, 14.0),
+    );
+    first.work = 0.58;
+    first.calls = uniform(rng, (1.0, 2.0));
+    second.work = 0.42;
+    let chokes = rng.random::<f64>() < CHOKING_SHARE;
+    let mut tiers = vec![first, second];
     for tier in &mut tiers {
         // Drawn in every scenario, so that the draws after it do not depend on `chokes`.
         let drawn = choke(rng);
--- a/crates/fleet-model/src/catalog/mod.rs
+++ b/crates/fleet-model/src/catalog/mod.rs
@@ -14,14 +14,14 @@
 use crate::scenario::{Scenario, ScenarioError};
 
 /// Number of the random stream for the fault of the first part. Later parts use the following numbers.
-const FAULT_STREAMS: u64 = 1_000;
+const FIRST_FAULT_STREAM: u64 = 1_000;
 
 /// Size of the fleet of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Size {
     /// 4 + 5 servers and 2 balancers, as in tests on real sockets.
     Small,
-    /// 6 to 8 servers of the first tier and 2 or 3 balancers, as in service.
+    /// 6 to 8 servers of the first tier and 2 or 3 balancers, as in production.
     Site,
     /// About 100 balancers and 60 servers.
     Vast,
@@ -44,9 +44,9 @@
     }
 }
 
-/// Error of a name that no size has.
+/// No size has the given name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no size is called {name:?}; there are {known}")]
+#[error("unknown size {name:?}; choose one of: {known}")]
 pub struct UnknownSize {
     /// The unknown name.
     name: String,
@@ -122,7 +122,7 @@
     let mut scenario = base::draw(seed, size, &parts);
     scenario.name = format!("{kind} {seed} {}", size.name());
     for (index, part) in parts.iter().enumerate() {
-        let mut rng = random::stream(seed, Purpose::Failure, FAULT_STREAMS + index as u64);
+        let mut rng = random::stream(seed, Purpose::Failure, FIRST_FAULT_STREAM + index as u64);
         faults::add(&mut scenario, part, &mut rng);
     }
     scenario.faults.sort_by_key(|fault| fault.at);
--- a/crates/fleet-model/src/catalog/plain.rs
+++ b/crates/fleet-model/src/catalog/plain.rs
@@ -11,7 +11,7 @@
 
 /// Returns a scenario of one tier and one class without faults. Each zone has `servers` servers and as many
 /// balancers, and clients do not retry. `rate` is in requests per second. Only cores are scarce, so that copies of
-/// the tier are alike.
+/// the tier behave alike.
 pub(crate) fn plain(seed: u64, seconds: f64, zones: Vec<String>, servers: u32, rate: f64) -> Scenario {
     Scenario {
         name: String::new(),
--- a/crates/fleet-model/src/random.rs
+++ b/crates/fleet-model/src/random.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy)]
 #[repr(u64)]
 pub(crate) enum Purpose {
-    /// Times of first attempts, and the shape of the load.
+    /// Times of first attempts, and the course of the load over time.
     Arrivals = 1,
     /// Properties of a request of a client.
     Request,
@@ -34,7 +34,7 @@
     Pause,
 }
 
-/// Returns the seed for a purpose and a number. Two mixing rounds make the seeds of neighbouring numbers independent.
+/// Returns the seed for a purpose and a number. The two rounds of mixing make the seeds of neighbouring numbers independent.
 fn derive_seed(seed: u64, purpose: Purpose, number: u64) -> u64 {
     let first = splitmix(seed.wrapping_add((purpose as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     splitmix(first ^ number.wrapping_mul(0xd1b5_4a32_d192_ed03))
@@ -52,30 +52,29 @@
     ChaCha8Rng::seed_from_u64(derive_seed(seed, purpose, number))
 }
 
-/// Returns a single number from 0 to 1. This is cheaper than a generator.
+/// Returns one number that is uniformly distributed from 0 up to 1. This is cheaper than creating a generator.
 pub(crate) fn unit(seed: u64, purpose: Purpose, number: u64) -> f64 {
     (derive_seed(seed, purpose, number) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Combines two numbers into one key.
+/// Combines two numbers into the key of a draw.
 pub(crate) fn combine(a: u64, b: u64) -> u64 {
     a.wrapping_mul(0x1_0000_01b3) ^ b.rotate_left(17)
 }
 
 /// Draws a factor with mean 1 and the coefficient of variation `cv`.
-pub(crate) fn factor(rng: &mut impl Rng, spread: DistributionKind, cv: f64) -> f64 {
+pub(crate) fn factor(rng: &mut impl Rng, distribution: DistributionKind, cv: f64) -> f64 {
     if cv <= 0.0 {
         return 1.0;
     }
-    let drawn = match spread {
+    let drawn = match distribution {
         DistributionKind::Lognormal => {
             let variance = (1.0 + cv * cv).ln();
-            LogNormal::new(-variance / 2.0, variance.sqrt()).map(|distribution| distribution.sample(rng))
+            LogNormal::new(-variance / 2.0, variance.sqrt()).map(|sampler| sampler.sample(rng))
         }
         DistributionKind::Pareto => {
             let shape = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
-            return Pareto::new((shape - 1.0) / shape, shape)
-                .map_or(1.0, |distribution| distribution.sample(rng));
+            return Pareto::new((shape - 1.0) / shape, shape).map_or(1.0, |sampler| sampler.sample(rng));
         }
     };
     drawn.unwrap_or(1.0)
--- a/crates/fleet-model/src/scenario/environment.rs
+++ b/crates/fleet-model/src/scenario/environment.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryMode {
-    /// Discovery pushes them.
+    /// Discovery pushes the lists.
     Push,
-    /// Balancers poll for them.
+    /// Balancers poll for the lists.
     #[serde(rename = "ask")]
     Poll,
 }
@@ -36,16 +36,16 @@
 pub struct Discovery {
     /// Whether lists are pushed or polled.
     pub mode: DiscoveryMode,
-    /// Time from a change of a server that deregisters until discovery has detected it.
+    /// Time until discovery detects a change that the server announces, such as deregistration.
     #[serde(rename = "notice")]
     pub detection_delay: Span,
-    /// Time until discovery has detected that a server vanished without deregistering.
+    /// Time until discovery detects that a server vanished without deregistering.
     #[serde(rename = "silent_notice")]
     pub silent_detection_delay: Span,
     /// Time from a server's start until discovery lists it.
     #[serde(rename = "add")]
     pub registration_delay: Span,
-    /// Interval at which discovery sends the changes of that time in one batch.
+    /// Interval at which discovery sends the changes since the previous batch as one batch.
     #[serde(rename = "period")]
     pub batch_interval: Span,
     /// Largest random delay between a batch and its arrival at a balancer.
@@ -69,10 +69,10 @@
     pub cores: f64,
     /// Processor time of a balancer for one event.
     pub event_cost: Span,
-    /// Largest difference between two of their clocks.
+    /// Largest difference between the clocks of two balancers.
     #[serde(default)]
     pub clock_spread: Span,
-    /// Time after which clients open no connections to a balancer that has died.
+    /// Time until clients detect that a balancer has died and stop connecting to it.
     #[serde(rename = "notice")]
     pub detection_delay: Span,
 }
--- a/crates/fleet-model/src/scenario/error.rs
+++ b/crates/fleet-model/src/scenario/error.rs
@@ -15,18 +15,18 @@
         /// The parser's message: the text that it found and the text that it expected.
         message: String,
     },
-    /// A value is out of its range or contradicts another one.
+    /// A value is out of range or contradicts another one.
     #[error("{location}`{key}`: {problem}")]
-    Contradiction {
+    InvalidValue {
         /// Line of the value, if the scenario was read from a file.
         location: Location,
-        /// The path of the key, such as `load.rate` or `tier.number 1.cores`.
+        /// The path of the key, such as `load.rate` or `tier[0].cores`.
         key: String,
-        /// The problem of the value, or the values that are valid.
+        /// What is wrong with the value, or which values are valid.
         problem: &'static str,
     },
-    /// A kind names a part that the catalog does not have.
-    #[error("no kind of scenario has a part {part:?}; join some of: {known}")]
+    /// A kind contains a part that is not in the catalog.
+    #[error("unknown part {part:?} in a kind of scenario; join some of these parts with `+`: {known}")]
     UnknownPart {
         /// The unknown part, as the caller wrote it.
         part: String,
@@ -36,7 +36,7 @@
     /// The scenario cannot be written as TOML.
     #[error(transparent)]
     Unwritable(#[from] toml::ser::Error),
-    /// The policy does not start with the settings that follow from the scenario.
+    /// The policy rejects the settings that are derived from the scenario.
     #[error(transparent)]
     RejectedByPolicy(#[from] SettingsError),
 }
--- a/crates/fleet-model/src/scenario/fault.rs
+++ b/crates/fleet-model/src/scenario/fault.rs
@@ -12,7 +12,7 @@
     pub kind: FaultKind,
     /// Time at which the fault begins, since the start of the scenario.
     pub at: Span,
-    /// Duration of the fault, or of the steps that its targets take one after the other.
+    /// Duration of the fault, or of the time in which its targets are affected one after the other.
     #[serde(default)]
     pub length: Span,
     /// Index of the affected tier.
@@ -37,7 +37,7 @@
     /// Whether the new process of a balancer restores the learned state of the old one.
     #[serde(rename = "learned", default)]
     pub restores_learned_state: bool,
-    /// Whether excluded servers restart during the fault. They warm up when they are allowed again.
+    /// Whether excluded servers restart during the fault. They warm up when they are included again.
     #[serde(default)]
     pub restarts: bool,
     /// Time for which servers drain before they restart.
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Servers fail a share of their requests immediately.
+    /// Servers immediately fail a share of their requests.
     FastErrors,
     /// A share of the requests of a class needs `factor` times the work.
     HeavyTail,
@@ -68,10 +68,11 @@
     Resets,
     /// A zone's servers vanish without deregistering, return and warm up.
     ZoneLost,
-    /// Single servers, such as those of a rack, vanish without deregistering. The balancers of the first tier
-    /// beside them keep running.
+    /// Some servers, such as those of a rack, vanish without deregistering. The balancers of the first tier keep
+    /// running.
     Vanished,
-    /// A network partition separates zones from the others. Zones that are cut off at the same time reach each other.
+    /// A network partition separates zones from the others. Zones that are cut off at the same time can reach each
+    /// other.
     #[serde(rename = "zone_cut")]
     ZonePartition,
     /// Servers stop, and servers with new ids start at the same addresses and warm up.
@@ -82,7 +83,7 @@
     BalancerRestart,
     /// Hot restart: each balancer's process is replaced by a new one, which serves while the old one drains.
     ProcessReplaced,
-    /// Operators exclude servers at every balancer of the servers' tier, and allow them again.
+    /// Operators exclude servers at every balancer that sends to them, and include them again.
     #[serde(rename = "out_by_hand")]
     ExcludedByOperators,
     /// Balancers send their clients to other balancers.
--- a/crates/fleet-model/src/scenario/mod.rs
+++ b/crates/fleet-model/src/scenario/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The keys of the file are documented in `docs/scenario-files.md` and fixed by it, because stored scenario files must
 //! stay readable: a field or variant whose Rust name differs carries its key in `#[serde(rename)]`, and only there.
-//! `validation` finds the first contradiction. `policy_settings` derives the settings of the balancers.
+//! `validation` finds the first invalid value. `policy_settings` derives the settings of the balancers.
 
 mod environment;
 mod error;
@@ -76,13 +76,13 @@
     ///
     /// # Errors
     ///
-    /// The text is not TOML, has an unknown or missing key, or contradicts itself. The error names the line.
+    /// The text is not TOML, has an unknown or missing key, or an invalid value. The error names the line.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario =
             toml::from_str(text).map_err(|error| ScenarioError::from_syntax(text, &error))?;
-        match scenario.find_contradiction() {
+        match scenario.validate() {
             Ok(()) => Ok(scenario),
-            Err(contradiction) => Err(contradiction.in_file(text)),
+            Err(invalid_value) => Err(invalid_value.in_file(text)),
         }
     }
 
@@ -99,8 +99,8 @@
     ///
     /// # Errors
     ///
-    /// The scenario contradicts itself. The error names the key of the first contradiction.
+    /// A value is out of range or contradicts another one. The error names the key of the first such value.
     pub fn check(&self) -> Result<(), ScenarioError> {
-        self.find_contradiction().map_err(validation::Contradiction::without_file)
+        self.validate().map_err(validation::InvalidValue::without_file)
     }
 }
--- a/crates/fleet-model/src/scenario/rules.rs
+++ b/crates/fleet-model/src/scenario/rules.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// Time after the notification that a server drains during which a balancer may still send new requests to it.
+    /// Time for which a balancer may still send new requests to a server after the notification that it drains.
     pub drain_grace: Span,
     /// Time after the deadline within which a final response still counts as in time.
     #[serde(rename = "answer_grace")]
--- a/crates/fleet-model/src/scenario/tier.rs
+++ b/crates/fleet-model/src/scenario/tier.rs
@@ -31,15 +31,15 @@
     /// Capacity of a server's queue. The server rejects further requests.
     #[serde(rename = "waiting")]
     pub queue_capacity: u32,
-    /// Loss of efficiency for each request beyond `crowded`, as a share.
+    /// Loss of efficiency for each request beyond [`thrash_threshold`](Tier::thrash_threshold), as a share.
     pub thrash: f64,
     /// Number of requests at a server above which it loses efficiency.
     #[serde(rename = "crowded")]
     pub thrash_threshold: f64,
-    /// Share of its capacity with which a server starts, until it has warmed up.
+    /// Capacity of a server at its start, as a share of its full capacity.
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
-    /// Time from its start until it has its full capacity.
+    /// Time from a server's start until it has its full capacity.
     #[serde(rename = "warm_after")]
     pub warm_up_time: Span,
     /// Mean time between two pauses of a server, such as garbage collections. Zero disables pauses.
@@ -48,13 +48,13 @@
     /// Length of a pause of an idle server.
     #[serde(default)]
     pub pause: Span,
-    /// Growth of a pause with each request per core at the server, as a share of `pause`.
+    /// Growth of a pause with each request per core at the server, as a share of [`pause`](Tier::pause).
     #[serde(rename = "pause_grow", default)]
     pub pause_growth: f64,
     /// Share of the requests that fail at random.
     #[serde(default)]
     pub error_rate: f64,
-    /// Connections to its servers.
+    /// Connections to the servers.
     pub connections: Connections,
     /// Work of a health check at a server.
     #[serde(rename = "probe_work")]
@@ -97,16 +97,17 @@
     /// Time for which a server must be crowded to choke.
     #[serde(rename = "over")]
     pub time_to_choke: Span,
-    /// Factor by which the work at a choked server takes longer.
+    /// Factor by which work takes longer at a choked server.
     #[serde(rename = "slower")]
     pub slowdown: f64,
-    /// Utilization below which a choked server recovers, measured over `rest`.
+    /// Utilization below which a choked server recovers, measured over
+    /// [`recovery_window`](Choke::recovery_window).
     #[serde(rename = "below")]
     pub recovery_utilization: f64,
     /// Time over which the utilization of a choked server is measured.
     #[serde(rename = "rest")]
     pub recovery_window: Span,
-    /// Time after which a choked server recovers in any case.
+    /// Time after which a choked server recovers, whatever its utilization.
     #[serde(rename = "most")]
     pub max_duration: Span,
 }
--- a/crates/fleet-model/src/scenario/traffic.rs
+++ b/crates/fleet-model/src/scenario/traffic.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Mean rate, in requests a second.
+    /// Mean rate, in requests per second.
     pub rate: f64,
     /// Amplitude of the rate, as a share of the mean rate.
     #[serde(rename = "swing", default)]
@@ -108,7 +108,7 @@
     pub dedup_window: Span,
 }
 
-/// The distribution of work.
+/// The distribution of a random quantity, such as the work of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DistributionKind {
--- a/crates/fleet-model/src/scenario/validation/environment.rs
+++ b/crates/fleet-model/src/scenario/validation/environment.rs
@@ -1,7 +1,7 @@
-//! Validation of the tables that describe the scenario's frame, environment and rating.
+//! Validation of the tables that describe the environment, the limits and the scoring, and of the top-level keys.
 
-use super::contradiction::{Table, Validation};
-use super::{ABOVE_ZERO, AT_LEAST_ONE, WITHIN_0_AND_1, is_positive, is_share, is_zero_or_more};
+use super::invalid_value::{Table, Validation};
+use super::{ABOVE_ZERO, AT_LEAST_ONE, BETWEEN_0_AND_1, is_positive, is_share, is_zero_or_more};
 use crate::scenario::Scenario;
 
 /// Longest scenario, in seconds.
@@ -9,18 +9,18 @@
 
 impl Scenario {
     /// Validates the keys outside of any table.
-    pub(super) fn validate_frame(&self) -> Validation {
+    pub(super) fn validate_top_level_keys(&self) -> Validation {
         let root = Table::root();
         root.require(!self.zones.is_empty(), "zones", "name at least one zone")?;
         root.require(self.length.0 > 0, "length", "a scenario needs a length above zero")?;
-        root.require(self.length.secs() <= MAX_LENGTH_SECONDS, "length", "a scenario lasts an hour at most")
+        root.require(self.length.secs() <= MAX_LENGTH_SECONDS, "length", "must be at most one hour")
     }
 
     /// Validates the tables `network` and `discovery`.
     pub(super) fn validate_network_and_discovery(&self) -> Validation {
-        Table::named("network").require(is_share(self.network.jitter), "jitter", WITHIN_0_AND_1)?;
+        Table::named("network").require(is_share(self.network.jitter), "jitter", BETWEEN_0_AND_1)?;
         let discovery = Table::named("discovery");
-        discovery.require(is_share(self.discovery.failure_share), "failing", WITHIN_0_AND_1)?;
+        discovery.require(is_share(self.discovery.failure_share), "failing", BETWEEN_0_AND_1)?;
         discovery.require(self.discovery.batch_interval.0 > 0, "period", ABOVE_ZERO)
     }
 
@@ -32,9 +32,9 @@
         for (index, zone) in balancers.zones.iter().enumerate() {
             table.require_entry(self.zones.contains(zone), "zones", index, "no such zone in `zones`")?;
         }
-        let right_count = balancers.shares.is_empty() || balancers.shares.len() == balancers.zones.len();
+        let count_matches = balancers.shares.is_empty() || balancers.shares.len() == balancers.zones.len();
         table.require(
-            right_count && balancers.shares.iter().all(|share| is_positive(*share)),
+            count_matches && balancers.shares.iter().all(|share| is_positive(*share)),
             "shares",
             "give one share above zero for each balancer, or none",
         )?;
@@ -56,7 +56,7 @@
         let all_valid = weights.iter().all(|weight| is_zero_or_more(*weight));
         Table::named("goal").require_table(
             all_valid && weights.iter().sum::<f64>() > 0.0,
-            "give weights that are not all zero",
+            "give weights of zero or more that are not all zero",
         )?;
         let prices = &self.prices;
         let all_prices = [
@@ -68,6 +68,6 @@
             prices.choke,
         ];
         let all_valid = all_prices.iter().all(|price| is_zero_or_more(*price));
-        Table::named("prices").require_table(all_valid, "a price is zero or more")
+        Table::named("prices").require_table(all_valid, "prices must be zero or more")
     }
 }
--- a/crates/fleet-model/src/scenario/validation/contradiction.rs
+++ b/crates/fleet-model/src/scenario/validation/invalid_value.rs
@@ -1,50 +1,51 @@
-//! Contradictions of a scenario, and the tables of the file whose keys are validated.
+//! Invalid values of a scenario, and the tables of the file whose keys are validated.
 
 use crate::scenario::ScenarioError;
 use crate::scenario::error::Location;
 
-/// Result of a validation: the first contradiction that was found.
-pub(in crate::scenario) type Validation = Result<(), Contradiction>;
+/// Result of a validation: the first invalid value that was found.
+pub(in crate::scenario) type Validation = Result<(), InvalidValue>;
 
 /// A step on the path to a value of the file.
 #[derive(Clone, Debug)]
 enum PathStep {
     /// The key of a table.
     Key(&'static str),
-    /// The index of an entry of an array, from 0.
+    /// The index of an array's entry, from 0.
     Entry(usize),
 }
 
 /// A value of a scenario that is out of range or contradicts another one.
 #[derive(Debug)]
-pub(in crate::scenario) struct Contradiction {
+pub(in crate::scenario) struct InvalidValue {
     path: Vec<PathStep>,
     problem: &'static str,
 }
 
-impl Contradiction {
+impl InvalidValue {
     /// Returns the error for a scenario that was not read from a file.
     pub fn without_file(self) -> ScenarioError {
-        self.at(Location::default())
+        self.into_error(Location::default())
     }
 
     /// Returns the error for a scenario that was read from `text`, with the line of the value. If the file lacks the
     /// key, the line is that of the closest table around it.
     pub fn in_file(self, text: &str) -> ScenarioError {
         let location = self.locate(text);
-        self.at(location)
+        self.into_error(location)
     }
 
-    fn at(self, location: Location) -> ScenarioError {
+    fn into_error(self, location: Location) -> ScenarioError {
         let steps: Vec<String> = self
             .path
             .iter()
             .map(|step| match step {
-                PathStep::Key(key) => (*key).to_owned(),
-                PathStep::Entry(index) => format!("number {}", index + 1),
+                PathStep::Key(key) => format!(".{key}"),
+                PathStep::Entry(index) => format!("[{index}]"),
             })
             .collect();
-        ScenarioError::Contradiction { location, key: steps.join("."), problem: self.problem }
+        let key = steps.concat().trim_start_matches('.').to_owned();
+        ScenarioError::InvalidValue { location, key, problem: self.problem }
     }
 
     fn locate(&self, text: &str) -> Location {
@@ -87,7 +88,7 @@
         Table { path: vec![PathStep::Key(key), PathStep::Entry(index)] }
     }
 
-    /// Returns the table `inner` within an entry of an array of tables.
+    /// Returns the table `inner` in an entry of an array of tables.
     pub fn inner(key: &'static str, index: usize, inner: &'static str) -> Table {
         let mut table = Table::entry(key, index);
         table.path.push(PathStep::Key(inner));
@@ -98,16 +99,16 @@
     ///
     /// # Errors
     ///
-    /// `valid` is false. The contradiction names the key and the problem.
+    /// `valid` is false. The error names the key and the problem.
     pub fn require(&self, valid: bool, key: &'static str, problem: &'static str) -> Validation {
-        if valid { Ok(()) } else { Err(self.contradiction(&[PathStep::Key(key)], problem)) }
+        if valid { Ok(()) } else { Err(self.invalid_value(&[PathStep::Key(key)], problem)) }
     }
 
     /// Requires that an entry of the list at `key` is valid.
     ///
     /// # Errors
     ///
-    /// `valid` is false. The contradiction names the entry and the problem.
+    /// `valid` is false. The error names the entry and the problem.
     pub fn require_entry(
         &self,
         valid: bool,
@@ -116,21 +117,21 @@
         problem: &'static str,
     ) -> Validation {
         let steps = [PathStep::Key(key), PathStep::Entry(index)];
-        if valid { Ok(()) } else { Err(self.contradiction(&steps, problem)) }
+        if valid { Ok(()) } else { Err(self.invalid_value(&steps, problem)) }
     }
 
     /// Requires a condition that concerns several keys of the table.
     ///
     /// # Errors
     ///
-    /// `valid` is false. The contradiction names the table and the problem.
+    /// `valid` is false. The error names the table and the problem.
     pub fn require_table(&self, valid: bool, problem: &'static str) -> Validation {
-        if valid { Ok(()) } else { Err(self.contradiction(&[], problem)) }
+        if valid { Ok(()) } else { Err(self.invalid_value(&[], problem)) }
     }
 
-    fn contradiction(&self, steps: &[PathStep], problem: &'static str) -> Contradiction {
+    fn invalid_value(&self, steps: &[PathStep], problem: &'static str) -> InvalidValue {
         let mut path = self.path.clone();
         path.extend_from_slice(steps);
-        Contradiction { path, problem }
+        InvalidValue { path, problem }
     }
 }
--- a/crates/fleet-model/src/scenario/validation/mod.rs
+++ b/crates/fleet-model/src/scenario/validation/mod.rs
@@ -1,25 +1,25 @@
-//! Validation of a scenario. Each table of the file has a function that reports its first contradiction.
+//! Validation of a scenario. Each table of the file has a function that reports its first invalid value.
 
-mod contradiction;
 mod environment;
 mod faults;
+mod invalid_value;
 mod tiers;
 mod traffic;
 
 use super::Scenario;
 
-pub(super) use self::contradiction::{Contradiction, Validation};
+pub(super) use self::invalid_value::{InvalidValue, Validation};
 
-/// Problem of a share that lies outside of 0 and 1.
-const WITHIN_0_AND_1: &str = "must lie within 0 and 1";
+/// Problem of a share below 0 or above 1.
+const BETWEEN_0_AND_1: &str = "must be between 0 and 1";
 /// Problem of a share that must not be 0.
-const ABOVE_0_UP_TO_1: &str = "must lie above 0, up to 1";
-/// Problem of a value that must be positive.
+const ABOVE_0_UP_TO_1: &str = "must be above 0 and at most 1";
+/// Problem of a value that is zero or negative.
 const ABOVE_ZERO: &str = "must be above zero";
 /// Problem of a negative value.
-const ZERO_OR_MORE: &str = "zero or more";
+const ZERO_OR_MORE: &str = "must be zero or more";
 /// Problem of a count of 0.
-const AT_LEAST_ONE: &str = "at least one";
+const AT_LEAST_ONE: &str = "must be at least one";
 
 impl Scenario {
     /// Validates the tables in the order in which their problems are reported.
@@ -27,8 +27,8 @@
     /// # Errors
     ///
     /// The first value that is out of range or contradicts another one.
-    pub(super) fn find_contradiction(&self) -> Validation {
-        self.validate_frame()?;
+    pub(super) fn validate(&self) -> Validation {
+        self.validate_top_level_keys()?;
         self.validate_network_and_discovery()?;
         self.validate_balancers()?;
         self.validate_load()?;
@@ -45,12 +45,12 @@
     }
 }
 
-/// Whether a value lies within 0 and 1.
+/// Whether a value is between 0 and 1, both included.
 fn is_share(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
 
-/// Whether a value lies above 0, up to 1.
+/// Whether a value is above 0 and at most 1.
 fn is_share_above_zero(value: f64) -> bool {
     value > 0.0 && is_share(value)
 }
--- a/crates/fleet-model/src/scoring/breach.rs
+++ b/crates/fleet-model/src/scoring/breach.rs
@@ -1,4 +1,4 @@
-//! The rules that balancers must keep, and reports of broken ones.
+//! The rules that balancers must keep, and reports of breaches.
 //!
 //! The names in JSON are fixed by stored results: variants whose names differ carry theirs in `#[serde(rename)]`.
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Every request gets one final answer in time.
+    /// Every request gets exactly one final response in time.
     Lost,
     /// A request is repeated only as the idempotency of its class permits.
     Duplicate,
@@ -20,14 +20,14 @@
     WarmUpOverload,
 }
 
-/// Report of a broken rule.
+/// Report of a breach of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
-    /// The rule.
+    /// The broken rule.
     pub rule: Rule,
     /// Time in microseconds since the start of the scenario.
     pub at: Micros,
-    /// Tier and number of the balancer.
+    /// Index of the tier, and number of the balancer in it.
     pub balancer: (usize, u32),
     /// Index of the server concerned. `None` if the breach concerns none.
     pub server: Option<u32>,
--- a/crates/fleet-model/src/scoring/cause.rs
+++ b/crates/fleet-model/src/scoring/cause.rs
@@ -4,25 +4,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Cause of time that a request spent beyond its work, or of its failure.
+/// Cause of the time that a request spent beyond its work, or of its failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It waited at healthy servers.
+    /// The request waited at healthy servers.
     Queueing,
-    /// It was at servers that had choked.
+    /// The request was at servers that had choked.
     Choke,
-    /// It was at servers that were warming up.
+    /// The request was at servers that were warming up.
     #[serde(rename = "cold")]
     WarmingUp,
-    /// It was at a server that answers no request.
+    /// The request was at a server that answered none.
     Silent,
-    /// It was at a server that a fault had slowed.
+    /// The request was at a server that a fault had slowed.
     Slowed,
-    /// It was queued at a balancer before its first attempt.
+    /// The request was queued at a balancer before its first attempt.
     #[serde(rename = "held")]
     Queued,
-    /// A balancer rejected it without an attempt.
+    /// A balancer rejected the request without an attempt.
     #[serde(rename = "refused")]
     Rejected,
     /// An attempt at a healthy server reached its time limit.
@@ -33,9 +33,9 @@
     Reset,
     /// An attempt went to a server that no longer existed, because the endpoint list was out of date.
     WrongList,
-    /// It waited for a retry by its client or a balancer.
+    /// The request waited for a retry by its client or a balancer.
     Retry,
-    /// No balancer accepted it.
+    /// No balancer accepted the request.
     Unreachable,
     /// The work of the request itself.
     Work,
--- a/crates/fleet-model/src/scoring/metrics.rs
+++ b/crates/fleet-model/src/scoring/metrics.rs
@@ -9,11 +9,11 @@
 pub(crate) struct Metrics {
     /// First attempts of clients.
     pub first_attempts: u64,
-    /// Attempts of balancers.
+    /// Attempts that balancers sent to servers.
     pub attempts: u64,
     /// Attempts to a server in another zone than the balancer's.
     pub cross_zone_attempts: u64,
-    /// Health checks of balancers.
+    /// Health checks that balancers sent.
     pub health_checks: u64,
     /// New connections to servers.
     pub handshakes: u64,
@@ -21,13 +21,13 @@
     pub client_retries: u64,
     /// Work that servers did, in microseconds.
     pub work: f64,
-    /// Work that contributed to an answer which a client received, in microseconds.
+    /// Work that contributed to a response which a client received, in microseconds.
     pub useful_work: f64,
-    /// Events of the world.
+    /// Simulated events.
     pub events: u64,
-    /// Reports of the first broken rules.
+    /// Reports of the first breaches.
     pub breaches: Vec<Breach>,
-    /// Number of broken rules, including those that were not reported.
+    /// Number of breaches of the rules, including those that were not reported.
     pub breach_count: u64,
     /// Counts by second and tier.
     pub tiers: Vec<Vec<TierCount>>,
@@ -36,12 +36,12 @@
 }
 
 impl Metrics {
-    /// Returns the work that contributed to no answer, in microseconds.
+    /// Returns the work that contributed to no response, in microseconds.
     pub fn wasted_work(&self) -> f64 {
         (self.work - self.useful_work).max(0.0)
     }
 
-    /// Returns the share of the work that contributed to no answer, and 0 without work.
+    /// Returns the share of the work that contributed to no response, and 0 without work.
     pub fn wasted_share(&self) -> f64 {
         if self.work > 0.0 { self.wasted_work() / self.work } else { 0.0 }
     }
@@ -63,10 +63,10 @@
 /// Notifications that discovery sent, and calls that it received, in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotificationCount {
-    /// Number of lists and changes sent to balancers.
+    /// Number of lists and deltas sent to balancers.
     pub messages: u64,
-    /// Number of entries in these lists and changes.
+    /// Number of entries in these lists and deltas.
     pub entries: u64,
-    /// Number of calls of balancers.
+    /// Number of calls from balancers.
     pub calls: u64,
 }
--- a/crates/fleet-model/src/scoring/mod.rs
+++ b/crates/fleet-model/src/scoring/mod.rs
@@ -3,9 +3,9 @@
 mod arrival;
 mod breach;
 mod cause;
-mod ledger;
 mod metrics;
 mod prices;
+mod request_totals;
 mod result;
 
 pub use breach::{Breach, Rule};
@@ -17,8 +17,8 @@
 pub(crate) use metrics::Metrics;
 
 use crate::scenario::{Goal, Scenario};
-use ledger::Ledger;
 use prices::Expenses;
+use request_totals::RequestTotals;
 
 /// Smallest total utility by which a share of utility is divided.
 const MIN_UTILITY: f64 = 1e-9;
@@ -56,23 +56,23 @@
 impl FinishedRun<'_> {
     /// Scores the run.
     pub fn score(self) -> ScoredRun {
-        let mut ledger = Ledger::new(self.scenario);
+        let mut totals = RequestTotals::new(self.scenario);
         for arrival in self.arrivals {
-            ledger.record(self.scenario, arrival);
+            totals.record(self.scenario, arrival);
         }
-        let score = self.score_of(&ledger);
-        let detail = ledger.into_detail(self.metrics.tiers, self.metrics.notifications);
+        let score = self.score_of(&totals);
+        let detail = totals.into_detail(self.metrics.tiers, self.metrics.notifications);
         ScoredRun { score, detail }
     }
 
-    fn score_of(&self, ledger: &Ledger) -> Score {
+    fn score_of(&self, totals: &RequestTotals) -> Score {
         let metrics = &self.metrics;
-        let worst_window = ledger.worst_window();
-        let worst_class = ledger.worst_class();
-        let worst_tenant = ledger.worst_tenant();
-        let prices = Expenses::of(self, ledger).points(&self.scenario.prices);
+        let worst_window = totals.worst_window();
+        let worst_class = totals.worst_class();
+        let worst_tenant = totals.worst_tenant();
+        let prices = Expenses::of(self, totals).points(&self.scenario.prices);
         let goal = &self.scenario.goal;
-        let weighted = goal.total * ledger.total.share()
+        let weighted = goal.total * totals.total.share()
             + goal.worst_window * worst_window.share
             + goal.worst_class * worst_class
             + goal.worst_tenant * worst_tenant;
@@ -80,14 +80,14 @@
         Score {
             g,
             counted: if metrics.breach_count > 0 { 0.0 } else { g.max(0.0) },
-            total: ledger.total.share(),
+            total: totals.total.share(),
             worst_window: worst_window.share,
             worst_window_start: worst_window.start,
             worst_class,
             worst_tenant,
             prices,
             requests: metrics.first_attempts,
-            ends: ledger.ends,
+            ends: totals.ends,
             attempts: metrics.attempts,
             client_retries: metrics.client_retries,
             wasted_share: metrics.wasted_share(),
--- a/crates/fleet-model/src/scoring/prices.rs
+++ b/crates/fleet-model/src/scoring/prices.rs
@@ -1,24 +1,24 @@
 //! Points that the prices subtract from a result.
 
-use super::ledger::Ledger;
+use super::request_totals::RequestTotals;
 use super::{Arrival, FinishedRun, MIN_UTILITY};
 use crate::scenario::{Prices, Scenario};
 
-/// A quantity of a run, for each unit of a base such as the number of requests.
+/// A quantity of a run, and the base that it is divided by, such as the number of requests.
 struct Quantity {
     amount: f64,
     base: f64,
 }
 
 impl Quantity {
-    /// Returns the cost at a price for each unit. Stored results fix the order of the operations: dividing first would
+    /// Returns the cost at a price per unit. Stored results fix the order of the operations: dividing first would
     /// round differently.
     fn cost(&self, price: f64) -> f64 {
         price * self.amount / self.base
     }
 }
 
-/// Quantities of a run that have a price.
+/// The quantities of a run that have a price.
 pub(super) struct Expenses {
     /// Work that contributed to no answer, as a share of the work that the requests need; at most 1.
     wasted_share: f64,
@@ -36,19 +36,19 @@
 
 impl Expenses {
     /// Determines the quantities of a run.
-    pub fn of(run: &FinishedRun<'_>, ledger: &Ledger) -> Expenses {
+    pub fn of(run: &FinishedRun<'_>, totals: &RequestTotals) -> Expenses {
         let metrics = &run.metrics;
         let requests = metrics.first_attempts.max(1) as f64;
         let per_request = |count: u64| Quantity { amount: count as f64, base: requests };
         let needed_work = needed_work(run.scenario, run.arrivals);
-        let offered = ledger.total.offered.max(MIN_UTILITY);
+        let offered = totals.total.offered.max(MIN_UTILITY);
         let servers = run.servers.total.max(1) as f64;
         Expenses {
             wasted_share: (metrics.wasted_work() / needed_work).min(1.0),
             cross_zone: per_request(metrics.cross_zone_attempts),
             health_checks: per_request(metrics.health_checks),
             handshakes: per_request(metrics.handshakes),
-            late_failures: Quantity { amount: ledger.failed_late, base: offered },
+            late_failures: Quantity { amount: totals.failed_late, base: offered },
             choked: Quantity { amount: run.servers.choked as f64, base: servers },
         }
     }
--- a/crates/fleet-model/src/scoring/ledger.rs
+++ b/crates/fleet-model/src/scoring/request_totals.rs
@@ -8,12 +8,12 @@
 use super::{Cause, Detail, Loss, MIN_UTILITY, NotificationCount, Second, TierCount};
 use crate::scenario::{Class, Scenario};
 
-/// A second, in microseconds.
-const SECOND: Micros = 1_000_000;
-/// Length of the window that the goal weighs as the worst, in seconds.
-const WINDOW_SECONDS: usize = 10;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: Micros = 1_000_000;
+/// Length of the window that [`Score::worst_window`](super::Score::worst_window) rates, in seconds.
+const WORST_WINDOW_SECONDS: usize = 10;
 
-/// Utility earned, beside the utility offered.
+/// Utility that a set of requests offered, and the part of it that was earned.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Utility {
     /// Utility earned by responses.
@@ -82,7 +82,7 @@
 }
 
 /// Sums over all recorded requests.
-pub(super) struct Ledger {
+pub(super) struct RequestTotals {
     /// Utility of all requests.
     pub total: Utility,
     /// Utility offered by requests that failed or were rejected after their latency objective.
@@ -97,11 +97,11 @@
     losses: BTreeMap<LossKey, f64>,
 }
 
-impl Ledger {
-    /// Creates a ledger without requests.
-    pub fn new(scenario: &Scenario) -> Ledger {
+impl RequestTotals {
+    /// Creates the sums of no requests.
+    pub fn new(scenario: &Scenario) -> RequestTotals {
         let seconds = (scenario.length.secs().ceil() as usize).max(1);
-        Ledger {
+        RequestTotals {
             total: Utility::default(),
             failed_late: 0.0,
             ends: Second::default(),
@@ -117,7 +117,7 @@
     /// Adds a request to all sums.
     pub fn record(&mut self, scenario: &Scenario, arrival: &Arrival) {
         let class = &scenario.classes[arrival.class];
-        let second = ((arrival.at / SECOND) as usize).min(self.by_second.len() - 1);
+        let second = ((arrival.at / MICROS_PER_SECOND) as usize).min(self.by_second.len() - 1);
         let outcome = Outcome::of(arrival, class);
         self.ends.count(outcome);
         self.ends_by_second[second].count(outcome);
@@ -147,9 +147,9 @@
         *self.losses.entry(LossKey { cause, server, second }).or_default() += lost;
     }
 
-    /// Returns the window with the smallest share of utility, and the first of equal ones.
+    /// Returns the window with the smallest share of utility, and the first one if several are equal.
     pub fn worst_window(&self) -> WorstWindow {
-        let length = WINDOW_SECONDS.min(self.by_second.len());
+        let length = WORST_WINDOW_SECONDS.min(self.by_second.len());
         let shares = self.by_second.windows(length).enumerate().map(|(start, window)| {
             let mut sum = Utility::default();
             for utility in window {
@@ -205,7 +205,7 @@
     Utility { earned, offered }
 }
 
-fn smallest_share(parts: &[Utility]) -> f64 {
-    let parts = parts.iter().filter(|utility| utility.offered > 0.0);
-    parts.map(|utility| utility.share()).min_by(f64::total_cmp).unwrap_or(1.0)
+fn smallest_share(groups: &[Utility]) -> f64 {
+    let groups = groups.iter().filter(|utility| utility.offered > 0.0);
+    groups.map(|utility| utility.share()).min_by(f64::total_cmp).unwrap_or(1.0)
 }
--- a/crates/fleet-model/src/scoring/result.rs
+++ b/crates/fleet-model/src/scoring/result.rs
@@ -12,7 +12,7 @@
     pub served: u32,
     /// Requests answered after the latency objective.
     pub late: u32,
-    /// Requests rejected.
+    /// Requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u32,
     /// Requests that failed.
@@ -62,7 +62,7 @@
     pub attempts: u64,
     /// Number of retries of clients.
     pub client_retries: u64,
-    /// Share of the work that contributed to no answer.
+    /// Share of the work that contributed to no response.
     #[serde(rename = "waste")]
     pub wasted_share: f64,
     /// Number of servers that choked at least once.
@@ -70,12 +70,12 @@
     /// Number of servers that collapsed while warming up.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
-    /// Number of broken rules.
+    /// Number of breaches of the rules.
     #[serde(rename = "broken")]
     pub breach_count: u64,
-    /// Number of events of the world.
+    /// Number of simulated events.
     pub events: u64,
-    /// Reports of the first broken rules.
+    /// Reports of the first breaches.
     pub breaches: Vec<Breach>,
 }
 
@@ -108,7 +108,7 @@
     pub up: bool,
     /// Whether the server is choked.
     pub choked: bool,
-    /// Current capacity as a share of the full capacity.
+    /// Capacity of the server as a share of its full capacity.
     #[serde(rename = "share")]
     pub capacity_share: f64,
     /// Number of balancers whose circuit breaker for the server is open.
@@ -117,6 +117,6 @@
     /// Concurrency limit of the server's zone in slots for each server, summed over the balancers.
     #[serde(rename = "window")]
     pub concurrency_limit: f64,
-    /// Mean latency of the attempts answered since the previous sample, in microseconds. 0 without answers.
+    /// Mean latency of the attempts answered since the previous sample, in microseconds. 0 without such attempts.
     pub latency: f64,
 }
--- a/crates/fleet-model/src/span.rs
+++ b/crates/fleet-model/src/span.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use zincstand_policy::Micros;
 
-/// A span of time, or a time since the start of the scenario, in microseconds. Scenario files contain it as a text with
+/// A span of time, or a time since the start of the scenario, in microseconds. In scenario files it is a string with
 /// units, such as `"1s 500ms"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Micros);
@@ -41,8 +41,8 @@
 
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl de::Visitor<'_> for Text {
+        struct SpanVisitor;
+        impl de::Visitor<'_> for SpanVisitor {
             type Value = Span;
 
             fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -56,6 +56,6 @@
                 micros.map(Span).map_err(|_| E::invalid_value(de::Unexpected::Str(text), &self))
             }
         }
-        deserializer.deserialize_str(Text)
+        deserializer.deserialize_str(SpanVisitor)
     }
 }
--- a/crates/fleet-model/src/table.rs
+++ b/crates/fleet-model/src/table.rs
@@ -1,5 +1,4 @@
-//! Tables whose entries are addressed by an index type of their own, so that an index of one table cannot be used for
-//! another.
+//! Tables that are each indexed by a dedicated type, so that an index of one table cannot be used with another.
 
 use std::iter::Map;
 use std::marker::PhantomData;
@@ -24,7 +23,7 @@
     }
 }
 
-/// Defines an index type. It is displayed as its number.
+/// Defines an index type. It is displayed as a number.
 macro_rules! index_type {
     ($(#[$attributes:meta])* $name:ident) => {
         $(#[$attributes])*
@@ -57,7 +56,7 @@
 
 pub(crate) use index_type;
 
-/// A growing list whose entries are addressed by `I`.
+/// A growing list that is indexed by `I`.
 pub(crate) struct Table<I, T> {
     entries: Vec<T>,
     index: PhantomData<I>,
@@ -108,7 +107,7 @@
         self.entries.iter()
     }
 
-    /// Iterates over all entries for changes, in the order of their indexes.
+    /// Iterates mutably over all entries, in the order of their indexes.
     pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, T> {
         self.entries.iter_mut()
     }
