--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -10,7 +10,7 @@
 
 /// Starts a balancer with the admin API.
 fn start_with_admin(upstreams: &[SocketAddr]) -> Balancer {
-    Setup::knowing(upstreams).with_admin().start()
+    Setup::with_upstreams(upstreams).with_admin().start()
 }
 
 #[test]
@@ -18,7 +18,8 @@
     let first = RespondingUpstream::start();
     let second = RespondingUpstream::start();
     let folder = SharedFolder::new("out");
-    let balancer = Setup::knowing(&[first.address, second.address]).with_admin().folder(&folder).start();
+    let balancer =
+        Setup::with_upstreams(&[first.address, second.address]).with_admin().folder(&folder).start();
     balancer.serve_requests(0..20);
     assert!(first.take_request_count() > 0);
     assert!(second.take_request_count() > 0);
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_request_that_is_not_idempotent_and_reached_no_upstream_may_be_rejected() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     assert_eq!(balancer.send(&request("pay", "r-1", "Req-Deadline-Ms: 900\r\n")).status(), 503);
 }
 
@@ -78,7 +78,7 @@
     ];
     for (case, response) in cases {
         let upstream = Peer::new();
-        let balancer = Setup::knowing(&[upstream.address]).start();
+        let balancer = Setup::with_upstreams(&[upstream.address]).start();
         let requests = upstream.serve(move |_, stream| {
             let _ = stream.write_all(response.unwrap_or_default().as_bytes());
             if response.is_none_or(|text| !text.contains("Length: 0")) {
@@ -143,7 +143,7 @@
 #[test]
 fn a_connection_is_reused_and_closed_when_idle() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).idle_close_ms(4000).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).idle_close_ms(4000).start();
     let mut in_flight = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
     for id in ["r-2", "r-3"] {
         in_flight.complete();
@@ -215,7 +215,7 @@
 #[test]
 fn informational_responses_are_skipped() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve(|_, stream| {
         let informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         // Its load report cannot be parsed and is ignored.
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -278,7 +278,7 @@
 #[test]
 fn clients_that_read_slowly_use_little_memory_and_delay_no_other() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let long = pattern(30_000_000);
     let _requests = upstream.serve(move |message, stream| {
         let is_long = message.header("x-long").is_some();
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -77,7 +77,7 @@
         let received = Arc::new(Mutex::new(Vec::new()));
         let upstream = WithholdingUpstream { gate: gate.clone(), received: received.clone() };
         std::thread::spawn(move || {
-            for stream in peer.incoming() {
+            for stream in peer.into_connections() {
                 let (gate, received) = (gate.clone(), received.clone());
                 std::thread::spawn(move || serve_connection(stream, &gate, &received));
             }
@@ -142,7 +142,7 @@
 fn nothing_is_forwarded_for_clients_that_disconnected_while_queued() {
     for round in 0..5 {
         let peer = Peer::new();
-        let balancer = Setup::knowing(&[peer.address]).start();
+        let balancer = Setup::with_upstreams(&[peer.address]).start();
         let upstream = WithholdingUpstream::serving(peer);
         // More than the initial concurrency limit admits: the rest is queued.
         let mut staying = send_staying_requests(&balancer, 5);
@@ -176,7 +176,7 @@
     for round in 0..5 {
         let peer = Peer::new();
         // 46 descriptors leave 3 permits for clients.
-        let balancer = Setup::knowing(&[peer.address]).sockets(46).start();
+        let balancer = Setup::with_upstreams(&[peer.address]).sockets(46).start();
         let upstream = WithholdingUpstream::serving(peer);
         let mut staying = send_staying_requests(&balancer, 3);
         upstream.wait_for_ids(3);
@@ -205,7 +205,7 @@
 fn nothing_is_forwarded_for_clients_that_disconnected_while_connecting_to_the_upstream() {
     for how in Disconnect::ALL {
         let stalled = StalledListener::new();
-        let balancer = Setup::knowing(&[stalled.address]).connect_timeout_ms(15_000).start();
+        let balancer = Setup::with_upstreams(&[stalled.address]).connect_timeout_ms(15_000).start();
         let send_request = |id: &str| {
             let mut client = balancer.connect();
             send(&mut client, &request("pay", id, ""));
@@ -236,7 +236,7 @@
 fn nothing_is_forwarded_for_clients_that_disconnected_while_there_was_no_endpoint() {
     for how in Disconnect::ALL {
         let (discovery, removed) = (Peer::new(), Peer::new());
-        let balancer = Setup::knowing(&[removed.address]).polled_discovery(discovery.address).start();
+        let balancer = Setup::with_upstreams(&[removed.address]).polled_discovery(discovery.address).start();
         let mut watch = discovery.accept();
         let mut send_list = |generation: u64, entries: &[String]| {
             read_poll(&mut watch);
--- a/crates/proxy/tests/client_limits.rs
+++ b/crates/proxy/tests/client_limits.rs
@@ -15,7 +15,7 @@
 fn bodies_are_rejected_while_the_memory_for_bodies_is_exhausted() {
     // Of 1 MB, bodies and responses may take 0.4 MB: three bodies of the largest buffered size.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).memory_mb(1).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).memory_mb(1).start();
     let start = |id| RequestInFlight::start(balancer.connect(), &upstream, &large_request(id));
     let mut in_flight = ["r-1", "r-2", "r-3"].map(start);
     assert_eq!(balancer.send(&large_request("r-4")).status(), 503);
@@ -31,7 +31,7 @@
 fn hundreds_of_idle_clients_do_not_block_a_request() {
     // 60 descriptors leave 11 permits for clients.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).sockets(60).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(60).start();
     let _requests = upstream.serve_ok();
     let mut idle: Vec<_> = (0..300).map(|_| balancer.connect()).collect();
     let start = Instant::now();
@@ -44,7 +44,7 @@
 #[test]
 fn clients_with_unfinished_requests_do_not_block_a_request() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).sockets(60).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(60).start();
     let _requests = upstream.serve_ok();
     let mut unfinished: Vec<_> = (0..60).map(|_| balancer.connect()).collect();
     for client in &mut unfinished {
@@ -61,7 +61,7 @@
 fn connections_beyond_the_limit_are_queued_and_served() {
     // 46 descriptors leave 3 permits for clients.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).sockets(46).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(46).start();
     let _requests = upstream.serve_ok();
     let idle: Vec<_> = (0..3).map(|_| balancer.connect()).collect();
     let send_request = |number: usize| {
@@ -83,7 +83,7 @@
 fn a_balancer_without_free_permits_rejects_requests() {
     // 46 descriptors leave 3 permits for clients.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).sockets(46).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(46).start();
     let mut in_flight = balancer.start_requests(&upstream, 3);
     for _ in 0..20 {
         assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
@@ -100,7 +100,7 @@
 #[test]
 fn running_out_of_descriptors_is_survived() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).descriptor_limit(24).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).descriptor_limit(24).start();
     let _requests = upstream.serve_ok();
     let idle: Vec<_> = (0..40).map(|_| balancer.connect()).collect();
     let mut waiting = balancer.connect();
@@ -114,7 +114,7 @@
 fn a_connection_whose_request_has_arrived_is_not_evicted() {
     // 55 descriptors leave 8 permits for clients: a ninth client evicts the connection that is idle longest.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).sockets(55).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(55).start();
     let _requests = upstream.serve_ok();
     let mut reused: Vec<_> = (0..6).map(|_| balancer.connect()).collect();
     for client in &mut reused {
@@ -141,7 +141,7 @@
     for round in 0..10 {
         let upstream = RespondingUpstream::start();
         // 42 descriptors leave one permit for clients.
-        let balancer = Setup::knowing(&[upstream.address]).sockets(42).start();
+        let balancer = Setup::with_upstreams(&[upstream.address]).sockets(42).start();
         let complete = request("pull", &format!("r-{round}"), "");
         let mut slow = balancer.connect();
         send(&mut slow, &complete[..40]);
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -11,7 +11,7 @@
 #[test]
 fn malformed_requests_are_answered_and_disturb_no_other_request() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut other = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-0", ""));
 
     let large = "Host: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 33554433\r\n\r\n";
@@ -42,7 +42,7 @@
 #[test]
 fn an_absent_or_longer_deadline_becomes_that_of_the_class() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     for deadline in ["", "Req-Deadline-Ms: 99999999\r\n"] {
         assert_eq!(balancer.send(&request("pay", "r-1", deadline)).status(), 200, "{deadline:?}");
@@ -57,7 +57,7 @@
 #[test]
 fn invalid_headers_are_answered_400_and_nothing_is_forwarded() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let twice = "Req-Deadline-Ms: 5\r\nreq-deadline-ms: 5\r\n";
     for (class, headers) in [
         ("pay", "Req-Deadline-Ms: soon\r\n"),
@@ -88,7 +88,7 @@
 #[test]
 fn an_id_that_is_in_flight_is_rejected() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut first = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
     assert_eq!(balancer.send(&request("look", "r-1", "")).status(), 400);
     first.complete();
@@ -101,7 +101,7 @@
 #[test]
 fn a_body_that_could_smuggle_a_request_is_rejected_and_the_connection_closed() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let hidden = request("pay", "r-2", "");
     let (length, chunked) = (format!("Content-Length: {}", 5 + hidden.len()), "Transfer-Encoding: chunked");
     for framing in [
@@ -124,7 +124,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     let mut client = balancer.connect();
     let pipelined = request("pay", "r-1", "") + &request("look", "r-2", "") + &request("pull", "r-3", "");
@@ -145,7 +145,7 @@
 
 #[test]
 fn unfinished_requests_and_idle_connections_time_out() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let start = Instant::now();
     let begin = |text: &str| {
         let mut client = balancer.connect();
@@ -173,7 +173,7 @@
 #[test]
 fn a_body_over_the_size_limit_is_rejected_or_its_connection_closed() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut client = balancer.connect();
     let head =
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 60000000\r\n\r\n";
@@ -192,7 +192,7 @@
 #[test]
 fn an_absolute_request_target_is_forwarded_as_a_path() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     let absolute = request("look", "r-1", "").replace("GET /api", "GET http://backend.local/api");
     assert_eq!(balancer.send(&absolute).status(), 200);
@@ -203,7 +203,7 @@
 #[test]
 fn a_connection_serves_several_requests() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve_ok();
     let mut client = balancer.connect();
     for id in ["r-1", "r-2", "r-3"] {
--- a/crates/proxy/tests/common/peer.rs
+++ b/crates/proxy/tests/common/peer.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the channel of all further connections.
-    pub fn incoming(self) -> Receiver<TcpStream> {
+    pub fn into_connections(self) -> Receiver<TcpStream> {
         self.connections
     }
 
--- a/crates/proxy/tests/common/setup.rs
+++ b/crates/proxy/tests/common/setup.rs
@@ -19,7 +19,7 @@
 impl Setup {
     /// Describes a balancer with a cached list of endpoints `s-0`, `s-1` and so on at these addresses, and without discovery.
     /// With no address there is no cached list.
-    pub fn knowing(upstreams: &[SocketAddr]) -> Setup {
+    pub fn with_upstreams(upstreams: &[SocketAddr]) -> Setup {
         let endpoints = upstreams.iter().enumerate();
         let endpoints =
             endpoints.map(|(index, address)| endpoint(&format!("s-{index}"), *address, "SERVING"));
@@ -180,5 +180,5 @@
 
 /// Returns a valid configuration file.
 pub fn valid_config() -> String {
-    Setup::knowing(&[closed_address()]).config()
+    Setup::with_upstreams(&[closed_address()]).config()
 }
--- a/crates/proxy/tests/common/single_upstream.rs
+++ b/crates/proxy/tests/common/single_upstream.rs
@@ -18,7 +18,7 @@
     /// Starts the upstream and the balancer and connects the client.
     pub fn start() -> SingleUpstream {
         let upstream = Peer::new();
-        let balancer = Setup::knowing(&[upstream.address]).start();
+        let balancer = Setup::with_upstreams(&[upstream.address]).start();
         let client = balancer.connect();
         SingleUpstream { upstream, balancer, client }
     }
--- a/crates/proxy/tests/concurrency_limit.rs
+++ b/crates/proxy/tests/concurrency_limit.rs
@@ -39,7 +39,7 @@
 /// in flight, once it has reached `enough` or `max_requests` were sent.
 fn peak_in_flight(tiers: &[&'static str], enough: usize, max_requests: usize) -> usize {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).tiers(tiers).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).tiers(tiers).start();
     let sent = AtomicUsize::new(0);
     let load = Arc::new(Load::default());
     let upstream_load = load.clone();
@@ -78,7 +78,7 @@
     let in_own_zone = endpoint("s-0", upstreams[0].address, "SERVING");
     let in_other_zone =
         endpoint("s-1", upstreams[1].address, "SERVING").replace(r#""zone":"a""#, r#""zone":"b""#);
-    let setup = Setup::knowing(&[])
+    let setup = Setup::with_upstreams(&[])
         .cached_endpoints(vec![in_own_zone, in_other_zone])
         .tiers(&THREE_TIERS)
         .balancers(2, &["a", "b", "c"]);
@@ -105,7 +105,7 @@
 #[test]
 fn clients_that_disconnect_lower_the_concurrency_limit() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).tiers(&THREE_TIERS).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).tiers(&THREE_TIERS).start();
     // The first requests get their responses long after their clients disconnected, the others after their deadline.
     let requests = upstream.serve(|request, stream| {
         let is_first = request.header("req-id").is_some_and(|id| id.starts_with("a-"));
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -11,7 +11,7 @@
 /// Starts a balancer that knows an upstream and polls discovery. Idle connections stay open for longer than any test
 /// takes, so that only a list closes them.
 fn start_polling(discovery: &Peer, upstream: &Peer) -> Balancer {
-    let setup = Setup::knowing(&[upstream.address]).polled_discovery(discovery.address);
+    let setup = Setup::with_upstreams(&[upstream.address]).polled_discovery(discovery.address);
     setup.idle_close_ms(90_000).start()
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn requests_to_discovery_have_these_bytes_and_share_a_connection() {
     let discovery = Peer::new();
-    let _balancer = Setup::knowing(&[]).watched_discovery(discovery.address).start();
+    let _balancer = Setup::with_upstreams(&[]).watched_discovery(discovery.address).start();
     let mut connection = discovery.accept();
 
     let snapshot_request = read_poll(&mut connection);
@@ -84,7 +84,7 @@
 #[test]
 fn a_silent_watch_is_restarted_long_before_its_wait_ends() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
-    let setup = Setup::knowing(&[upstream.address]).watched_discovery(discovery.address);
+    let setup = Setup::with_upstreams(&[upstream.address]).watched_discovery(discovery.address);
     let start = Instant::now();
     let balancer = setup.drain_grace_ms(1000).start();
     let mut silent = discovery.accept();
@@ -100,7 +100,7 @@
 #[test]
 fn the_watch_restarts_itself_for_a_policy_that_does_not_poll() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
-    let balancer = Setup::knowing(&[closed_address()]).watched_discovery(discovery.address).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).watched_discovery(discovery.address).start();
     for failure in FAILURES {
         let mut connection = discovery.accept();
         expect_watch_from(&mut connection, 41);
@@ -118,7 +118,7 @@
 #[test]
 fn without_a_cached_list_the_complete_list_is_fetched_first() {
     let discovery = Peer::new();
-    let balancer = Setup::knowing(&[]).watched_discovery(discovery.address).start();
+    let balancer = Setup::with_upstreams(&[]).watched_discovery(discovery.address).start();
     assert_eq!(balancer.send(READINESS_CHECK).status(), 503);
     let mut connection = discovery.accept();
     assert_eq!(read_poll(&mut connection).first_line(), SNAPSHOT_REQUEST);
@@ -187,7 +187,7 @@
         let (discovery, upstream, stalled) = (Peer::new(), Peer::new(), StalledListener::new());
         let address = upstream.address;
         let _requests = upstream.serve_ok();
-        let setup = Setup::knowing(&[stalled.address]).polled_discovery(discovery.address);
+        let setup = Setup::with_upstreams(&[stalled.address]).polled_discovery(discovery.address);
         // No connection attempt fails before the end of the test, so a retry elsewhere cannot be the reason for success.
         let balancer = setup.connect_timeout_ms(60_000).with_admin().start();
         let mut client = balancer.connect();
@@ -214,7 +214,7 @@
 #[test]
 fn an_unreadable_entry_does_not_invalidate_others_and_its_instance_gets_no_new_requests() {
     let (discovery, first, second) = (Peer::new(), Peer::new(), RespondingUpstream::start());
-    let balancer = Setup::knowing(&[first.address]).polled_discovery(discovery.address).start();
+    let balancer = Setup::with_upstreams(&[first.address]).polled_discovery(discovery.address).start();
     let mut watch = discovery.accept();
     let readable = endpoint("s-9", second.address, "SERVING");
     // An unknown lifecycle, in an entry with line breaks, which lists may have.
@@ -258,7 +258,7 @@
     let discovery = Peer::new();
     let address = discovery.address;
     let polls = discovery.serve(move |_, stream| respond(stream));
-    let setup = Setup::knowing(&[upstream.address]).memory_mb(MEMORY_MB).drain_grace_ms(2500);
+    let setup = Setup::with_upstreams(&[upstream.address]).memory_mb(MEMORY_MB).drain_grace_ms(2500);
     let balancer = setup.polled_discovery(address).start();
     // Requests follow each other, at most two at a time.
     for _ in 0..6 {
--- a/crates/proxy/tests/hot_restart.rs
+++ b/crates/proxy/tests/hot_restart.rs
@@ -62,7 +62,7 @@
     let folder = SharedFolder::new("replaced");
     let listener = free_listener();
     let start = || {
-        let setup = Setup::knowing(&upstreams.addresses()).with_admin();
+        let setup = Setup::with_upstreams(&upstreams.addresses()).with_admin();
         setup.folder(&folder).inherited_listener(&listener).start()
     };
     let mut current = start();
@@ -88,7 +88,7 @@
     let folder = SharedFolder::new("died");
     let listener = free_listener();
     let setup = || {
-        let setup = Setup::knowing(&[first.address, second.address]).with_admin();
+        let setup = Setup::with_upstreams(&[first.address, second.address]).with_admin();
         setup.folder(&folder).inherited_listener(&listener)
     };
     let process = setup().start();
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -84,7 +84,7 @@
         let (applied_sender, applied_lists) = channel();
         let current_list: Arc<Mutex<Option<String>>> = list.clone();
         std::thread::spawn(move || {
-            for stream in peer.incoming() {
+            for stream in peer.into_connections() {
                 let list = current_list.lock().expect("no panic").clone();
                 let Some(list) = list else {
                     let _ = closed_sender.send(());
@@ -142,7 +142,7 @@
 
 /// Describes a balancer that knows one upstream and has the smallest allowed limit on descriptors.
 fn setup(upstream: SocketAddr, discovery: SocketAddr) -> Setup {
-    Setup::knowing(&[upstream]).watched_discovery(discovery).sockets(SOCKETS).descriptor_limit(SOCKETS)
+    Setup::with_upstreams(&[upstream]).watched_discovery(discovery).sockets(SOCKETS).descriptor_limit(SOCKETS)
 }
 
 /// Returns an endpoint list in which the upstream at `old` drains and a new one at `new` serves.
--- a/crates/proxy/tests/messages.rs
+++ b/crates/proxy/tests/messages.rs
@@ -29,7 +29,7 @@
 
 /// Starts a balancer with the admin API that knows one endpoint.
 fn start_with_admin() -> Balancer {
-    Setup::knowing(&[closed_address()]).with_admin().start()
+    Setup::with_upstreams(&[closed_address()]).with_admin().start()
 }
 
 /// Sends bytes to the admin API and returns the response without its date.
@@ -129,7 +129,7 @@
 #[test]
 fn an_override_that_cannot_be_written_is_answered_to_the_byte() {
     let folder = SharedFolder::new("unwritable");
-    let balancer = Setup::knowing(&[closed_address()]).with_admin().folder(&folder).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).with_admin().folder(&folder).start();
     std::fs::remove_dir_all(&folder.path).expect("the folder is removed");
     let text = "not kept: No such file or directory (os error 2)";
     let expected = admin_response("500 Internal Server Error", "", text);
@@ -142,7 +142,7 @@
 fn a_balancer_without_an_endpoint_list_answers_that_it_is_not_ready() {
     // Accepts connections and never responds, so that no list arrives.
     let discovery = Peer::new();
-    let balancer = Setup::knowing(&[]).with_admin().polled_discovery(discovery.address).start();
+    let balancer = Setup::with_upstreams(&[]).with_admin().polled_discovery(discovery.address).start();
     let expected = admin_response("503 Service Unavailable", "", "not ready");
     assert_eq!(admin_request(&balancer, "GET", "/api/ready"), expected);
     let expected = client_response("503 Service Unavailable", "", "not ready");
@@ -162,7 +162,7 @@
 
 #[test]
 fn readiness_and_routing_errors_are_answered_to_the_byte() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     for (line, headers, status, text) in [
         ("GET /health/ready", &[][..], "200 OK", "ready"),
         ("GET /nothing", &[], "404 Not Found", "no such path"),
@@ -176,7 +176,7 @@
 
 #[test]
 fn invalid_headers_are_answered_to_the_byte() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let unfit = "method or Idempotency-Key do not fit the class";
     let twice = "a header that may stand once stands twice";
     let not_a_number = "Req-Deadline-Ms is no number";
@@ -202,7 +202,7 @@
 
 #[test]
 fn bodies_that_are_not_accepted_are_answered_to_the_byte() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     // The connection is closed: bytes that follow an unread body cannot be parsed as the next request.
     let close = "connection: close\r\n";
     let unfit = send_headers(&balancer, "GET /api", &[REQUEST_ID, LOOK, "Content-Length: 4\r\n"], "body");
@@ -215,7 +215,7 @@
 
 #[test]
 fn unparsable_requests_are_answered_to_the_byte() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let long = format!("GET /api HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(100_000));
     for (request, status) in [
         ("what?\r\n\r\n", "400 Bad Request"),
@@ -241,7 +241,7 @@
 
 #[test]
 fn a_body_with_broken_framing_is_answered_to_the_byte() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let head =
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r-1\r\nReq-Kind: pay\r\nTransfer-Encoding: chunked\r\n";
     let response = balancer.send(&format!("{head}\r\nzz\r\n"));
@@ -252,13 +252,13 @@
 #[test]
 fn rejected_failed_and_timed_out_requests_are_answered_to_the_byte() {
     // Nothing listens on the address of the upstream: the attempt never ran, so the client may retry it.
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let rejected = balancer.send(&request("pay", "r-1", "Req-Deadline-Ms: 900\r\n"));
     let expected = client_response("503 Service Unavailable", "", "refused");
     assert_eq!(without_date(&rejected), expected);
 
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve(|message, stream| {
         if message.header("req-id") == Some("r-fails") {
             respond(stream, "500 Error", "", b"");
@@ -273,7 +273,7 @@
 #[test]
 fn a_forwarded_response_keeps_its_headers_and_body_to_the_byte() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve(|_, stream| {
         let headers = "X-Other: 2\r\nSrv-Load: 0.5\r\nConnection: x-hop\r\nX-Hop: 1\r\n";
         respond(stream, "200 OK", headers, b"done");
@@ -286,7 +286,7 @@
 fn a_balancer_without_free_permits_answers_to_the_byte() {
     // 46 descriptors leave 3 permits for clients.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).sockets(46).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(46).start();
     let _in_flight = balancer.start_requests(&upstream, 3);
     let rejected = balancer.send(&request("pay", "r-9", ""));
     let expected = client_response("503 Service Unavailable", "connection: close\r\n", "no place");
@@ -297,7 +297,7 @@
 fn a_balancer_without_memory_for_bodies_answers_to_the_byte() {
     // Of 1 MB, bodies and responses may take 0.4 MB: three bodies of the largest buffered size.
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).memory_mb(1).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).memory_mb(1).start();
     let start = |id| RequestInFlight::start(balancer.connect(), &upstream, &large_request(id));
     let _in_flight = ["r-1", "r-2", "r-3"].map(start);
     let expected = client_response("503 Service Unavailable", "connection: close\r\n", "no room");
--- a/crates/proxy/tests/override_faults.rs
+++ b/crates/proxy/tests/override_faults.rs
@@ -9,7 +9,7 @@
 
 /// Describes a balancer with the admin API whose processes share `folder`.
 fn setup_in(folder: &SharedFolder) -> Setup {
-    Setup::knowing(&[closed_address()]).with_admin().folder(folder)
+    Setup::with_upstreams(&[closed_address()]).with_admin().folder(folder)
 }
 
 /// Reads the stored overrides.
@@ -102,7 +102,7 @@
 fn a_full_disk_does_not_prevent_the_start() {
     let upstream = RespondingUpstream::start();
     let folder = SharedFolder::new("full-disk");
-    let setup = Setup::knowing(&[upstream.address]).with_admin().folder(&folder);
+    let setup = Setup::with_upstreams(&[upstream.address]).with_admin().folder(&folder);
     let balancer = setup.inherited_listener(&free_listener()).faults("create:ENOSPC").start();
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
     assert_eq!(balancer.send(&request("look", "r-1", "")).status(), 200);
--- a/crates/proxy/tests/pipelined.rs
+++ b/crates/proxy/tests/pipelined.rs
@@ -19,7 +19,7 @@
 #[test]
 fn pipelined_requests_are_answered_one_after_the_other_without_delay() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     let mut client = balancer.connect();
     let mut pipelined = String::new();
@@ -86,7 +86,7 @@
 fn a_request_that_waited_for_a_permit_is_forwarded_with_the_deadline_that_its_client_has_left() {
     let upstream = Peer::new();
     // 42 descriptors leave one permit for clients and one connection to an upstream.
-    let balancer = Setup::knowing(&[upstream.address]).sockets(42).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).sockets(42).start();
     let first = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
     let RequestInFlight { client: mut permit_holder, upstream: mut first } = first;
     let mut client = balancer.connect();
--- a/crates/proxy/tests/ready.rs
+++ b/crates/proxy/tests/ready.rs
@@ -87,8 +87,10 @@
 ) -> MeasuredStart {
     let endpoints =
         if has_cached_list { vec![endpoint("s-0", closed_address(), "SERVING")] } else { Vec::new() };
-    let setup =
-        Setup::knowing(&[]).cached_endpoints(endpoints).watched_discovery(discovery).drain_grace_ms(2500);
+    let setup = Setup::with_upstreams(&[])
+        .cached_endpoints(endpoints)
+        .watched_discovery(discovery)
+        .drain_grace_ms(2500);
     start_together.wait();
     let start = Instant::now();
     let balancer = setup.start();
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -10,7 +10,7 @@
 
 /// Describes a balancer that knows one endpoint, on which nothing listens, and polls discovery at this address.
 fn setup(discovery: SocketAddr) -> Setup {
-    Setup::knowing(&[closed_address()]).polled_discovery(discovery)
+    Setup::with_upstreams(&[closed_address()]).polled_discovery(discovery)
 }
 
 #[test]
@@ -52,7 +52,7 @@
 fn the_last_of_several_reloads_applies_and_an_invalid_file_changes_nothing() {
     let discoveries: Vec<Peer> = (0..3).map(|_| Peer::new()).collect();
     let upstream = Peer::new();
-    let setup_at_start = Setup::knowing(&[upstream.address]).polled_discovery(discoveries[0].address);
+    let setup_at_start = Setup::with_upstreams(&[upstream.address]).polled_discovery(discoveries[0].address);
     let mut balancer = setup_at_start.start();
     // Kept open: a watch whose connection ends is restarted, at the address that is configured by then.
     let mut first = discoveries[0].accept();
@@ -93,6 +93,6 @@
     balancer.reload(&config[..config.len() / 2]);
     balancer.wait_for_log("rejected");
     fs::write(&balancer.config_path, &config).expect("the configuration is written");
-    let connection = new.incoming().recv_timeout(Duration::from_secs(3));
+    let connection = new.into_connections().recv_timeout(Duration::from_secs(3));
     assert!(connection.is_ok(), "the new discovery was never polled");
 }
--- a/crates/proxy/tests/settings.rs
+++ b/crates/proxy/tests/settings.rs
@@ -193,7 +193,7 @@
     for (name, customer) in [("shortest", shortest()), ("longest", longest()), ("sparsest", sparsest())] {
         let upstream = Peer::new();
         let config = customer.config(upstream.address).to_string();
-        let balancer = Setup::knowing(&[]).complete_config(config).start();
+        let balancer = Setup::with_upstreams(&[]).complete_config(config).start();
         let requests = upstream.serve_ok();
         let mut request_id = 0;
         for (class, tenant) in customer.classes.iter().zip(customer.tenants.iter().cycle()) {
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_balancer_is_ready_once_it_has_an_endpoint_list() {
     let discovery = Peer::new();
-    let balancer = Setup::knowing(&[]).polled_discovery(discovery.address).start();
+    let balancer = Setup::with_upstreams(&[]).polled_discovery(discovery.address).start();
     let mut watch = discovery.accept();
     read_poll(&mut watch);
     assert_eq!(balancer.send(READINESS_CHECK).status(), 503);
@@ -41,7 +41,7 @@
     read_poll(&mut watch);
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
     // A cached list is enough.
-    assert_eq!(Setup::knowing(&[upstream.address]).start().send(READINESS_CHECK).status(), 200);
+    assert_eq!(Setup::with_upstreams(&[upstream.address]).start().send(READINESS_CHECK).status(), 200);
 }
 
 /// Requests that clients sent just after the start of a shutdown.
@@ -80,7 +80,7 @@
 fn a_graceful_shutdown_answers_requests_in_flight_and_new_ones() {
     assert_in_time(|| {
         let upstream = Peer::new();
-        let mut balancer = Setup::knowing(&[upstream.address]).start();
+        let mut balancer = Setup::with_upstreams(&[upstream.address]).start();
         let mut reused = balancer.connect();
         assert_eq!(exchange(&mut reused, READINESS_CHECK).status(), 200);
         let unused = balancer.connect();
@@ -116,7 +116,7 @@
 fn a_request_accepted_late_in_a_shutdown_is_answered_before_the_kill() {
     assert_in_time(|| {
         let upstream = Peer::new();
-        let mut balancer = Setup::knowing(&[upstream.address]).start();
+        let mut balancer = Setup::with_upstreams(&[upstream.address]).start();
         let mut client = balancer.connect();
         assert_eq!(exchange(&mut client, READINESS_CHECK).status(), 200);
         let shutdown = balancer.start_shutdown();
@@ -143,20 +143,20 @@
 fn a_killed_balancer_restarts_at_the_same_address() {
     let upstream = Peer::new();
     // An IP address that no other test uses, so that no other test takes the port in between.
-    let setup = Setup::knowing(&[upstream.address]).listen("127.0.0.9:0".to_owned());
+    let setup = Setup::with_upstreams(&[upstream.address]).listen("127.0.0.9:0".to_owned());
     let mut balancer = setup.start();
     let mut in_flight = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
     balancer.process.kill().expect("the process is killed");
     balancer.process.wait().expect("the exit status");
     assert!(peer_closed(&mut in_flight.client) && peer_closed(&mut in_flight.upstream));
-    let restarted = Setup::knowing(&[upstream.address]).listen(balancer.address.to_string()).start();
+    let restarted = Setup::with_upstreams(&[upstream.address]).listen(balancer.address.to_string()).start();
     let _requests = upstream.serve_ok();
     assert_eq!(restarted.send(&request("pay", "r-2", "")).status(), 200);
 }
 
 #[test]
 fn an_unfinished_request_does_not_delay_the_shutdown() {
-    let mut balancer = Setup::knowing(&[closed_address()]).start();
+    let mut balancer = Setup::with_upstreams(&[closed_address()]).start();
     let mut unfinished = balancer.connect();
     send(&mut unfinished, "GET /api HTTP/1.1\r\nHost:");
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
@@ -169,7 +169,7 @@
 #[test]
 fn requests_accepted_before_the_listener_closed_are_answered() {
     let upstream = Peer::new();
-    let mut balancer = Setup::knowing(&[upstream.address]).start();
+    let mut balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve_ok();
     // A reused connection, an unused one, one with an unfinished head, and new ones.
     let mut reused = balancer.connect();
@@ -199,7 +199,7 @@
     // New connections are accepted for 0.4 s after the start of the shutdown.
     assert_in_time(|| {
         let upstream = Peer::new();
-        let mut balancer = Setup::knowing(&[upstream.address]).deadline_ms(200).start();
+        let mut balancer = Setup::with_upstreams(&[upstream.address]).deadline_ms(200).start();
         let _requests = upstream.serve_ok();
         let shutdown = balancer.start_shutdown();
         std::thread::sleep(Duration::from_millis(400));
@@ -219,7 +219,7 @@
     // An idle connection is closed after two seconds. The process is suspended past that, and the request arrives
     // meanwhile.
     let upstream = RespondingUpstream::start();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut client = balancer.connect();
     assert_eq!(exchange(&mut client, READINESS_CHECK).status(), 200);
     balancer.while_suspended(|| {
@@ -264,7 +264,7 @@
 fn connections_that_wait_for_a_permit_are_answered_during_a_shutdown() {
     // 46 descriptors leave 3 permits for clients, and requests in flight hold them until the end of the test.
     let upstream = Peer::new();
-    let mut balancer = Setup::knowing(&[upstream.address]).sockets(46).deadline_ms(30_000).start();
+    let mut balancer = Setup::with_upstreams(&[upstream.address]).sockets(46).deadline_ms(30_000).start();
     let mut in_flight = balancer.start_requests(&upstream, 3);
     let mut waiting = Vec::new();
     let shutdown = balancer.start_shutdown();
--- a/crates/proxy/tests/soak/chaos.rs
+++ b/crates/proxy/tests/soak/chaos.rs
@@ -150,6 +150,6 @@
     folder: &SharedFolder,
     fault_plan: &str,
 ) -> Balancer {
-    let setup = Setup::knowing(upstreams).inherited_listener(listener).folder(folder);
+    let setup = Setup::with_upstreams(upstreams).inherited_listener(listener).folder(folder);
     setup.with_admin().faults(fault_plan).deadline_ms(CLASS_DEADLINE_MS).start()
 }
--- a/crates/proxy/tests/stored_state.rs
+++ b/crates/proxy/tests/stored_state.rs
@@ -82,7 +82,7 @@
 
 /// Starts a process with an inherited listener and a shared folder, as during a hot restart.
 fn start(folder: &SharedFolder, upstreams: &[SocketAddr]) -> Balancer {
-    Setup::knowing(upstreams).inherited_listener(&free_listener()).folder(folder).with_admin().start()
+    Setup::with_upstreams(upstreams).inherited_listener(&free_listener()).folder(folder).with_admin().start()
 }
 
 /// Waits until the process replaces the learned state `before`, and returns the state that it has stored.
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -50,7 +50,7 @@
     for error in ["ECONNABORTED", "EINTR", "ENFILE", "EMFILE", "ENOBUFS"] {
         let upstream = RespondingUpstream::start();
         let faults = format!("accept4:{error}/3");
-        let balancer = Setup::knowing(&[upstream.address]).faults(&faults).deadline_ms(1000).start();
+        let balancer = Setup::with_upstreams(&[upstream.address]).faults(&faults).deadline_ms(1000).start();
         assert_eq!(balancer.send(READINESS_CHECK).status(), 200, "{error}");
         balancer.terminate();
         // If each failure cost a pause, not all of these connections would be accepted before the listener is closed.
@@ -69,7 +69,7 @@
 #[test]
 fn failed_accepts_delay_no_request() {
     let upstream = RespondingUpstream::start();
-    let balancer = Setup::knowing(&[upstream.address]).faults("accept4:ECONNABORTED/2").start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).faults("accept4:ECONNABORTED/2").start();
     let start = Instant::now();
     assert_eq!(failures(balancer.address, REQUESTS), NO_FAILURES);
     assert!(start.elapsed() < Duration::from_millis(800), "{:?}", start.elapsed());
@@ -79,7 +79,7 @@
 fn interrupted_calls_end_no_request() {
     let upstream = RespondingUpstream::start();
     let faults = "recv:EINTR/3,peek:EINTR/2,send:EINTR/3,connect:EINTR/2,epoll_wait:EINTR/5,accept4:EINTR/3";
-    let start = || Setup::knowing(&[upstream.address]).faults(faults).start();
+    let start = || Setup::with_upstreams(&[upstream.address]).faults(faults).start();
     assert_eq!(failures(start().address, REQUESTS), NO_FAILURES);
     assert_eq!(count_served(&start(), REQUESTS), REQUESTS);
 }
@@ -88,7 +88,7 @@
 fn short_reads_and_writes_end_no_request() {
     let upstream = RespondingUpstream::start();
     let faults = "recv:short=7,send:short=11";
-    let balancer = Setup::knowing(&[upstream.address]).faults(faults).deadline_ms(5000).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).faults(faults).deadline_ms(5000).start();
     assert_eq!(failures(balancer.address, 30), NO_FAILURES);
     assert_eq!(count_served(&balancer, 30), 30);
 }
@@ -98,7 +98,7 @@
     let upstream = RespondingUpstream::start();
     // A fixed port, because the log cannot be read for it.
     let listen = free_listener().local_addr().expect("the local address").to_string();
-    let mut balancer = Setup::knowing(&[upstream.address]).listen(listen).log_to(log).start();
+    let mut balancer = Setup::with_upstreams(&[upstream.address]).listen(listen).log_to(log).start();
     let is_listening = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
         TcpStream::connect(balancer.address).is_ok()
@@ -127,7 +127,7 @@
 fn interrupted_reads_at_a_signal_end_no_request() {
     for _ in 0..4 {
         let upstream = RespondingUpstream::start();
-        let mut balancer = Setup::knowing(&[upstream.address]).faults("recv:EINTR/2").start();
+        let mut balancer = Setup::with_upstreams(&[upstream.address]).faults("recv:EINTR/2").start();
         assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
         balancer.reload(&std::fs::read_to_string(&balancer.config_path).expect("the configuration"));
         balancer.wait_for_log("read again");
