--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -10,9 +10,9 @@
 use super::process::lock_process_start;
 use super::{EVENT_TIMEOUT, Message, Peer, RequestInFlight, exchange, peer_closed, request};
 
-/// Time after the start of a graceful shutdown at which the listener is certainly due to close. The balancer closes it
-/// after 0.37 of the 3.5 s that a shutdown may take.
-const LISTENER_CLOSES_AFTER: Duration = Duration::from_millis(1400);
+/// Time after the start of a graceful shutdown by which the listener is due to close. The balancer closes it after 0.37
+/// of the 3.5 s that a shutdown may take.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(1400);
 
 /// A running balancer process; killed when dropped.
 pub struct Balancer {
@@ -22,7 +22,7 @@
     pub address: SocketAddr,
     /// Address of the admin API; `None` if it is not enabled.
     pub admin_address: Option<SocketAddr>,
-    /// Lines of the log that were not read yet. Empty if the log was redirected.
+    /// Log lines that the test has not read yet. There are none if the log was redirected.
     pub log: Receiver<String>,
     /// The configuration file that it reads at its start and after SIGHUP.
     pub config_path: PathBuf,
@@ -55,8 +55,7 @@
         exchange(&mut self.connect(), request)
     }
 
-    /// Sends a request for each number, one after the other and each on a new connection. Asserts that all of them
-    /// succeed.
+    /// Sends a request for each number, one after the other and each on a new connection. Asserts that each succeeds.
     #[track_caller]
     pub fn serve_requests(&self, numbers: Range<u32>) {
         for number in numbers {
@@ -66,7 +65,8 @@
         }
     }
 
-    /// Sends so many requests, each on a new connection, which the upstream has received and not yet responded to.
+    /// Sends `count` requests, each on a new connection, and waits until the upstream has received each. The upstream
+    /// has not responded to any of them.
     pub fn start_requests(&self, upstream: &Peer, count: usize) -> Vec<RequestInFlight> {
         let start = |number| {
             let text = request("pay", &format!("r-{number}"), "");
@@ -99,7 +99,7 @@
     pub fn while_suspended_until_listener_closes(&self, shutdown: Instant, action: impl FnOnce()) {
         self.while_suspended(|| {
             action();
-            std::thread::sleep(LISTENER_CLOSES_AFTER.saturating_sub(shutdown.elapsed()));
+            std::thread::sleep(LISTENER_CLOSE_DELAY.saturating_sub(shutdown.elapsed()));
         });
     }
 
@@ -161,8 +161,9 @@
     fn memory_kb(&self, field: &str) -> usize {
         let path = format!("/proc/{}/status", self.process.id());
         let status = std::fs::read_to_string(path).expect("the status of the process");
-        let value = status.lines().find_map(|line| line.strip_prefix(field)).expect("the field");
-        value.trim().trim_end_matches(" kB").parse().expect("a number of kB")
+        let value =
+            status.lines().find_map(|line| line.strip_prefix(field)).expect("the status has the field");
+        value.trim().trim_end_matches(" kB").parse().expect("the value is a number of kB")
     }
 }
 
--- a/crates/proxy/tests/common/config.rs
+++ b/crates/proxy/tests/common/config.rs
@@ -38,15 +38,15 @@
     }
 }
 
-/// The settings of the platform that tests vary.
+/// The platform settings that tests vary.
 pub struct PlatformSettings {
-    /// Names of the tiers; the balancer forwards to the first.
+    /// Names of the tiers; the balancer forwards to upstreams of the first.
     pub tiers: Vec<&'static str>,
-    /// Number of all balancers of the service.
+    /// Total number of balancers of the service.
     pub balancer_count: u32,
     /// Names of the zones that have balancers; this balancer is in zone `a`.
     pub zones: Vec<&'static str>,
-    /// Time in which a draining endpoint has to be noticed; the wait of a watch is a part of it.
+    /// Time within which the balancer has to notice that an endpoint drains. A watch waits for a fraction of it.
     pub drain_grace_ms: u32,
     /// Latency objective and deadline of every class.
     pub deadline_ms: u32,
@@ -115,15 +115,15 @@
 pub struct BalancerConfig {
     /// Address and port on which the balancer accepts clients.
     pub listen: String,
-    /// How it learns of endpoints.
+    /// How the balancer learns of endpoints.
     pub discovery: Discovery,
-    /// Entries of the cached endpoint list as JSON; without entries there is no list.
+    /// Entries of the cached endpoint list as JSON. Without entries there is no cached list.
     pub cached_endpoints: Vec<String>,
-    /// Limit on descriptors.
+    /// Limit on file descriptors.
     pub sockets: usize,
     /// Limit on memory, in MB.
     pub memory_mb: usize,
-    /// Settings of the platform.
+    /// The platform settings.
     pub settings: PlatformSettings,
 }
 
--- a/crates/proxy/tests/common/disconnect.rs
+++ b/crates/proxy/tests/common/disconnect.rs
@@ -10,18 +10,18 @@
 pub enum Disconnect {
     /// The client closes its connection.
     Close,
-    /// The client shuts down the direction in which it sends.
+    /// The client shuts down its sending direction.
     HalfClose,
     /// The client resets its connection.
     Reset,
 }
 
 impl Disconnect {
-    /// All ways, in the order of their declaration.
+    /// All variants, in the order of their declaration.
     pub const ALL: [Disconnect; 3] = [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset];
 }
 
-/// Disconnects a client. After a half-close, returns its connection: the other direction stays open until it is
+/// Disconnects a client. After a half-close, returns its connection, whose receiving direction stays open until it is
 /// dropped.
 pub fn disconnect(client: TcpStream, how: Disconnect) -> Option<TcpStream> {
     let _lock = lock_process_start();
--- a/crates/proxy/tests/common/endpoint_list.rs
+++ b/crates/proxy/tests/common/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in the JSON form of discovery, and the exchange of them.
+//! Endpoint lists in the JSON format of discovery, and the responses that carry them.
 
 use std::net::{SocketAddr, TcpStream};
 
@@ -11,13 +11,12 @@
     )
 }
 
-/// Returns an endpoint list of version `generation` as JSON. With `reset` it is a snapshot, without it an incremental
-/// update.
-pub fn endpoint_list(generation: u64, reset: bool, entries: &[String]) -> String {
-    format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, entries.join(","))
+/// Returns an endpoint list of version `generation` as JSON: a snapshot or an incremental update.
+pub fn endpoint_list(generation: u64, is_snapshot: bool, entries: &[String]) -> String {
+    format!(r#"{{"generation":{generation},"reset":{is_snapshot},"instances":[{}]}}"#, entries.join(","))
 }
 
-/// Request line by which the balancer asks for a snapshot.
+/// Request line with which the balancer asks for a snapshot.
 pub const SNAPSHOT_REQUEST: &str = "GET /registry/instances HTTP/1.1";
 
 /// Waits for the next request to discovery on a connection.
--- a/crates/proxy/tests/common/launch.rs
+++ b/crates/proxy/tests/common/launch.rs
@@ -18,7 +18,7 @@
 /// The environment in which a balancer process is started.
 #[derive(Default)]
 pub struct Launch {
-    /// Limit on descriptors that the kernel enforces; `None` for the limit of the test program.
+    /// Limit on file descriptors that the kernel enforces; `None` for the limit of the test program.
     pub descriptor_limit: Option<usize>,
     /// Whether the admin API is enabled, on a free port (`EDGE_MANAGEMENT`).
     pub has_admin: bool,
@@ -30,7 +30,7 @@
     pub fault_plan: String,
     /// File that enables the plan while it exists; `None` if the plan is always enabled.
     pub fault_switch: Option<PathBuf>,
-    /// Destination of the log; `None` for [`Balancer::log`].
+    /// Destination of the log; `None` if the lines go to [`Balancer::log`].
     pub log: Option<Stdio>,
 }
 
@@ -68,7 +68,7 @@
     /// Returns the command that starts the program in this environment.
     fn command(self, config_path: &Path, discovery: SocketAddr) -> Command {
         let mut command = self.program();
-        // The platform sets this variable too. It keeps its value from the start of the process, also after a reload.
+        // The platform sets EDGE_DISCOVERY too. A reload does not change the variable.
         command.env("EDGE_DISCOVERY", discovery.to_string()).env("EDGE_CONFIG", config_path);
         command.env_remove("TMPDIR").env_remove("EDGE_FD").env_remove("EDGE_MANAGEMENT");
         if let Some(folder) = &self.folder {
@@ -91,7 +91,7 @@
         command
     }
 
-    /// Returns the command that starts the program, through a shell if it has a limit on descriptors.
+    /// Returns the command that starts the program, through a shell if a limit on file descriptors is set.
     fn program(&self) -> Command {
         let Some(limit) = self.descriptor_limit else { return Command::new(PROGRAM) };
         let mut shell = Command::new("/bin/sh");
--- a/crates/proxy/tests/common/message.rs
+++ b/crates/proxy/tests/common/message.rs
@@ -3,7 +3,7 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 
-/// A readiness check.
+/// Request that asks the balancer whether it is ready.
 pub const READINESS_CHECK: &str = "GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n";
 
 /// An HTTP message as it was received.
@@ -27,7 +27,7 @@
         status.and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Returns the value of the first header with this name, in any case; `None` if there is none.
+    /// Returns the value of the first header with this name, ignoring case; `None` if there is none.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
         let (_, value) = headers.find(|(found, _)| found.eq_ignore_ascii_case(name))?;
@@ -37,7 +37,7 @@
     /// Returns the deadline of a request in milliseconds.
     ///
     /// # Panics
-    /// The header is absent or no number.
+    /// The header is absent or is not a number.
     pub fn deadline_ms(&self) -> u64 {
         let deadline = self.header("req-deadline-ms").and_then(|value| value.parse().ok());
         deadline.expect("a deadline in milliseconds")
@@ -75,13 +75,13 @@
     Some(Message { head: String::from_utf8(head).ok()?, body: Vec::new() })
 }
 
-/// Writes text, which the peer must accept.
+/// Writes text. Panics if the connection fails.
 #[track_caller]
 pub fn send(stream: &mut TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).expect("the peer is connected");
 }
 
-/// Writes a response; each line of `headers` ends with CRLF. A peer that disconnected is no failure.
+/// Writes a response; each line of `headers` ends with CRLF. The peer may have disconnected, so errors are ignored.
 pub fn respond(stream: &mut TcpStream, status: &str, headers: &str, body: &[u8]) {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
     let _ = stream.write_all(&[head.as_bytes(), body].concat());
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests that run the balancer as a process between scripted upstreams, discovery services and clients on
-//! loopback. Every wait is for an event and is bounded by [`EVENT_TIMEOUT`].
+//! Helpers for tests that run the balancer as a process, with scripted upstreams, discovery services and clients on the
+//! loopback interface. Every wait is for an event and is bounded by [`EVENT_TIMEOUT`].
 
 // Each test program compiles this module and uses only a part of it.
 #![allow(dead_code, unused_imports)]
@@ -34,14 +34,14 @@
 /// Upper bound on the wait for any single event. No event takes this long, however busy the machine is.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Number of times that [`assert_in_time`] repeats a test.
-const MAX_ATTEMPTS: usize = 5;
+/// Maximum number of times that [`assert_in_time`] runs a test.
+const MAX_TEST_RUNS: usize = 5;
 
-/// Runs a test whose steps have to meet an interval, until it returns that they did. On a busy machine the test program
-/// itself may miss the interval, and then the test shows nothing.
+/// Repeats a timing-sensitive test until it returns that its steps took place in time. On a busy machine the test
+/// program itself may be late, and then the run proves nothing.
 ///
 /// # Panics
-/// The test was never in time.
+/// The steps of the test were late in every run.
 pub fn assert_in_time(mut test: impl FnMut() -> bool) {
-    assert!((0..MAX_ATTEMPTS).any(|_| test()), "never in time");
+    assert!((0..MAX_TEST_RUNS).any(|_| test()), "the steps of the test were late in every run");
 }
--- a/crates/proxy/tests/common/peer.rs
+++ b/crates/proxy/tests/common/peer.rs
@@ -16,10 +16,10 @@
 impl Peer {
     /// Listens on a free port.
     pub fn new() -> Peer {
-        Peer::on(TcpListener::bind("127.0.0.1:0").expect("a free port"))
+        Peer::from_listener(TcpListener::bind("127.0.0.1:0").expect("a free port"))
     }
 
-    fn on(listener: TcpListener) -> Peer {
+    fn from_listener(listener: TcpListener) -> Peer {
         let address = listener.local_addr().expect("the local address");
         let (sender, connections) = channel();
         std::thread::spawn(move || {
@@ -39,7 +39,7 @@
         self.connections.recv_timeout(EVENT_TIMEOUT).expect("a connection")
     }
 
-    /// Returns the channel of all further connections.
+    /// Returns the channel that delivers all further connections.
     pub fn into_connections(self) -> Receiver<TcpStream> {
         self.connections
     }
@@ -49,7 +49,7 @@
         self.connections.try_recv().is_err()
     }
 
-    /// Handles the requests of each connection on a separate thread and returns the channel of all requests.
+    /// Handles the requests of each connection on a separate thread and returns a channel that delivers the requests.
     pub fn serve(
         self,
         handle: impl Fn(&Message, &mut TcpStream) + Clone + Send + 'static,
@@ -69,7 +69,7 @@
         requests
     }
 
-    /// Responds to each request with status 200 and returns the channel of all requests.
+    /// Responds to each request with status 200 and returns a channel that delivers the requests.
     pub fn serve_ok(self) -> Receiver<Message> {
         self.serve(|_, stream| respond_ok(stream))
     }
@@ -102,7 +102,7 @@
     pub address: SocketAddr,
     listener: TcpListener,
     /// The connections that fill the backlog.
-    fillers: Vec<TcpStream>,
+    backlog_connections: Vec<TcpStream>,
 }
 
 impl StalledListener {
@@ -114,23 +114,23 @@
         socket.listen(0).expect("the socket listens");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("the local address");
-        let filler = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        let fillers = (0..4).map_while(filler).collect();
-        StalledListener { address, listener, fillers }
+        let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
+        let backlog_connections = (0..4).map_while(connect).collect();
+        StalledListener { address, listener, backlog_connections }
     }
 
-    /// Lets connections be established from now on. The kernel of a client that is connecting retries a second after
-    /// its last attempt.
+    /// Empties the backlog, so that connections can be established from now on. For a client that is connecting, the
+    /// kernel retries a second after its last attempt.
     pub fn open(self) -> Peer {
-        for _ in &self.fillers {
+        for _ in &self.backlog_connections {
             self.listener.accept().expect("a connection that filled the backlog");
         }
-        Peer::on(self.listener)
+        Peer::from_listener(self.listener)
     }
 }
 
-/// Returns an address on which nothing listens. The port is fixed and privileged, because another test could bind a port that
-/// was bound and released here.
+/// Returns an address on which nothing listens. The port is fixed and privileged, because another test could bind a
+/// port that was bound and released here.
 pub fn closed_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -27,7 +27,7 @@
 }
 
 impl SharedFolder {
-    /// Creates the folder; `name` is unique among the tests of a program.
+    /// Creates the folder; `name` must be unique among the tests of a program.
     pub fn new(name: &str) -> SharedFolder {
         let name = format!("zincstand-proxy-test-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
@@ -57,8 +57,8 @@
     path
 }
 
-/// Starts the program with a configuration and environment variables that it is expected to reject, and waits for its
-/// exit. With `None`, `EDGE_CONFIG` is not set.
+/// Starts the program with a configuration and environment variables that it is expected to reject, and waits until it
+/// exits. Without a configuration, `EDGE_CONFIG` is not set.
 pub fn run_until_exit(config: Option<&str>, variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_zincstand-proxy"));
     command.env_remove("EDGE_CONFIG").envs(variables.iter().copied());
--- a/crates/proxy/tests/common/setup.rs
+++ b/crates/proxy/tests/common/setup.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer and its start, as a builder.
+//! A builder that configures and starts a balancer.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -11,14 +11,14 @@
 /// How a balancer is configured and started.
 pub struct Setup {
     config: BalancerConfig,
-    /// A configuration file that replaces `config`.
+    /// Content of the configuration file, if it replaces `config`.
     complete_config: Option<String>,
     launch: Launch,
 }
 
 impl Setup {
-    /// Describes a balancer with a cached list of endpoints `s-0`, `s-1` and so on at these addresses, and without discovery.
-    /// With no address there is no cached list.
+    /// Describes a balancer without discovery that has a cached list of the endpoints `s-0`, `s-1` and so on at these
+    /// addresses. Without addresses there is no cached list.
     pub fn with_upstreams(upstreams: &[SocketAddr]) -> Setup {
         let endpoints = upstreams.iter().enumerate();
         let endpoints =
@@ -27,7 +27,7 @@
             tiers: vec!["t"],
             balancer_count: 1,
             zones: vec!["a"],
-            // Longer than any test: a watch without a response is not restarted.
+            // Longer than any test, so that a watch without a response is not restarted.
             drain_grace_ms: 90_000,
             deadline_ms: 20_000,
             connect_timeout_ms: 1000,
@@ -44,7 +44,7 @@
         Setup { config, complete_config: None, launch: Launch::default() }
     }
 
-    /// Replaces the whole configuration file.
+    /// Replaces the whole content of the configuration file.
     pub fn complete_config(mut self, config: String) -> Setup {
         self.complete_config = Some(config);
         self
@@ -56,33 +56,33 @@
         self
     }
 
-    /// Sets the address of a discovery that the policy polls.
+    /// Sets the address of a discovery service that the policy polls.
     pub fn polled_discovery(mut self, address: SocketAddr) -> Setup {
         self.config.discovery = Discovery::Polled(address);
         self
     }
 
-    /// Sets the address of a discovery that the policy does not poll: the discovery client restarts its watch by
-    /// itself.
+    /// Sets the address of a discovery service that the policy does not poll: the discovery client restarts its watch
+    /// by itself.
     pub fn watched_discovery(mut self, address: SocketAddr) -> Setup {
         self.config.discovery = Discovery::Watched(address);
         self
     }
 
-    /// Names the tiers; the balancer forwards to the first.
+    /// Sets the names of the tiers; the balancer forwards to upstreams of the first.
     pub fn tiers(mut self, tiers: &[&'static str]) -> Setup {
         self.config.settings.tiers = tiers.to_vec();
         self
     }
 
-    /// Sets the number of all balancers and their zones; this one is in zone `a`.
+    /// Sets the total number of balancers and their zones; this one is in zone `a`.
     pub fn balancers(mut self, count: u32, zones: &[&'static str]) -> Setup {
         self.config.settings.balancer_count = count;
         self.config.settings.zones = zones.to_vec();
         self
     }
 
-    /// Sets the time in which a draining endpoint has to be noticed.
+    /// Sets the time within which the balancer has to notice that an endpoint drains.
     pub fn drain_grace_ms(mut self, milliseconds: u32) -> Setup {
         self.config.settings.drain_grace_ms = milliseconds;
         self
@@ -106,7 +106,7 @@
         self
     }
 
-    /// Sets the configured limit on descriptors.
+    /// Sets the configured limit on file descriptors.
     pub fn sockets(mut self, sockets: usize) -> Setup {
         self.config.sockets = sockets;
         self
@@ -124,7 +124,7 @@
         self
     }
 
-    /// Sets the limit on descriptors that the kernel enforces (`ulimit -n`).
+    /// Sets the limit on file descriptors that the kernel enforces (`ulimit -n`).
     pub fn descriptor_limit(mut self, descriptors: usize) -> Setup {
         self.launch.descriptor_limit = Some(descriptors);
         self
@@ -160,7 +160,7 @@
         self
     }
 
-    /// Redirects the log. The balancer must then listen on a fixed address, because the log cannot be read for it.
+    /// Redirects the log. The balancer must then listen on a fixed address, because it cannot be read from the log.
     pub fn log_to(mut self, log: Stdio) -> Setup {
         self.launch.log = Some(log);
         self
--- a/crates/proxy/tests/common/single_upstream.rs
+++ b/crates/proxy/tests/common/single_upstream.rs
@@ -1,4 +1,4 @@
-//! The smallest complete path of a request: one client, the balancer and one upstream.
+//! A test fixture with one client, the balancer and one upstream.
 
 use std::net::TcpStream;
 
@@ -6,7 +6,7 @@
 
 /// A client that is connected to a balancer with one upstream.
 pub struct SingleUpstream {
-    /// The upstream, which the balancer knows as `s-0`.
+    /// The upstream; the balancer has it in its cached list as `s-0`.
     pub upstream: Peer,
     /// The balancer, without discovery.
     pub balancer: Balancer,
--- a/crates/proxy/tests/soak/client.rs
+++ b/crates/proxy/tests/soak/client.rs
@@ -14,17 +14,17 @@
 const CLASSES: [&str; 3] = ["look", "pull", "pay"];
 /// The class whose requests are not idempotent.
 const NOT_IDEMPOTENT: &str = "pay";
-/// Longest pause before a request and before a disconnect, in milliseconds.
+/// Upper bound on the pauses before a request and before a disconnect, in milliseconds.
 const MAX_PAUSE_MS: u64 = 40;
 /// Range of the deadlines, in milliseconds.
-const DEADLINE_MS: std::ops::Range<u64> = 300..1500;
-/// Percentage of requests that end in the middle.
+const DEADLINE_RANGE_MS: std::ops::Range<u64> = 300..1500;
+/// Percentage of requests that the client sends only in part.
 const TRUNCATED_PERCENT: u32 = 3;
 /// Percentage of complete requests whose client disconnects before the response.
 const DISCONNECT_PERCENT: u32 = 8;
-/// Time after the deadline within which a response is due.
+/// Time after the deadline by which a response is due.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
-/// Time after [`RESPONSE_SLACK`] for which the client goes on reading, to tell a late response from none.
+/// Time after [`RESPONSE_SLACK`] during which the client still reads, to distinguish a late response from none.
 const READ_SLACK: Duration = Duration::from_millis(200);
 
 /// A client of one balancer.
@@ -38,7 +38,7 @@
 }
 
 /// A request that is about to be sent.
-struct Outgoing {
+struct OutgoingRequest {
     id: String,
     text: String,
     deadline: Duration,
@@ -66,18 +66,18 @@
         }
     }
 
-    /// Sleeps for a random time of at most [`MAX_PAUSE_MS`].
+    /// Sleeps for a random time below [`MAX_PAUSE_MS`].
     fn pause(&mut self) {
         std::thread::sleep(Duration::from_millis(self.rng.u64(0..MAX_PAUSE_MS)));
     }
 
     /// Draws the class and the deadline of a request.
-    fn draw_request(&mut self, number: u32) -> Outgoing {
+    fn draw_request(&mut self, number: u32) -> OutgoingRequest {
         let class = CLASSES[self.rng.usize(0..CLASSES.len())];
-        let deadline = Duration::from_millis(self.rng.u64(DEADLINE_MS));
+        let deadline = Duration::from_millis(self.rng.u64(DEADLINE_RANGE_MS));
         let id = format!("{}-{number}", self.name);
         let text = request(class, &id, &format!("Req-Deadline-Ms: {}\r\n", deadline.as_millis()));
-        Outgoing { id, text, deadline, is_idempotent: class != NOT_IDEMPOTENT }
+        OutgoingRequest { id, text, deadline, is_idempotent: class != NOT_IDEMPOTENT }
     }
 
     /// Sends one request on a connection, which is new or was used before, and handles its response.
@@ -99,7 +99,7 @@
     }
 
     /// Writes a request in one or two parts. Returns whether it was written completely.
-    fn write_request(&mut self, request: &Outgoing, stream: &mut TcpStream) -> bool {
+    fn write_request(&mut self, request: &OutgoingRequest, stream: &mut TcpStream) -> bool {
         let sent = SentRequest {
             sent_at: Instant::now(),
             deadline: request.deadline,
@@ -119,28 +119,30 @@
     /// Waits for the response and records a violation if it is late, or absent on a new connection.
     fn receive_response(
         &mut self,
-        request: &Outgoing,
+        request: &OutgoingRequest,
         mut stream: TcpStream,
         is_new: bool,
         is_written: bool,
     ) {
-        let Outgoing { id, deadline, .. } = request;
+        let OutgoingRequest { id, deadline, .. } = request;
         let _ = stream.set_read_timeout(Some(*deadline + RESPONSE_SLACK + READ_SLACK));
         let start = Instant::now();
         let response = if is_written { read_message(&mut stream) } else { None };
         let elapsed = start.elapsed();
         let Some(response) = response else {
             if is_new {
-                self.record.add_violation(format!("lost: {id} on a new connection, {elapsed:?}"));
+                self.record
+                    .add_violation(format!("lost: {id} got no response on a new connection in {elapsed:?}"));
             } else {
-                // The balancer may close an idle connection, but then must not forward the request.
+                // The balancer may close an idle connection, but must not forward the request in that case.
                 self.record.update_sent(id, |sent| sent.closed_without_response = true);
             }
             return;
         };
         self.record.count_response();
         if elapsed > *deadline + RESPONSE_SLACK {
-            self.record.add_violation(format!("late: {id} answered after {elapsed:?} of {deadline:?}"));
+            self.record
+                .add_violation(format!("late: {id} answered after {elapsed:?}, deadline {deadline:?}"));
         }
         if response.header("connection") != Some("close") {
             self.idle_connection = Some(stream);
--- a/crates/proxy/tests/soak/chaos.rs
+++ b/crates/proxy/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The balancer processes: their failing system calls, and the disruptions of whole processes.
+//! The balancer processes: the system calls that fail in them, and the disruptions of whole processes.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -6,11 +6,11 @@
 use fastrand::Rng;
 
 use crate::common::{Balancer, Setup, SharedFolder, free_listener};
+use crate::invariants::{check_exit, check_is_running, check_log};
 use crate::record::Record;
-use crate::verdict::{check_exit, check_is_running, check_log};
 
-/// Number of balancers. Their replacements are as many at most, so one run has up to twice as many processes.
-pub const BALANCERS: usize = FAULT_PLANS.len();
+/// Number of balancers. At most as many processes are replaced, so that a run has up to twice as many processes.
+pub const BALANCER_COUNT: usize = FAULT_PLANS.len();
 /// The system calls that fail, one plan for each balancer.
 const FAULT_PLANS: [&str; 6] = [
     "",
@@ -23,7 +23,7 @@
 /// Deadline of every class, in milliseconds.
 const CLASS_DEADLINE_MS: u32 = 1500;
 /// Range of the pauses between two disruptions, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 20..200;
+const PAUSE_RANGE_MS: std::ops::Range<u64> = 20..200;
 /// Longest suspension of a process, in milliseconds.
 const MAX_SUSPENSION_MS: u64 = 100;
 
@@ -36,7 +36,7 @@
     Reload,
     /// Excludes an upstream and includes it again, by the admin API.
     Override,
-    /// Starts a successor beside the process and shuts the process down.
+    /// Starts a successor while the process still runs, and then shuts the process down.
     Replace,
     /// Disrupts nothing.
     Nothing,
@@ -46,8 +46,8 @@
 const DISRUPTIONS: [Disruption; 5] =
     [Disruption::Suspend, Disruption::Reload, Disruption::Override, Disruption::Replace, Disruption::Nothing];
 
-/// A balancer: its current process and what its successors inherit.
-struct Slot {
+/// A balancer: its current process, and what the successors of the process inherit.
+struct ManagedBalancer {
     process: Balancer,
     listener: TcpListener,
     folder: SharedFolder,
@@ -63,14 +63,14 @@
 /// All balancers of a run.
 pub struct Fleet {
     upstreams: Vec<SocketAddr>,
-    slots: Vec<Slot>,
+    balancers: Vec<ManagedBalancer>,
     predecessors: Vec<Predecessor>,
 }
 
 impl Fleet {
-    /// Returns a fleet without balancers that forwards to these upstreams.
+    /// Returns a fleet that forwards to these upstreams and has no balancers yet.
     pub fn new(upstreams: Vec<SocketAddr>) -> Fleet {
-        Fleet { upstreams, slots: Vec::new(), predecessors: Vec::new() }
+        Fleet { upstreams, balancers: Vec::new(), predecessors: Vec::new() }
     }
 
     /// Starts the balancer with this number and returns its address.
@@ -80,50 +80,53 @@
         let folder = SharedFolder::new(&format!("soak-{seed}-{number}"));
         let fault_plan = FAULT_PLANS[number];
         let process = start_process(&self.upstreams, &listener, &folder, fault_plan);
-        self.slots.push(Slot { process, listener, folder, fault_plan });
+        self.balancers.push(ManagedBalancer { process, listener, folder, fault_plan });
         address
     }
 
-    /// Disrupts one process after the other until `end`.
+    /// Disrupts random processes, one at a time, until `end`.
     pub fn disrupt_until(&mut self, end: Instant, rng: &mut Rng, record: &Record) {
         while Instant::now() < end {
-            std::thread::sleep(Duration::from_millis(rng.u64(PAUSE_MS)));
-            let index = rng.usize(0..self.slots.len());
+            std::thread::sleep(Duration::from_millis(rng.u64(PAUSE_RANGE_MS)));
+            let index = rng.usize(0..self.balancers.len());
             let disruption = DISRUPTIONS[rng.u32(0..DISRUPTIONS.len() as u32) as usize];
             self.disrupt(index, disruption, rng, record);
         }
     }
 
     fn disrupt(&mut self, index: usize, disruption: Disruption, rng: &mut Rng, record: &Record) {
-        let process = &self.slots[index].process;
+        let process = &self.balancers[index].process;
         match disruption {
             Disruption::Suspend => {
                 let suspension = Duration::from_millis(rng.u64(0..MAX_SUSPENSION_MS));
                 process.while_suspended(|| std::thread::sleep(suspension));
             }
             Disruption::Reload => {
-                let config = std::fs::read_to_string(&process.config_path).expect("the configuration");
+                let config =
+                    std::fs::read_to_string(&process.config_path).expect("the configuration can be read");
                 process.reload(&config);
             }
             Disruption::Override => {
                 let _ = process.admin_status("POST", "/api/exclude/s-0");
                 let _ = process.admin_status("POST", "/api/include/s-0");
             }
-            Disruption::Replace if self.predecessors.len() < BALANCERS => self.replace(index, record),
+            Disruption::Replace if self.predecessors.len() < BALANCER_COUNT => self.replace(index, record),
             Disruption::Replace | Disruption::Nothing => {}
         }
     }
 
     /// Starts a successor, which must be ready at once, and shuts the process down, as in a hot restart.
     fn replace(&mut self, index: usize, record: &Record) {
-        let slot = &mut self.slots[index];
-        let fault_plan = slot.fault_plan;
-        let successor = start_process(&self.upstreams, &slot.listener, &slot.folder, fault_plan);
+        let balancer = &mut self.balancers[index];
+        let fault_plan = balancer.fault_plan;
+        let successor = start_process(&self.upstreams, &balancer.listener, &balancer.folder, fault_plan);
         let status = successor.admin_status("GET", "/api/ready");
         if status != 200 {
-            record.add_violation(format!("start: a successor with {fault_plan:?} responds {status}"));
+            record.add_violation(format!(
+                "start: a successor with {fault_plan:?} is not ready at once: status {status}"
+            ));
         }
-        let process = std::mem::replace(&mut slot.process, successor);
+        let process = std::mem::replace(&mut balancer.process, successor);
         process.terminate();
         self.predecessors.push(Predecessor { process, fault_plan });
     }
@@ -131,9 +134,9 @@
     /// Checks that the current processes run, that their predecessors exit cleanly, and that no log reports a defect.
     /// Returns the number of processes that were replaced.
     pub fn check_processes(&mut self, record: &Record) -> usize {
-        for slot in &mut self.slots {
-            check_is_running(record, &mut slot.process, slot.fault_plan);
-            check_log(record, &slot.process, slot.fault_plan);
+        for balancer in &mut self.balancers {
+            check_is_running(record, &mut balancer.process, balancer.fault_plan);
+            check_log(record, &balancer.process, balancer.fault_plan);
         }
         for predecessor in &mut self.predecessors {
             check_exit(record, &mut predecessor.process, predecessor.fault_plan);
--- a/crates/proxy/tests/soak/verdict.rs
+++ b/crates/proxy/tests/soak/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules that every run has to keep.
+//! The invariants of every run.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use crate::common::Balancer;
 use crate::record::{ReceivedRequest, Record, SentRequest};
 
-/// Excess of a forwarded deadline over what the client has left: 150 ms that the balancer is allowed, and 50 ms for the
-/// error of the measurement on a busy machine.
+/// Time by which a forwarded deadline may exceed the time that the client has left: 150 ms that the balancer is allowed,
+/// and 50 ms for the measurement error on a busy machine.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150 + 50);
 /// Time after a disconnect in which an attempt may still begin: 100 ms that the balancer is allowed, and 100 ms for the
-/// error of the measurement.
+/// measurement error.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100 + 100);
-/// Parts of a log line that report a fault of the program.
-const DEFECT_MARKS: [&str; 2] = ["defect", "panicked"];
+/// Words that mark a log line as the report of a defect in the program.
+const DEFECT_WORDS: [&str; 2] = ["defect", "panicked"];
 
 /// Compares the requests that upstreams received with those that clients sent.
 pub fn check_forwarding(record: &Record) {
@@ -35,12 +35,12 @@
     }
 }
 
-/// Checks one attempt: its deadline, and that its client was still connected.
+/// Checks the deadline of one attempt, and that its client was still connected.
 fn check_attempt(record: &Record, received: &ReceivedRequest, sent: &SentRequest) {
     let ReceivedRequest { id, received_at, deadline, .. } = received;
     let left = (sent.deadline + DEADLINE_SLACK).saturating_sub(received_at.duration_since(sent.sent_at));
     if *deadline > left {
-        let text = format!("deadline: {id} forwarded with {deadline:?}, {left:?} left with slack");
+        let text = format!("deadline: {id} was forwarded with {deadline:?}, at most {left:?} is left");
         record.add_violation(text);
     }
     if sent.disconnected_at.is_some_and(|disconnected| *received_at > disconnected + DISCONNECT_SLACK) {
@@ -53,24 +53,24 @@
 }
 
 /// Checks that a process has not exited.
-pub fn check_is_running(record: &Record, process: &mut Balancer, fault_plan: &str) {
-    if let Some(status) = process.process.try_wait().expect("the exit status") {
+pub fn check_is_running(record: &Record, balancer: &mut Balancer, fault_plan: &str) {
+    if let Some(status) = balancer.process.try_wait().expect("the exit status") {
         record.add_violation(format!("crash with {fault_plan:?}: {status}"));
     }
 }
 
 /// Waits for the exit of a process that is shutting down and checks that it succeeds.
-pub fn check_exit(record: &Record, process: &mut Balancer, fault_plan: &str) {
-    let status = process.process.wait().expect("the exit status");
+pub fn check_exit(record: &Record, balancer: &mut Balancer, fault_plan: &str) {
+    let status = balancer.process.wait().expect("the exit status");
     if !status.success() {
-        record.add_violation(format!("crash at a shutdown with {fault_plan:?}: {status}"));
+        record.add_violation(format!("crash at shutdown with {fault_plan:?}: {status}"));
     }
 }
 
 /// Checks that the log of a process reports no defect of the program.
-pub fn check_log(record: &Record, process: &Balancer, fault_plan: &str) {
-    let is_defect = |line: &String| DEFECT_MARKS.iter().any(|mark| line.contains(mark));
-    for line in process.log.try_iter().filter(is_defect) {
+pub fn check_log(record: &Record, balancer: &Balancer, fault_plan: &str) {
+    let is_defect = |line: &String| DEFECT_WORDS.iter().any(|word| line.contains(word));
+    for line in balancer.log.try_iter().filter(is_defect) {
         record.add_violation(format!("defect with {fault_plan:?}: {line}"));
     }
 }
--- a/crates/proxy/tests/soak/record.rs
+++ b/crates/proxy/tests/soak/record.rs
@@ -1,4 +1,4 @@
-//! The observations of clients, upstreams and the test during a run.
+//! What clients, upstreams and the test observe during a run.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,7 +8,7 @@
 /// A request as its client observed it.
 #[derive(Clone, Copy)]
 pub struct SentRequest {
-    /// When the client wrote the last byte; before that, when it wrote the first one.
+    /// When the client had written the last byte; until then, when it began to write.
     pub sent_at: Instant,
     /// How long the client waits, from `sent_at`.
     pub deadline: Duration,
@@ -43,46 +43,46 @@
 }
 
 impl Record {
-    /// Adds a violation of a rule.
+    /// Adds a violation of an invariant.
     pub fn add_violation(&self, text: String) {
-        self.violations.lock().expect("no panic").push(text);
+        self.violations.lock().expect("the lock is not poisoned").push(text);
     }
 
     /// Removes and returns all violations.
     pub fn take_violations(&self) -> Vec<String> {
-        std::mem::take(&mut *self.violations.lock().expect("no panic"))
+        std::mem::take(&mut *self.violations.lock().expect("the lock is not poisoned"))
     }
 
     /// Adds a request that a client is about to send.
     pub fn add_sent(&self, id: &str, sent: SentRequest) {
-        self.sent.lock().expect("no panic").insert(id.to_owned(), sent);
+        self.sent.lock().expect("the lock is not poisoned").insert(id.to_owned(), sent);
     }
 
-    /// Changes what is known of a request that was added.
+    /// Updates a request that was added.
     pub fn update_sent(&self, id: &str, change: impl FnOnce(&mut SentRequest)) {
-        if let Some(sent) = self.sent.lock().expect("no panic").get_mut(id) {
+        if let Some(sent) = self.sent.lock().expect("the lock is not poisoned").get_mut(id) {
             change(sent);
         }
     }
 
     /// Returns a copy of the sent requests by id.
     pub fn sent_requests(&self) -> HashMap<String, SentRequest> {
-        self.sent.lock().expect("no panic").clone()
+        self.sent.lock().expect("the lock is not poisoned").clone()
     }
 
     /// Returns the number of requests that clients sent completely or began to send.
     pub fn sent_count(&self) -> usize {
-        self.sent.lock().expect("no panic").len()
+        self.sent.lock().expect("the lock is not poisoned").len()
     }
 
     /// Adds a request that an upstream received.
     pub fn add_received(&self, received: ReceivedRequest) {
-        self.received.lock().expect("no panic").push(received);
+        self.received.lock().expect("the lock is not poisoned").push(received);
     }
 
     /// Removes and returns the received requests, in the order in which upstreams received them.
     pub fn take_received(&self) -> Vec<ReceivedRequest> {
-        std::mem::take(&mut *self.received.lock().expect("no panic"))
+        std::mem::take(&mut *self.received.lock().expect("the lock is not poisoned"))
     }
 
     /// Counts a response that a client received.
@@ -95,12 +95,12 @@
         self.responses.load(Ordering::Relaxed)
     }
 
-    /// Asks the clients to stop after their current request.
+    /// Tells the clients to stop after their current request.
     pub fn end_run(&self) {
         self.is_over.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether clients have to stop.
+    /// Returns whether the clients have to stop.
     pub fn is_over(&self) -> bool {
         self.is_over.load(Ordering::Relaxed)
     }
--- a/crates/proxy/tests/soak/upstream.rs
+++ b/crates/proxy/tests/soak/upstream.rs
@@ -11,23 +11,23 @@
 use crate::common::{Peer, respond, respond_ok};
 use crate::record::{ReceivedRequest, Record};
 
-/// Longest processing time of a request, in milliseconds.
+/// Upper bound on the processing time of a request, in milliseconds.
 const MAX_PROCESSING_MS: u64 = 30;
 /// Delay of a response that comes long after the balancer has given up.
-const HANG: Duration = Duration::from_millis(2500);
+const HANG_DURATION: Duration = Duration::from_millis(2500);
 
 /// How an upstream handles a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Behavior {
-    /// Rejects the request before it runs: the balancer may retry it elsewhere.
+    /// Rejects the request before it runs, so that the balancer may retry it on another upstream.
     Reject,
     /// Fails after the request ran.
     Fail,
     /// Closes the connection without a response.
     CloseConnection,
-    /// Sends a part of the response and keeps the connection open.
+    /// Sends only a part of the response and keeps the connection open.
     Truncate,
-    /// Responds after [`HANG`].
+    /// Responds after [`HANG_DURATION`].
     Hang,
     /// Responds and announces that it will close the connection.
     AnnounceClose,
@@ -78,7 +78,7 @@
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
             }
             Behavior::Hang => {
-                std::thread::sleep(HANG);
+                std::thread::sleep(HANG_DURATION);
                 respond_ok(stream);
             }
             Behavior::AnnounceClose => respond(stream, "200 OK", "Connection: close\r\n", b"last"),
@@ -92,7 +92,8 @@
     let upstream = Peer::new();
     let address = upstream.address;
     let record = record.clone();
-    // Each request has a seed of its own: requests run in parallel, and their faults do not depend on the schedule.
+    // Each request has a separate seed, because requests run in parallel and their faults must not depend on how the
+    // threads are scheduled.
     let next_seed = Arc::new(AtomicU64::new(seed));
     upstream.serve(move |message, stream| {
         let mut rng = Rng::with_seed(next_seed.fetch_add(1, Ordering::Relaxed));
