--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -51,7 +51,7 @@
         ("POST", "/api/drain", 404),
         ("POST", "/api/ready", 405),
         ("GET", "/api/ready", 200),
-        // Included without having been excluded: nothing changes, and the upstream does not warm up again.
+        // The upstream was not excluded: nothing changes, and it does not warm up again.
         ("POST", "/api/include/s-0", 200),
     ] {
         assert_eq!(balancer.admin_status(method, path), status, "{method} {path}");
@@ -78,7 +78,7 @@
     }
     let start = Instant::now();
     assert_eq!(balancer.admin_status("GET", "/api/ready"), 200);
-    assert!(start.elapsed() < Duration::from_secs(3), "it waited for the unfinished requests");
+    assert!(start.elapsed() < Duration::from_secs(3), "the check waited for the unfinished requests");
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
 }
 
@@ -91,7 +91,7 @@
     for stream in [&mut used, &mut idle] {
         assert_eq!(exchange(stream, READINESS_CHECK).header("connection"), None);
     }
-    // Ending an evacuation that never began is no error, and two requests begin one evacuation.
+    // It is not an error to end an evacuation that never began, and a second request to evacuate has no effect.
     assert_eq!(balancer.admin_status("POST", "/api/rejoin"), 200);
     assert_eq!(balancer.admin_status("POST", "/api/evacuate"), 200);
     assert_eq!(balancer.admin_status("POST", "/api/evacuate"), 200);
@@ -122,22 +122,22 @@
 
 #[test]
 fn an_invalid_descriptor_or_address_ends_the_start_with_one_line() {
-    for (fd, why) in
+    for (fd, reason) in
         [("seven", "not a descriptor"), ("99", "not an open socket"), ("1", "not an open socket")]
     {
         let output = run_until_exit(Some(&valid_config()), &[("EDGE_FD", fd)]);
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{fd}");
-        assert!(text.contains("EDGE_FD") && text.contains(why) && text.lines().count() == 1, "{text}");
+        assert!(text.contains("EDGE_FD") && text.contains(reason) && text.lines().count() == 1, "{text}");
     }
     let taken = free_listener();
     let address = taken.local_addr().expect("the local address").to_string();
-    for (value, why) in [("here", "not an address"), (&address[..], "in use")] {
+    for (value, reason) in [("here", "not an address"), (&address[..], "in use")] {
         let output = run_until_exit(Some(&valid_config()), &[("EDGE_MANAGEMENT", value)]);
         let text = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{value}");
         assert!(
-            text.contains("EDGE_MANAGEMENT") && text.contains(why) && text.lines().count() == 1,
+            text.contains("EDGE_MANAGEMENT") && text.contains(reason) && text.lines().count() == 1,
             "{text}"
         );
     }
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -44,8 +44,8 @@
 #[test]
 fn a_request_that_is_not_idempotent_is_retried_after_an_upstream_rejected_it() {
     for status in ["503 Busy", "504 Over"] {
-        let path = SingleUpstream::start();
-        let mut in_flight = path.start_request(&request("pay", "r-1", ""));
+        let fixture = SingleUpstream::start();
+        let mut in_flight = fixture.start_request(&request("pay", "r-1", ""));
         respond(&mut in_flight.upstream, status, "Srv-Declined: 1\r\n", b"");
         // The response was read to its end, so the connection is reused.
         read_message(&mut in_flight.upstream).expect("a second attempt");
@@ -63,17 +63,17 @@
             Some("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
         ),
         ("truncated response", Some("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")),
-        ("no HTTP", Some("what?\r\n\r\n")),
+        ("not HTTP", Some("what?\r\n\r\n")),
         (
             "rejected, but truncated",
             Some("HTTP/1.1 503 B\r\nSrv-Declined: 1\r\nContent-Length: 9\r\n\r\nhalf"),
         ),
         ("two lengths", Some("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 6\r\n\r\nabcdef")),
-        ("a length below 0", Some("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 2\r\n\r\nab")),
+        ("negative length", Some("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 2\r\n\r\nab")),
         ("bad chunks", Some("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n")),
         ("bad line", Some("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nab")),
         ("bad status", Some("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nab")),
-        ("3 GB", Some("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nab")),
+        ("body of 3 GB", Some("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nab")),
         ("other protocol", Some("HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n")),
     ];
     for (case, response) in cases {
@@ -107,37 +107,37 @@
 
 #[test]
 fn an_attempt_that_times_out_fails_and_closes_its_connection() {
-    let path = SingleUpstream::start();
-    let in_flight = path.start_request(&request("pay", "r-1", "Req-Deadline-Ms: 1500\r\n"));
+    let fixture = SingleUpstream::start();
+    let in_flight = fixture.start_request(&request("pay", "r-1", "Req-Deadline-Ms: 1500\r\n"));
     let RequestInFlight { mut client, upstream: mut stream } = in_flight;
     assert_eq!(read_message(&mut client).expect("a response").status(), 504);
     assert!(peer_closed(&mut stream), "the connection stays open");
-    // The connection of the client stays open.
+    // The client's connection stays open.
     send(&mut client, &request("pay", "r-2", ""));
-    let mut stream = path.upstream.accept();
+    let mut stream = fixture.upstream.accept();
     assert_eq!(read_message(&mut stream).expect("an attempt").header("req-id"), Some("r-2"));
     respond_ok(&mut stream);
     assert_eq!(read_message(&mut client).expect("a response").status(), 200);
-    assert!(path.upstream.has_no_new_connection());
+    assert!(fixture.upstream.has_no_new_connection());
 }
 
 #[test]
 fn nothing_is_forwarded_for_a_client_that_disconnected() {
-    let path = SingleUpstream::start();
-    let RequestInFlight { client, upstream: mut stream } = path.start_request(&request("look", "r-1", ""));
+    let fixture = SingleUpstream::start();
+    let RequestInFlight { client, upstream: mut stream } = fixture.start_request(&request("look", "r-1", ""));
     drop(client);
-    // The response shows that the balancer has seen the disconnect, which came first. So no retry may follow the error
-    // below.
-    assert_eq!(path.balancer.send(READINESS_CHECK).status(), 200);
+    // The response shows that the balancer has seen the disconnect, which came first. So the error below must not lead
+    // to a retry.
+    assert_eq!(fixture.balancer.send(READINESS_CHECK).status(), 200);
     std::thread::sleep(Duration::from_millis(100));
     respond(&mut stream, "500 Error", "", b"");
-    let mut other = path.balancer.connect();
+    let mut other = fixture.balancer.connect();
     std::thread::sleep(Duration::from_millis(100));
     send(&mut other, &request("look", "r-2", ""));
     assert_eq!(read_message(&mut stream).expect("the next request").header("req-id"), Some("r-2"));
     respond_ok(&mut stream);
     assert_eq!(read_message(&mut other).expect("a response").status(), 200);
-    assert!(path.upstream.has_no_new_connection());
+    assert!(fixture.upstream.has_no_new_connection());
 }
 
 #[test]
@@ -157,15 +157,15 @@
 
 #[test]
 fn a_connection_that_the_upstream_closed_is_not_reused() {
-    for close in ["", "Connection: close\r\n"] {
+    for close_header in ["", "Connection: close\r\n"] {
         let SingleUpstream { upstream, balancer: _balancer, mut client } = SingleUpstream::start();
         for id in ["r-1", "r-2", "r-3"] {
             send(&mut client, &request("pay", id, ""));
             let mut stream = upstream.accept();
             assert_eq!(read_message(&mut stream).expect("an attempt").header("req-id"), Some(id));
-            respond(&mut stream, "200 OK", close, b"done");
-            // Closed just before or just after the client receives its response: the next request must not be lost on
-            // this connection.
+            respond(&mut stream, "200 OK", close_header, b"done");
+            // The connection closes just before or just after the client receives its response. The next request must
+            // not be lost on it.
             drop(stream);
             assert_eq!(read_message(&mut client).expect("a response").status(), 200);
             std::thread::sleep(Duration::from_millis(50));
@@ -176,9 +176,9 @@
 #[test]
 fn a_response_without_end_fails() {
     for head in ["HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"] {
-        let path = SingleUpstream::start();
+        let fixture = SingleUpstream::start();
         let RequestInFlight { mut client, upstream: mut stream } =
-            path.start_request(&request("pay", "r-1", ""));
+            fixture.start_request(&request("pay", "r-1", ""));
         send(&mut stream, head);
         let line = format!("X-Pad: {}\r\n", "p".repeat(1000));
         while stream.write_all(line.as_bytes()).is_ok() {}
@@ -188,9 +188,9 @@
 
 #[test]
 fn bytes_after_a_response_are_never_taken_for_the_next_response() {
-    let copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse";
+    let response_copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse";
     for (surplus, is_sent_later) in
-        [(copy, false), (copy, true), ("noise", false), ("noise", true), ("\r\n", false)]
+        [(response_copy, false), (response_copy, true), ("noise", false), ("noise", true), ("\r\n", false)]
     {
         let SingleUpstream { upstream, balancer: _balancer, mut client } = SingleUpstream::start();
         for id in ["r-1", "r-2", "r-3"] {
@@ -218,9 +218,9 @@
     let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve(|_, stream| {
         let informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        // Its load report cannot be parsed and is ignored.
-        let last = "HTTP/1.1 200 OK\r\nSrv-Load: {\"%%=NaN\r\nContent-Length: 4\r\n\r\ndone";
-        let _ = stream.write_all((informational.to_owned() + last).as_bytes());
+        // The load report of the final response cannot be parsed and is ignored.
+        let final_response = "HTTP/1.1 200 OK\r\nSrv-Load: {\"%%=NaN\r\nContent-Length: 4\r\n\r\ndone";
+        let _ = stream.write_all((informational.to_owned() + final_response).as_bytes());
     });
     let mut client = balancer.connect();
     for id in ["r-1", "r-2"] {
@@ -230,21 +230,21 @@
 
 #[test]
 fn the_most_recently_used_connection_is_preferred() {
-    let path = SingleUpstream::start();
-    let [mut first, mut second] = ["r-1", "r-2"].map(|id| path.start_request(&request("pay", id, "")));
+    let fixture = SingleUpstream::start();
+    let [mut first, mut second] = ["r-1", "r-2"].map(|id| fixture.start_request(&request("pay", id, "")));
     second.complete();
     first.complete();
     send(&mut second.client, &request("pay", "r-3", ""));
     assert_eq!(read_message(&mut first.upstream).expect("an attempt").header("req-id"), Some("r-3"));
 }
 
-/// Number of responses after which the upstream of [`close_reused_connections`] closes the connection as announced.
+/// Number of responses with which the upstream of [`close_reused_connections`] announces that it closes the connection.
 const ANNOUNCED_CLOSES: usize = 7;
-/// Number of responses that the upstream of [`close_reused_connections`] delays.
+/// Number of responses that the upstream of [`close_reused_connections`] sends with a delay.
 const DELAYED_RESPONSES: usize = 8;
 
-/// Accepts connections forever. Closes a reused connection at its second request; the first responses announce that
-/// their connection is closed.
+/// Accepts connections forever and closes each at its second request. The first responses announce that their
+/// connection closes.
 fn close_reused_connections(upstream: &Peer) {
     let requests = Arc::new(AtomicUsize::new(0));
     loop {
@@ -253,8 +253,8 @@
         std::thread::spawn(move || {
             read_message(&mut stream).expect("a request");
             let number = requests.fetch_add(1, Ordering::SeqCst);
-            // Long compared with the failure of a reused connection. A retry that is not delayed ends well within the
-            // median.
+            // The delay is long compared with the time in which a reused connection fails. A retry, whose response is
+            // not delayed, ends well within the median latency.
             std::thread::sleep(Duration::from_millis(if number < DELAYED_RESPONSES { 300 } else { 0 }));
             let headers = if number < ANNOUNCED_CLOSES { "Connection: close\r\n" } else { "" };
             respond(&mut stream, "200 OK", headers, b"done");
@@ -271,7 +271,7 @@
         assert_eq!(exchange(&mut client, &request("look", &format!("r-{id}"), "")).status(), 200);
     }
     std::thread::sleep(Duration::from_millis(20));
-    // Reuses the connection, which fails, and is retried.
+    // The request reuses the connection, fails with it, and is retried.
     assert_eq!(exchange(&mut client, &request("look", "r-8", "")).status(), 200);
     std::thread::sleep(Duration::from_millis(600));
     assert_eq!(exchange(&mut client, &request("pay", "r-9", "")).status(), 200);
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that are too long to be buffered, in both directions.
+//! Bodies of requests and responses that are too long to be buffered.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use common::*;
 
 /// Length of a body far beyond what is buffered.
-const LARGE: usize = 3_000_000;
+const LARGE_BODY_BYTES: usize = 3_000_000;
 
 /// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,17 +58,17 @@
     )
 }
 
-/// Sends bytes, which the peer must accept.
+/// Sends bytes. Panics if the connection fails.
 fn send_bytes(stream: &mut TcpStream, bytes: &[u8]) {
     stream.write_all(bytes).expect("the peer reads");
 }
 
-/// Reads a head that must arrive completely.
+/// Reads the head of a message. Panics if it is incomplete.
 fn expect_head(stream: &mut TcpStream) -> Message {
     read_head(stream).expect("a complete head")
 }
 
-/// Reads a chunked body; `None` if the connection ends before it.
+/// Reads a chunked body; `None` if the connection ends before the body does.
 fn read_chunked_body(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -92,17 +92,17 @@
 
 #[test]
 fn a_long_request_is_forwarded_while_it_arrives() {
-    let body = pattern(LARGE);
+    let body = pattern(LARGE_BODY_BYTES);
     let SingleUpstream { upstream, balancer: _balancer, mut client } = SingleUpstream::start();
-    send(&mut client, &request_head("pay", &Framing::ContentLength(LARGE).header()));
-    send_bytes(&mut client, &body[..LARGE / 2]);
+    send(&mut client, &request_head("pay", &Framing::ContentLength(LARGE_BODY_BYTES).header()));
+    send_bytes(&mut client, &body[..LARGE_BODY_BYTES / 2]);
     let mut stream = upstream.accept();
-    assert_eq!(expect_head(&mut stream).header("content-length"), Some(&LARGE.to_string()[..]));
-    let mut received = vec![0; LARGE / 2];
+    assert_eq!(expect_head(&mut stream).header("content-length"), Some(&LARGE_BODY_BYTES.to_string()[..]));
+    let mut received = vec![0; LARGE_BODY_BYTES / 2];
     stream.read_exact(&mut received).expect("the part that was sent so far");
-    send_bytes(&mut client, &body[LARGE / 2..]);
-    received.resize(LARGE, 0);
-    stream.read_exact(&mut received[LARGE / 2..]).expect("the rest");
+    send_bytes(&mut client, &body[LARGE_BODY_BYTES / 2..]);
+    received.resize(LARGE_BODY_BYTES, 0);
+    stream.read_exact(&mut received[LARGE_BODY_BYTES / 2..]).expect("the rest");
     assert!(received == body, "the body differs");
     let mut in_flight = RequestInFlight { client, upstream: stream };
     in_flight.complete();
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_long_chunked_request_is_forwarded_chunked() {
-    let body = pattern(LARGE);
+    let body = pattern(LARGE_BODY_BYTES);
     let SingleUpstream { upstream, balancer: _balancer, mut client } = SingleUpstream::start();
     let headers = "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\nTrailer: X-End\r\n";
     send(&mut client, &request_head("pull", headers));
@@ -122,7 +122,7 @@
     assert!(interim.first_line().starts_with("HTTP/1.1 100 "), "no interim response to Expect");
     let mut writer = client.try_clone().expect("a copy of the descriptor");
     let sent = body.clone();
-    let writing = std::thread::spawn(move || {
+    let writer_thread = std::thread::spawn(move || {
         for part in sent.chunks(9_999) {
             send_bytes(&mut writer, &Framing::Chunked.encode(part));
         }
@@ -131,7 +131,7 @@
     let mut stream = upstream.accept();
     assert_eq!(expect_head(&mut stream).header("transfer-encoding"), Some("chunked"));
     assert!(read_chunked_body(&mut stream).expect("a complete body") == body, "the body differs");
-    writing.join().expect("the body was read");
+    writer_thread.join().expect("the body was read");
     RequestInFlight { client, upstream: stream }.complete();
 }
 
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_truncated_request_is_never_forwarded_as_complete_and_not_retried() {
-    for framing in [Framing::ContentLength(LARGE), Framing::Chunked] {
+    for framing in [Framing::ContentLength(LARGE_BODY_BYTES), Framing::Chunked] {
         let SingleUpstream { upstream, balancer, mut client } = SingleUpstream::start();
         send(&mut client, &request_head("pull", &framing.header()));
         send_bytes(&mut client, &framing.encode(&pattern(200_000)));
@@ -159,7 +159,7 @@
         client.shutdown(Shutdown::Both).expect("the client is connected");
         let mut received = Vec::new();
         let _ = stream.read_to_end(&mut received);
-        let seems_complete = received.ends_with(b"0\r\n\r\n") || received.len() >= LARGE;
+        let seems_complete = received.ends_with(b"0\r\n\r\n") || received.len() >= LARGE_BODY_BYTES;
         assert!(!seems_complete, "{framing:?}: the request ends as if it were complete");
         assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
         assert!(upstream.has_no_new_connection(), "{framing:?}: the request was retried");
@@ -169,13 +169,13 @@
 #[test]
 fn a_request_whose_body_is_consumed_is_not_retried() {
     let SingleUpstream { upstream, balancer: _balancer, mut client } = SingleUpstream::start();
-    send(&mut client, &request_head("pull", &Framing::ContentLength(LARGE).header()));
+    send(&mut client, &request_head("pull", &Framing::ContentLength(LARGE_BODY_BYTES).header()));
     send_bytes(&mut client, &pattern(400_000));
     let mut stream = upstream.accept();
     expect_head(&mut stream);
     stream.read_exact(&mut vec![0; 300_000]).expect("more than is buffered");
     drop(stream);
-    // The request never ran: the client may retry it.
+    // The request never ran, so the client may retry it.
     let rejected = read_message(&mut client).expect("a response");
     assert_eq!((rejected.status(), rejected.header("connection")), (503, Some("close")));
     assert!(upstream.has_no_new_connection(), "the request was retried");
@@ -184,7 +184,7 @@
 #[test]
 fn an_early_response_ends_a_long_request() {
     let SingleUpstream { upstream, balancer: _balancer, mut client } = SingleUpstream::start();
-    send(&mut client, &request_head("pay", &Framing::ContentLength(LARGE).header()));
+    send(&mut client, &request_head("pay", &Framing::ContentLength(LARGE_BODY_BYTES).header()));
     send_bytes(&mut client, &pattern(200_000));
     let mut stream = upstream.accept();
     expect_head(&mut stream);
@@ -222,10 +222,10 @@
     })
 }
 
-/// Reads the body of a forwarded response of [`LARGE`] bytes.
+/// Reads the body of a forwarded response of [`LARGE_BODY_BYTES`] bytes.
 fn read_large_body(client: &mut TcpStream, head: &Message, framing: Framing) -> Vec<u8> {
     if head.header("content-length").is_some() {
-        let mut body = vec![0; LARGE];
+        let mut body = vec![0; LARGE_BODY_BYTES];
         client.read_exact(&mut body).expect("a complete body");
         return body;
     }
@@ -234,21 +234,21 @@
 
 #[test]
 fn a_long_response_is_forwarded_while_it_arrives() {
-    let body = pattern(LARGE);
-    for framing in [Framing::ContentLength(LARGE), Framing::Chunked, Framing::UntilClose] {
-        let path = SingleUpstream::start();
+    let body = pattern(LARGE_BODY_BYTES);
+    for framing in [Framing::ContentLength(LARGE_BODY_BYTES), Framing::Chunked, Framing::UntilClose] {
+        let fixture = SingleUpstream::start();
         let text = request("pay", "r-1", "Req-Deadline-Ms: 1000\r\n");
-        let RequestInFlight { mut client, upstream: mut stream } = path.start_request(&text);
+        let RequestInFlight { mut client, upstream: mut stream } = fixture.start_request(&text);
         send(&mut stream, &format!("HTTP/1.1 200 OK\r\n{}\r\n", framing.header()));
         send_bytes(&mut stream, &framing.encode(&body[..1000]));
         let head = expect_head(&mut client);
         assert!(head.first_line().starts_with("HTTP/1.1 200 OK"), "{framing:?}: {}", head.head);
-        // Past its deadline: once the head was forwarded, no time limit ends the response.
+        // The deadline passes, but once the head was forwarded no time limit ends the response.
         std::thread::sleep(Duration::from_millis(1500));
-        let writing = finish_response(stream, framing, &body[1000..]);
+        let writer_thread = finish_response(stream, framing, &body[1000..]);
         let received = read_large_body(&mut client, &head, framing);
         assert!(received == body, "{framing:?}: the response differs");
-        let mut stream = writing.join().expect("the response was read");
+        let mut stream = writer_thread.join().expect("the response was read");
         if framing != Framing::UntilClose {
             send(&mut client, &request("pay", "r-2", ""));
             read_message(&mut stream).expect("the connection is reused for the next request");
@@ -258,9 +258,9 @@
 
 #[test]
 fn a_truncated_long_response_is_recognizably_incomplete() {
-    for framing in [Framing::ContentLength(LARGE), Framing::Chunked] {
-        let path = SingleUpstream::start();
-        let in_flight = path.start_request(&request("look", "r-1", ""));
+    for framing in [Framing::ContentLength(LARGE_BODY_BYTES), Framing::Chunked] {
+        let fixture = SingleUpstream::start();
+        let in_flight = fixture.start_request(&request("look", "r-1", ""));
         let RequestInFlight { mut client, upstream: mut stream } = in_flight;
         send(&mut stream, &format!("HTTP/1.1 200 OK\r\n{}\r\n", framing.header()));
         send_bytes(&mut stream, &framing.encode(&pattern(200_000)));
@@ -268,9 +268,9 @@
         drop(stream);
         let mut received = Vec::new();
         let _ = client.read_to_end(&mut received);
-        let seems_complete = received.ends_with(b"0\r\n\r\n") || received.len() >= LARGE;
+        let seems_complete = received.ends_with(b"0\r\n\r\n") || received.len() >= LARGE_BODY_BYTES;
         assert!(!seems_complete, "{framing:?}: the response seems complete");
-        let is_retried = !path.upstream.has_no_new_connection();
+        let is_retried = !fixture.upstream.has_no_new_connection();
         assert!(!is_retried, "{framing:?}: retried after its beginning was forwarded");
     }
 }
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -43,9 +43,9 @@
 }
 
 /// Prefix of the ids of requests whose clients disconnect.
-const DISCONNECTED: &str = "v-";
+const DISCONNECTED_ID_PREFIX: &str = "v-";
 
-/// Whether an upstream may respond, and the signal that it may.
+/// Blocks the responses of an upstream until it is opened.
 #[derive(Default)]
 struct Gate {
     is_open: Mutex<bool>,
@@ -54,13 +54,13 @@
 
 impl Gate {
     fn open(&self) {
-        *self.is_open.lock().expect("no panic") = true;
+        *self.is_open.lock().expect("the lock is not poisoned") = true;
         self.opened.notify_all();
     }
 
     fn wait(&self) {
-        let is_open = self.is_open.lock().expect("no panic");
-        drop(self.opened.wait_while(is_open, |is_open| !*is_open).expect("no panic"));
+        let is_open = self.is_open.lock().expect("the lock is not poisoned");
+        drop(self.opened.wait_while(is_open, |is_open| !*is_open).expect("the lock is not poisoned"));
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl WithholdingUpstream {
-    /// Takes over all further connections of a peer.
+    /// Serves all further connections of a peer.
     fn serving(peer: Peer) -> WithholdingUpstream {
         let gate = Arc::new(Gate::default());
         let received = Arc::new(Mutex::new(Vec::new()));
@@ -89,10 +89,10 @@
         self.gate.open();
     }
 
-    /// Waits until at least so many requests were received and returns their ids.
+    /// Waits until at least `min_count` requests were received and returns the ids of all that were.
     fn wait_for_ids(&self, min_count: usize) -> Vec<String> {
         loop {
-            let received = self.received.lock().expect("no panic").clone();
+            let received = self.received.lock().expect("the lock is not poisoned").clone();
             if received.len() >= min_count {
                 return received;
             }
@@ -100,19 +100,24 @@
         }
     }
 
-    /// Waits until at least so many requests were received and asserts that none of their clients had disconnected.
+    /// Waits until at least `min_count` requests were received and asserts that no client of a received request had
+    /// disconnected.
     #[track_caller]
     fn assert_none_disconnected(&self, min_count: usize, context: &str) {
         let ids = self.wait_for_ids(min_count);
-        let disconnected: Vec<_> = ids.iter().filter(|id| id.starts_with(DISCONNECTED)).collect();
+        let disconnected: Vec<_> = ids.iter().filter(|id| id.starts_with(DISCONNECTED_ID_PREFIX)).collect();
         assert_eq!(disconnected, Vec::<&String>::new(), "{context}");
     }
 }
 
-/// Records each request by its head: a request that never becomes complete was forwarded too.
+/// Records each request as soon as its head was read, because a request whose body never becomes complete was forwarded
+/// too.
 fn serve_connection(mut stream: TcpStream, gate: &Gate, received: &Mutex<Vec<String>>) {
     while let Some(mut message) = read_head(&mut stream) {
-        received.lock().expect("no panic").push(message.header("req-id").unwrap_or("none").to_owned());
+        received
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(message.header("req-id").unwrap_or("none").to_owned());
         if read_body(&mut stream, &mut message).is_none() {
             return;
         }
@@ -121,15 +126,15 @@
     }
 }
 
-/// Exchanges requests with the balancer, so that it has seen everything that was sent before.
-fn wait_until_seen(balancer: &Balancer) {
+/// Exchanges requests with the balancer, so that it has processed all input that was sent before.
+fn wait_until_input_processed(balancer: &Balancer) {
     for _ in 0..3 {
         balancer.send("GET /nowhere HTTP/1.1\r\nHost: b\r\n\r\n");
     }
 }
 
-/// Sends so many requests, each on a new connection that stays open.
-fn send_staying_requests(balancer: &Balancer, count: usize) -> Vec<TcpStream> {
+/// Connects `count` clients that each send a request and stay connected.
+fn connect_staying_clients(balancer: &Balancer, count: usize) -> Vec<TcpStream> {
     let send_request = |number| {
         let mut client = balancer.connect();
         send(&mut client, &request("look", &format!("h-{number}"), ""));
@@ -144,9 +149,9 @@
         let peer = Peer::new();
         let balancer = Setup::with_upstreams(&[peer.address]).start();
         let upstream = WithholdingUpstream::serving(peer);
-        // More than the initial concurrency limit admits: the rest is queued.
-        let mut staying = send_staying_requests(&balancer, 5);
-        wait_until_seen(&balancer);
+        // These are more requests than the initial concurrency limit admits. The others are queued.
+        let mut staying = connect_staying_clients(&balancer, 5);
+        wait_until_input_processed(&balancer);
         assert!(upstream.wait_for_ids(1).len() < staying.len(), "no request is queued");
         let mut half_closed = Vec::new();
         for how in Disconnect::ALL {
@@ -156,12 +161,12 @@
                 if round % 2 == 0 {
                     exchange(&mut client, READINESS_CHECK);
                 }
-                send(&mut client, &trailing.text(&format!("{DISCONNECTED}{how:?}-{trailing:?}")));
-                wait_until_seen(&balancer);
+                send(&mut client, &trailing.text(&format!("{DISCONNECTED_ID_PREFIX}{how:?}-{trailing:?}")));
+                wait_until_input_processed(&balancer);
                 half_closed.push(disconnect(client, how));
             }
         }
-        wait_until_seen(&balancer);
+        wait_until_input_processed(&balancer);
         upstream.release();
         for client in &mut staying {
             assert_eq!(read_message(client).expect("a response").status(), 200);
@@ -178,13 +183,13 @@
         // 46 descriptors leave 3 permits for clients.
         let balancer = Setup::with_upstreams(&[peer.address]).sockets(46).start();
         let upstream = WithholdingUpstream::serving(peer);
-        let mut staying = send_staying_requests(&balancer, 3);
+        let mut staying = connect_staying_clients(&balancer, 3);
         upstream.wait_for_ids(3);
         let mut half_closed = Vec::new();
         for how in Disconnect::ALL {
             for trailing in TrailingInput::ALL {
                 let mut client = balancer.connect();
-                send(&mut client, &trailing.text(&format!("{DISCONNECTED}{how:?}-{trailing:?}")));
+                send(&mut client, &trailing.text(&format!("{DISCONNECTED_ID_PREFIX}{how:?}-{trailing:?}")));
                 half_closed.push(disconnect(client, how));
             }
         }
@@ -196,7 +201,7 @@
         // While no permit is free, requests may be rejected.
         let mut statuses =
             (0..1000).map(|id| balancer.send(&request("look", &format!("w-{id}"), "")).status());
-        assert!(statuses.any(|status| status == 200), "the permits are not returned");
+        assert!(statuses.any(|status| status == 200), "the permits were not returned");
         upstream.assert_none_disconnected(4, &format!("round {round}"));
     }
 }
@@ -211,13 +216,15 @@
             send(&mut client, &request("pay", id, ""));
             client
         };
-        let clients = [0, 1, 2].map(|number| send_request(&format!("{DISCONNECTED}{how:?}-{number}")));
-        wait_until_seen(&balancer);
-        // The connection for this client is started after those of the others, and is established after them.
+        let clients =
+            [0, 1, 2].map(|number| send_request(&format!("{DISCONNECTED_ID_PREFIX}{how:?}-{number}")));
+        wait_until_input_processed(&balancer);
+        // The connection for this client's request is started after those for the others, and is established after
+        // them.
         let mut staying = send_request("w-1");
-        wait_until_seen(&balancer);
+        wait_until_input_processed(&balancer);
         let _half_closed = clients.map(|client| disconnect(client, how));
-        wait_until_seen(&balancer);
+        wait_until_input_processed(&balancer);
         let upstream = WithholdingUpstream::serving(stalled.open());
         upstream.release();
         assert_eq!(read_message(&mut staying).expect("a response").status(), 200);
@@ -242,7 +249,8 @@
             read_poll(&mut watch);
             send_snapshot(&mut watch, generation, entries);
         };
-        // The first request is rejected by an endpoint that is removed by then; the others arrive when there is none.
+        // The first request is rejected by an endpoint that has been removed by then. The others arrive when there is
+        // no endpoint.
         let mut retried = balancer.connect();
         send(&mut retried, &request("pay", "v-again", ""));
         let mut attempt = removed.accept();
@@ -255,9 +263,9 @@
         send_half_of_a_long_request(&mut long, "v-long");
         let mut staying = balancer.connect();
         send(&mut staying, &request("pay", "w-1", ""));
-        wait_until_seen(&balancer);
+        wait_until_input_processed(&balancer);
         let _half_closed = [retried, new, long].map(|client| disconnect(client, how));
-        wait_until_seen(&balancer);
+        wait_until_input_processed(&balancer);
         let added = Peer::new();
         send_list(44, &[endpoint("s-9", added.address, "SERVING")]);
         let upstream = WithholdingUpstream::serving(added);
--- a/crates/proxy/tests/client_limits.rs
+++ b/crates/proxy/tests/client_limits.rs
@@ -1,5 +1,5 @@
-//! Exhausted limits on the side of clients: connection permits, descriptors and the memory for bodies. Idle connections
-//! are evicted for new ones, but never while a request arrives on them.
+//! Exhausted limits on clients: connection permits, file descriptors and the memory for bodies. Idle connections are
+//! evicted for new ones, but never while a request arrives on them.
 
 mod common;
 
@@ -8,12 +8,12 @@
 
 use common::*;
 
-/// Wide bound on the time in which a client is served while others hold every permit.
-const SERVED_WITHIN: Duration = Duration::from_secs(10);
+/// Wide upper bound on the time until a client is served while others hold every permit.
+const MAX_TIME_TO_SERVE: Duration = Duration::from_secs(10);
 
 #[test]
 fn bodies_are_rejected_while_the_memory_for_bodies_is_exhausted() {
-    // Of 1 MB, bodies and responses may take 0.4 MB: three bodies of the largest buffered size.
+    // Bodies and responses may take 0.4 MB of the 1 MB, which is enough for three bodies of the largest buffered size.
     let upstream = Peer::new();
     let balancer = Setup::with_upstreams(&[upstream.address]).memory_mb(1).start();
     let start = |id| RequestInFlight::start(balancer.connect(), &upstream, &large_request(id));
@@ -36,8 +36,8 @@
     let mut idle: Vec<_> = (0..300).map(|_| balancer.connect()).collect();
     let start = Instant::now();
     assert_eq!(balancer.send(&request("pay", "r-1", "")).status(), 200);
-    // Only connections that were idle for long are evicted by then, fewer than there are permits.
-    assert!(start.elapsed() < SERVED_WITHIN, "the request waits for the idle clients");
+    // By then only connections with a long idle time have been evicted, fewer than there are permits.
+    assert!(start.elapsed() < MAX_TIME_TO_SERVE, "the request waits for the idle clients");
     assert!(peer_closed(&mut idle[0]), "the connection that was idle longest stays open");
 }
 
@@ -54,7 +54,7 @@
     let start = Instant::now();
     assert_eq!(balancer.send(&request("pay", "r-1", "")).status(), 200);
     // 60 clients on 11 permits, each until its time limit, would take 13 s.
-    assert!(start.elapsed() < SERVED_WITHIN, "the request waits for the unfinished ones");
+    assert!(start.elapsed() < MAX_TIME_TO_SERVE, "the request waits for the unfinished ones");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let waiting: Vec<_> = (0..8).map(send_request).collect();
     drop(idle);
     for (number, client) in waiting.into_iter().enumerate() {
-        // A connection that was slow to send may have been evicted for another; its client retries, as clients do.
+        // A connection whose request came late may have been evicted for another one. Its client then retries.
         let retries = (0..5).map(|_| send_request(number));
         let mut responses = std::iter::once(client).chain(retries).map(|client| read_message(&mut client?));
         assert_eq!(responses.find_map(|response| response).expect("a response").status(), 200);
@@ -94,11 +94,11 @@
     drop(in_flight);
     let mut statuses = (10..20).map(|id| balancer.send(&request("pay", &format!("r-{id}"), "")).status());
     let _requests = upstream.serve_ok();
-    assert!(statuses.any(|status| status == 200), "the permits are not returned");
+    assert!(statuses.any(|status| status == 200), "the permits were not returned");
 }
 
 #[test]
-fn running_out_of_descriptors_is_survived() {
+fn requests_are_served_after_descriptors_ran_out() {
     let upstream = Peer::new();
     let balancer = Setup::with_upstreams(&[upstream.address]).descriptor_limit(24).start();
     let _requests = upstream.serve_ok();
@@ -119,10 +119,10 @@
     let mut reused: Vec<_> = (0..6).map(|_| balancer.connect()).collect();
     for client in &mut reused {
         let response = exchange(client, READINESS_CHECK);
-        assert_eq!(response.header("connection"), None, "the connection stays open");
+        assert_eq!(response.header("connection"), None, "the balancer closes the connection");
     }
     let _unused = [balancer.connect(), balancer.connect()];
-    // All are idle for long enough to be evicted; then two requests arrive together with the ninth client.
+    // All are idle for long enough to be evicted. Then two requests arrive together with the ninth client.
     std::thread::sleep(Duration::from_millis(300));
     let mut ninth = None;
     balancer.while_suspended(|| {
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -9,12 +9,12 @@
 use common::*;
 
 #[test]
-fn malformed_requests_are_answered_and_disturb_no_other_request() {
+fn malformed_requests_get_an_error_and_affect_no_other_request() {
     let upstream = Peer::new();
     let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut other = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-0", ""));
 
-    let large = "Host: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 33554433\r\n\r\n";
+    let oversized = "Host: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 33554433\r\n\r\n";
     for (status, text) in [
         (400, "no HTTP at all\r\n\r\n".to_owned()),
         (400, "GET /api HTTP/1.1\r\nbad header\r\n\r\n".to_owned()),
@@ -25,12 +25,12 @@
         (400, "GET /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: \u{fe}\u{ff}\r\n\r\n".to_owned()),
         (404, request("look", "r-2", "").replace("/api", "/elsewhere")),
         (405, "DELETE /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: look\r\n\r\n".to_owned()),
-        (413, format!("POST /api HTTP/1.1\r\n{large}")),
+        (413, format!("POST /api HTTP/1.1\r\n{oversized}")),
     ] {
         let response = balancer.send(&text);
         assert_eq!(response.status(), status, "{:?}", text.lines().next());
     }
-    // A request whose connection ends in the middle of the body.
+    // The connection of this request ends in the middle of the head.
     let mut truncated = balancer.connect();
     truncated.write_all(&request("pay", "r-3", "").as_bytes()[..60]).expect("the balancer reads");
     truncated.shutdown(Shutdown::Both).expect("the client is connected");
@@ -58,13 +58,13 @@
 fn invalid_headers_are_answered_400_and_nothing_is_forwarded() {
     let upstream = Peer::new();
     let balancer = Setup::with_upstreams(&[upstream.address]).start();
-    let twice = "Req-Deadline-Ms: 5\r\nreq-deadline-ms: 5\r\n";
+    let duplicate_deadline = "Req-Deadline-Ms: 5\r\nreq-deadline-ms: 5\r\n";
     for (class, headers) in [
         ("pay", "Req-Deadline-Ms: soon\r\n"),
         ("pay", "Req-Deadline-Ms: -5\r\n"),
         ("pay", "Req-Deadline-Ms:\r\n"),
         ("pay", "Req-Deadline-Ms: 99999999999999999999999\r\n"),
-        ("pay", twice),
+        ("pay", duplicate_deadline),
         ("pay", "Req-Kind: look\r\n"),
         ("pay", "Req-Id: r-2\r\n"),
         ("pull", "Idempotency-Key: other\r\n"),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_id_that_is_in_flight_is_rejected() {
+fn the_id_of_a_request_in_flight_is_rejected() {
     let upstream = Peer::new();
     let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut first = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
@@ -134,7 +134,7 @@
         let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt");
         assert_eq!(attempt.header("req-id"), Some(id));
     }
-    // The connection is closed after a chunked body, because only hyper knows where it ends.
+    // The connection is closed after a chunked body, because only hyper knows where the body ends.
     let chunked = "Host: b\r\nReq-Id: r-4\r\nReq-Kind: pay\r\nTransfer-Encoding: chunked";
     let text = format!("POST /api HTTP/1.1\r\n{chunked}\r\n\r\n2\r\nab\r\n0\r\n\r\n");
     let response = exchange(&mut client, &text);
@@ -147,13 +147,14 @@
 fn unfinished_requests_and_idle_connections_time_out() {
     let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let start = Instant::now();
-    let begin = |text: &str| {
+    let send_beginning = |text: &str| {
         let mut client = balancer.connect();
         send(&mut client, text);
         client
     };
     let complete = request("pay", "r-1", "");
-    let mut unfinished = [&complete[..3], &complete[..40], &complete[..complete.len() - 2]].map(begin);
+    let mut unfinished =
+        [&complete[..3], &complete[..40], &complete[..complete.len() - 2]].map(send_beginning);
     let mut idle = [balancer.connect(), balancer.connect()];
     assert_eq!(exchange(&mut idle[1], READINESS_CHECK).status(), 200);
     for client in &mut unfinished {
@@ -162,12 +163,12 @@
     for client in &mut idle {
         assert!(peer_closed(client), "the connection stays open");
     }
-    // The limit is 3 s; a busy machine has ten times as much.
+    // The time limit is 3 s. The bound is ten times as long, for a busy machine.
     assert!(start.elapsed() < EVENT_TIMEOUT);
-    let mut endless = begin("GET /api HTTP/1.1\r\n");
+    let mut endless = send_beginning("GET /api HTTP/1.1\r\n");
     let line = format!("X-Pad: {}\r\n", "p".repeat(500));
     while endless.write_all(line.as_bytes()).is_ok() {}
-    assert!(start.elapsed() < EVENT_TIMEOUT, "a head without end is read on");
+    assert!(start.elapsed() < EVENT_TIMEOUT, "the balancer keeps reading a head without end");
 }
 
 #[test]
--- a/crates/proxy/tests/concurrency_limit.rs
+++ b/crates/proxy/tests/concurrency_limit.rs
@@ -11,7 +11,7 @@
 /// Three tiers of a service; the balancer forwards to the first.
 const THREE_TIERS: [&str; 3] = ["first", "second", "third"];
 
-/// Number of requests that an upstream has received, and how many of them are and were in flight.
+/// Number of requests that an upstream has received, the number in flight, and the peak of the number in flight.
 #[derive(Default)]
 struct Load {
     received: AtomicUsize,
@@ -20,8 +20,8 @@
 }
 
 impl Load {
-    /// Processes a request as an upstream with tiers behind it does: the latency does not grow with the load, and every
-    /// fourth request takes three times as long.
+    /// Processes a request as an upstream does that calls further tiers: the latency does not grow with the load, and
+    /// every fourth request takes three times as long.
     fn process_request(&self) {
         let in_flight = self.in_flight.fetch_add(1, Ordering::SeqCst) + 1;
         self.peak.fetch_max(in_flight, Ordering::SeqCst);
@@ -35,9 +35,9 @@
     }
 }
 
-/// Sends requests of a few more clients than `enough` to an upstream of the first tier. Returns the peak of the requests
-/// in flight, once it has reached `enough` or `max_requests` were sent.
-fn peak_in_flight(tiers: &[&'static str], enough: usize, max_requests: usize) -> usize {
+/// Sends requests from `target + 2` clients to an upstream of the first tier, until the peak of the requests in flight
+/// reaches `target` or `max_requests` were sent. Returns the peak.
+fn peak_in_flight(tiers: &[&'static str], target: usize, max_requests: usize) -> usize {
     let upstream = Peer::new();
     let balancer = Setup::with_upstreams(&[upstream.address]).tiers(tiers).start();
     let sent = AtomicUsize::new(0);
@@ -49,10 +49,10 @@
     });
     std::thread::scope(|scope| {
         let (load, sent) = (&load, &sent);
-        for _ in 0..enough + 2 {
+        for _ in 0..target + 2 {
             let mut client = balancer.connect();
             scope.spawn(move || {
-                while load.peak() < enough {
+                while load.peak() < target {
                     let id = sent.fetch_add(1, Ordering::SeqCst);
                     if id >= max_requests {
                         return;
@@ -66,10 +66,10 @@
 }
 
 #[test]
-fn requests_that_wait_for_tiers_behind_do_not_fill_the_concurrency_limit() {
-    // A request occupies a slot until all tiers behind have responded, however little work the first tier has.
+fn requests_that_wait_for_further_tiers_do_not_fill_the_concurrency_limit() {
+    // A request counts as in flight until all further tiers have responded, however little work the first tier does.
     let peak = peak_in_flight(&THREE_TIERS, 14, 400);
-    assert!(peak >= 14, "{peak} in flight, although the upstream is no slower with more");
+    assert!(peak >= 14, "{peak} in flight, although the latency does not grow with the load");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     for upstream in &upstreams {
         let mut streams: Vec<_> = (0..6).map(|_| upstream.accept()).collect();
         for stream in &mut streams {
-            assert!(read_message(stream).is_some(), "no request");
+            assert!(read_message(stream).is_some(), "the upstream received no request");
         }
         streams.iter_mut().for_each(respond_ok);
     }
@@ -112,7 +112,7 @@
         std::thread::sleep(Duration::from_millis(if is_first { 1500 } else { 10_000 }));
         respond_ok(stream);
     });
-    let send_twelve = |name: &str| {
+    let send_twelve_requests = |name: &str| {
         let send_request = |id| {
             let mut client = balancer.connect();
             let text = request("look", &format!("{name}-{id}"), "Req-Deadline-Ms: 3000\r\n");
@@ -121,16 +121,16 @@
         };
         (0..12).map(send_request).collect::<Vec<_>>()
     };
-    let clients = send_twelve("a");
+    let clients = send_twelve_requests("a");
     (0..12).for_each(|_| drop(requests.recv_timeout(EVENT_TIMEOUT).expect("a request")));
     drop(clients);
     std::thread::sleep(Duration::from_millis(2500));
-    for client in &mut send_twelve("b") {
+    for client in &mut send_twelve_requests("b") {
         assert_ne!(read_message(client).expect("a response").status(), 200);
     }
-    let second = requests
+    let count = requests
         .try_iter()
         .filter(|request| request.header("req-id").is_some_and(|id| id.starts_with("b-")))
         .count();
-    assert!((1..12).contains(&second), "{second} of 12 were in flight at once");
+    assert!((1..12).contains(&count), "{count} of 12 were in flight at once");
 }
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The requests to discovery, and what the endpoint lists in its responses change.
+//! The requests to discovery, and the effects of the endpoint lists in its responses.
 
 mod common;
 
@@ -8,8 +8,8 @@
 
 use common::*;
 
-/// Starts a balancer that knows an upstream and polls discovery. Idle connections stay open for longer than any test
-/// takes, so that only a list closes them.
+/// Starts a balancer that has one upstream and polls discovery. Idle connections stay open for longer than any test
+/// takes, so that only an endpoint list closes them.
 fn start_polling(discovery: &Peer, upstream: &Peer) -> Balancer {
     let setup = Setup::with_upstreams(&[upstream.address]).polled_discovery(discovery.address);
     setup.idle_close_ms(90_000).start()
@@ -22,8 +22,9 @@
     assert!(poll.first_line().contains(&format!("index={generation}&")), "{}", poll.first_line());
 }
 
-/// Responses that fail, as bytes that end with the connection: a status, no response, and no HTTP.
-const FAILURES: [&str; 3] = ["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "", "what?\r\n\r\n"];
+/// Failed responses, each followed by the end of the connection: an error status, no response, and bytes that are not
+/// HTTP.
+const FAILED_RESPONSES: [&str; 3] = ["HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "", "what?\r\n\r\n"];
 
 #[test]
 fn a_watch_continues_from_the_version_received() {
@@ -67,17 +68,17 @@
 fn any_failure_of_the_watch_is_followed_by_another_request() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
     let balancer = start_polling(&discovery, &upstream);
-    for failure in FAILURES {
+    for response in FAILED_RESPONSES {
         let mut connection = discovery.accept();
         read_poll(&mut connection);
-        let _ = connection.write_all(failure.as_bytes());
+        let _ = connection.write_all(response.as_bytes());
     }
     let mut connection = discovery.accept();
     read_poll(&mut connection);
     respond(&mut connection, "200 OK", "", b"{\"generation\":\"none\"}");
     let mut connection = discovery.accept();
     expect_watch_from(&mut connection, 41);
-    // The list received before stays in use.
+    // The balancer still uses the list that it had before.
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
 }
 
@@ -91,9 +92,10 @@
     let poll = read_poll(&mut silent);
     assert!(poll.first_line().contains("&wait=400 "), "{}", poll.first_line());
     expect_watch_from(&mut discovery.accept(), 41);
-    // The restart takes less than a second. A watch that waits for the default of 20 s would exceed this wide bound.
+    // The restart takes less than a second. A watch that waits for the default of 20 s would exceed the wide bound of
+    // 15 s.
     assert!(start.elapsed() < Duration::from_secs(15));
-    // The list received before stays in use.
+    // The balancer still uses the list that it had before.
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
 }
 
@@ -101,10 +103,10 @@
 fn the_watch_restarts_itself_for_a_policy_that_does_not_poll() {
     let (discovery, upstream) = (Peer::new(), Peer::new());
     let balancer = Setup::with_upstreams(&[closed_address()]).watched_discovery(discovery.address).start();
-    for failure in FAILURES {
+    for response in FAILED_RESPONSES {
         let mut connection = discovery.accept();
         expect_watch_from(&mut connection, 41);
-        let _ = connection.write_all(failure.as_bytes());
+        let _ = connection.write_all(response.as_bytes());
     }
     let mut connection = discovery.accept();
     read_poll(&mut connection);
@@ -167,9 +169,9 @@
     let _to_last = forward_to(&old, &mut client, "r-5");
 }
 
-/// A change that closes an endpoint to new requests.
+/// A change after which the known address of an endpoint gets no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closing {
+enum EndpointChange {
     /// A list says that it drains.
     Draining,
     /// A list says that it is removed.
@@ -181,14 +183,20 @@
 }
 
 #[test]
-fn no_request_waits_for_a_connection_to_an_endpoint_that_is_closed_to_new_requests() {
+fn no_request_waits_for_a_connection_to_an_endpoint_that_gets_no_new_requests() {
     // Each change happens while the connection to the endpoint is being established.
-    for closing in [Closing::Draining, Closing::Removed, Closing::AddressChanged, Closing::Excluded] {
+    for change in [
+        EndpointChange::Draining,
+        EndpointChange::Removed,
+        EndpointChange::AddressChanged,
+        EndpointChange::Excluded,
+    ] {
         let (discovery, upstream, stalled) = (Peer::new(), Peer::new(), StalledListener::new());
         let address = upstream.address;
         let _requests = upstream.serve_ok();
         let setup = Setup::with_upstreams(&[stalled.address]).polled_discovery(discovery.address);
-        // No connection attempt fails before the end of the test, so a retry elsewhere cannot be the reason for success.
+        // No connection attempt fails before the end of the test, so a retry on another upstream cannot be the reason
+        // for success.
         let balancer = setup.connect_timeout_ms(60_000).with_admin().start();
         let mut client = balancer.connect();
         send(&mut client, &request("pay", "r-1", ""));
@@ -196,18 +204,18 @@
         let mut watch = discovery.accept();
         read_poll(&mut watch);
         let other = endpoint("s-1", address, "SERVING");
-        let changes = match closing {
-            Closing::Draining => vec![endpoint("s-0", stalled.address, "DRAINING"), other],
-            Closing::Removed => vec![endpoint("s-0", stalled.address, "DELETED"), other],
-            Closing::AddressChanged => vec![endpoint("s-0", address, "SERVING")],
-            Closing::Excluded => vec![other],
+        let entries = match change {
+            EndpointChange::Draining => vec![endpoint("s-0", stalled.address, "DRAINING"), other],
+            EndpointChange::Removed => vec![endpoint("s-0", stalled.address, "DELETED"), other],
+            EndpointChange::AddressChanged => vec![endpoint("s-0", address, "SERVING")],
+            EndpointChange::Excluded => vec![other],
         };
-        send_update(&mut watch, 42, &changes);
-        if closing == Closing::Excluded {
+        send_update(&mut watch, 42, &entries);
+        if change == EndpointChange::Excluded {
             read_poll(&mut watch);
             assert_eq!(balancer.admin_status("POST", "/api/exclude/s-0"), 200);
         }
-        assert_eq!(read_message(&mut client).expect("a response").status(), 200, "{closing:?}");
+        assert_eq!(read_message(&mut client).expect("a response").status(), 200, "{change:?}");
     }
 }
 
@@ -217,16 +225,16 @@
     let balancer = Setup::with_upstreams(&[first.address]).polled_discovery(discovery.address).start();
     let mut watch = discovery.accept();
     let readable = endpoint("s-9", second.address, "SERVING");
-    // An unknown lifecycle, in an entry with line breaks, which lists may have.
+    // The entry has an unknown lifecycle and contains line breaks, which lists may have.
     let bad_lifecycle = endpoint("s-0", first.address, "RESTING").replace(',', ",\n  ");
     expect_watch_from(&mut watch, 41);
     send_update(&mut watch, 42, &[bad_lifecycle, readable.clone()]);
 
     let without_address = r#"{"instanceId":"s-7","zone":"a","lifecycle":"SERVING"}"#.to_owned();
-    let no_object = "7".to_owned();
+    let not_an_object = "7".to_owned();
     let bad_address = endpoint("s-8", first.address, "SERVING").replace("127", "x");
     expect_watch_from(&mut watch, 42);
-    send_snapshot(&mut watch, 43, &[without_address, no_object, bad_address, readable]);
+    send_snapshot(&mut watch, 43, &[without_address, not_an_object, bad_address, readable]);
     read_poll(&mut watch);
     balancer.serve_requests(0..20);
     assert!(first.has_no_new_connection(), "a request was sent to an endpoint whose entry cannot be read");
@@ -246,7 +254,7 @@
 }
 
 /// Memory limit of the balancer in the test of endless and overlong lists, in MB.
-const MEMORY_MB: usize = 32;
+const MEMORY_LIMIT_MB: usize = 32;
 /// Beginning of a response with a list, up to the first entry.
 const LIST_START: &[u8] = b"HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[";
 /// An entry that lacks all required fields but one.
@@ -258,9 +266,9 @@
     let discovery = Peer::new();
     let address = discovery.address;
     let polls = discovery.serve(move |_, stream| respond(stream));
-    let setup = Setup::with_upstreams(&[upstream.address]).memory_mb(MEMORY_MB).drain_grace_ms(2500);
+    let setup = Setup::with_upstreams(&[upstream.address]).memory_mb(MEMORY_LIMIT_MB).drain_grace_ms(2500);
     let balancer = setup.polled_discovery(address).start();
-    // Requests follow each other, at most two at a time.
+    // At most two requests to discovery are open at the same time.
     for _ in 0..6 {
         polls.recv_timeout(EVENT_TIMEOUT).expect("a request to discovery");
     }
@@ -273,13 +281,13 @@
         let _ = stream.write_all(LIST_START);
         while stream.write_all(&INCOMPLETE_ENTRY.repeat(512)).is_ok() {}
     });
-    assert!(endless < MEMORY_MB * 1024, "{endless} kB");
+    assert!(endless < MEMORY_LIMIT_MB * 1024, "{endless} kB");
     for entries in [16_000, 190_000, 400_000] {
         let overlong = peak_memory_kb(move |stream| {
             let entries = INCOMPLETE_ENTRY.repeat(entries);
             let _ = stream.write_all(&[LIST_START, &entries, b"{}]}"].concat());
             let _ = stream.shutdown(std::net::Shutdown::Both);
         });
-        assert!(overlong < MEMORY_MB * 1024, "{entries} entries: {overlong} kB");
+        assert!(overlong < MEMORY_LIMIT_MB * 1024, "{entries} entries: {overlong} kB");
     }
 }
--- a/crates/proxy/tests/soak/invariants.rs
+++ b/crates/proxy/tests/soak/invariants.rs
@@ -6,8 +6,8 @@
 use crate::common::Balancer;
 use crate::record::{ReceivedRequest, Record, SentRequest};
 
-/// Time by which a forwarded deadline may exceed the time that the client has left: 150 ms that the balancer is allowed,
-/// and 50 ms for the measurement error on a busy machine.
+/// Time by which a forwarded deadline may exceed the time that the client has left: 150 ms that the balancer is
+/// allowed, and 50 ms for the measurement error on a busy machine.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150 + 50);
 /// Time after a disconnect in which an attempt may still begin: 100 ms that the balancer is allowed, and 100 ms for the
 /// measurement error.
