--- a/crates/fleet-model/src/random.rs
+++ b/crates/fleet-model/src/random.rs
@@ -34,7 +34,8 @@
     Pause,
 }
 
-/// Returns the seed for a purpose and a number. The two rounds of mixing make the seeds of neighbouring numbers independent.
+/// Returns the seed for a purpose and a number. The two rounds of mixing make the seeds of neighbouring numbers
+/// independent.
 fn derive_seed(seed: u64, purpose: Purpose, number: u64) -> u64 {
     let first = splitmix(seed.wrapping_add((purpose as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     splitmix(first ^ number.wrapping_mul(0xd1b5_4a32_d192_ed03))
--- a/crates/fleet-model/src/scoring/cause.rs
+++ b/crates/fleet-model/src/scoring/cause.rs
@@ -15,7 +15,7 @@
     /// The request was at servers that were warming up.
     #[serde(rename = "cold")]
     WarmingUp,
-    /// The request was at a server that answered none.
+    /// The request was at a server that answered no request.
     Silent,
     /// The request was at a server that a fault had slowed.
     Slowed,
