--- a/crates/fleet-model/src/failures/measure.rs
+++ b/crates/fleet-model/src/failures/measure.rs
@@ -10,7 +10,7 @@
 use crate::policy::{Kind, Policy};
 use crate::scenario::ScenarioError;
 use crate::scoring::{NotificationCount, Rule, Second};
-use crate::server::Truth;
+use crate::server::GroundTruth;
 use crate::world::{ScenarioRun, run_scenario_with};
 
 /// Size of an entry of a list on the wire, in bytes. A list of 2,000 entries has 340 KB.
@@ -34,7 +34,7 @@
 }
 
 impl Policy for TimedPolicy {
-    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, actions: &mut Vec<Action>) {
         let began = Instant::now();
         self.inner.handle(now, event, truth, actions);
         self.time.nanoseconds.fetch_add(began.elapsed().as_nanos() as u64, Ordering::Relaxed);
@@ -58,7 +58,7 @@
 pub(super) fn measure(seed: u64, sizes: &Sizes, failure: Failure) -> Result<Row, ScenarioError> {
     let time = Arc::new(ModuleTime::default());
     let start = |settings: Settings, seed: u64| -> Result<Box<dyn Policy>, SettingsError> {
-        let inner = Kind::Module.start(settings, seed)?;
+        let inner = Kind::Module.create_policy(settings, seed)?;
         Ok(Box::new(TimedPolicy { inner, time: Arc::clone(&time) }))
     };
     let began = Instant::now();
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -19,6 +19,6 @@
 mod table;
 mod world;
 
-pub use server::{TrueState, Truth};
+pub use server::{GroundTruth, TrueState};
 pub use span::Span;
-pub use world::{ScenarioRun, Start, run_scenario, run_scenario_with};
+pub use world::{PolicyFactory, ScenarioRun, run_scenario, run_scenario_with};
--- a/crates/fleet-model/src/policy/baseline.rs
+++ b/crates/fleet-model/src/policy/baseline.rs
@@ -12,7 +12,7 @@
 use super::full_knowledge::FullKnowledge;
 use super::known_state::{KnownServer, OpenRequest, PossibleRun};
 use super::selection::{Selector, Strategy};
-use crate::server::Truth;
+use crate::server::GroundTruth;
 
 /// Largest number of attempts of a request whose class permits repeats.
 const MAX_ATTEMPTS: u32 = 2;
@@ -41,7 +41,7 @@
 }
 
 impl Policy for Baseline {
-    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { kind, entries } => self.update_list(kind, entries),
             Event::Request { id, class, time_left, .. } => {
@@ -116,7 +116,7 @@
         now: Micros,
         id: RequestId,
         failed: &FailedAttempt,
-        truth: &Truth<'_>,
+        truth: &GroundTruth<'_>,
         actions: &mut Vec<Action>,
     ) {
         let cell = self.servers.get(&failed.server).map_or(0, |known| known.entry.cell);
@@ -151,7 +151,7 @@
         });
     }
 
-    fn try_send(&mut self, now: Micros, id: RequestId, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn try_send(&mut self, now: Micros, id: RequestId, truth: &GroundTruth<'_>, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let knowledge = FullKnowledge { settings: &self.settings, servers: &self.servers, truth, now };
         let has_full_knowledge = self.strategy == Strategy::FullKnowledge;
--- a/crates/fleet-model/src/policy/full_knowledge.rs
+++ b/crates/fleet-model/src/policy/full_knowledge.rs
@@ -5,7 +5,7 @@
 use zincstand_policy::{Micros, ServerId, Settings};
 
 use super::known_state::{KnownServer, OpenRequest};
-use crate::server::{TrueState, Truth};
+use crate::server::{GroundTruth, TrueState};
 
 /// Longest backlog for requests of the class with the shortest latency objective, in multiples of that objective. These
 /// requests need the least work for their utility.
@@ -31,7 +31,7 @@
     /// Servers on the endpoint list.
     pub servers: &'a BTreeMap<ServerId, KnownServer>,
     /// True state of all servers.
-    pub truth: &'a Truth<'a>,
+    pub truth: &'a GroundTruth<'a>,
     /// Time of the balancer's clock.
     pub now: Micros,
 }
@@ -41,12 +41,12 @@
     /// warm up, overload. `None` if the request should wait.
     pub fn choose(&self, candidates: &[ServerId], request: &OpenRequest) -> Option<ServerId> {
         let max_backlog = self.max_backlog(request);
-        if self.settings.tier == 0 && self.truth.backlog_behind(0) > max_backlog {
+        if self.settings.tier == 0 && self.truth.backlog_of_later_tiers(0) > max_backlog {
             return None;
         }
         let mut best: Option<(f64, ServerId)> = None;
         for &id in candidates {
-            let (Some(state), Some(known)) = (self.truth.of(id), self.servers.get(&id)) else { continue };
+            let (Some(state), Some(known)) = (self.truth.server(id), self.servers.get(&id)) else { continue };
             if !self.can_take(&state, max_backlog) {
                 continue;
             }
@@ -81,7 +81,7 @@
             MAX_WARM_UP_WORK_SHARE * self.settings.rules.overload_window as f64 * state.warm_share;
         let overloaded_while_warming = state.warm_share < 1.0 && state.backlog > warm_up_limit;
         state.accepts
-            && state.spare > 1.0
+            && state.headroom > 1.0
             && !state.choked
             && !overloaded_while_warming
             && state.backlog <= max_backlog
--- a/crates/fleet-model/src/policy/mod.rs
+++ b/crates/fleet-model/src/policy/mod.rs
@@ -11,13 +11,13 @@
 
 use self::baseline::Baseline;
 use self::selection::Strategy;
-use crate::server::Truth;
+use crate::server::GroundTruth;
 
 /// Makes the decisions of one balancer process.
 pub trait Policy: Send {
     /// Handles an event and appends the resulting actions. `now` is in microseconds of the balancer's own clock. Only
     /// the baseline with full knowledge reads `truth`.
-    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, actions: &mut Vec<Action>);
 
     /// Exports the learned state for a process that replaces this one. `None` if the policy learns nothing.
     fn learned_state(&self, _now: Micros) -> Option<LearnedState> {
@@ -29,7 +29,7 @@
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: Micros, event: Event, _: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &GroundTruth<'_>, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
 
@@ -89,7 +89,11 @@
     /// # Errors
     ///
     /// The decision module rejects the settings.
-    pub(crate) fn start(self, settings: Settings, seed: u64) -> Result<Box<dyn Policy>, SettingsError> {
+    pub(crate) fn create_policy(
+        self,
+        settings: Settings,
+        seed: u64,
+    ) -> Result<Box<dyn Policy>, SettingsError> {
         let strategy = match self {
             Kind::Module => return Ok(Box::new(Balancer::new(settings, seed)?)),
             Kind::Random => Strategy::Random,
--- a/crates/fleet-model/src/server/mod.rs
+++ b/crates/fleet-model/src/server/mod.rs
@@ -21,7 +21,7 @@
 pub(crate) use self::capacity::Condition;
 pub(crate) use self::jobs::{JobAdmission, JobIndex};
 pub(crate) use self::process::ProcessState;
-pub use self::truth::{TrueState, Truth};
+pub use self::truth::{GroundTruth, TrueState};
 pub(crate) use self::warm_up::{OverloadRule, WarmUpWork};
 
 /// Shortest warm-up time of a server, as a share of the warm-up time of its tier.
--- a/crates/fleet-model/src/world/messages.rs
+++ b/crates/fleet-model/src/world/messages.rs
@@ -6,7 +6,7 @@
 use super::event::{Message, Reply, WorldEvent};
 use super::index::{AttemptIndex, ProcessIndex, RequestIndex};
 use super::state::{Caller, RecentEvent};
-use crate::server::Truth;
+use crate::server::GroundTruth;
 
 /// Processor time of a timer, as a share of the processor time of any other message.
 const TIMER_COST_SHARE: f64 = 0.1;
@@ -145,7 +145,7 @@
     pub(super) fn handle_policy_event(&mut self, process: ProcessIndex, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let record = &mut self.processes[process];
-        let truth = Truth { servers: self.servers.as_slice(), now: self.now };
+        let truth = GroundTruth { servers: self.servers.as_slice(), now: self.now };
         record.policy.handle(self.now + record.clock_offset, event, &truth, &mut actions);
         for action in actions.drain(..) {
             self.apply_action(process, action);
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -44,7 +44,7 @@
 /// State of a running scenario.
 struct World<'d> {
     scenario: &'d Scenario,
-    start: Start<'d>,
+    create_policy: PolicyFactory<'d>,
     now: Micros,
     queue: EventQueue,
     /// Requests of all clients, in the order of their first attempts.
@@ -101,7 +101,7 @@
 }
 
 /// Function that creates the policy of a process from its settings and a seed.
-pub type Start<'a> = &'a (dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError> + Sync);
+pub type PolicyFactory<'a> = &'a (dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError> + Sync);
 
 /// Runs a scenario with one kind of policy. With `detail`, servers are sampled every second.
 ///
@@ -109,25 +109,25 @@
 ///
 /// The scenario contradicts itself; the error names the key.
 pub fn run_scenario(scenario: &Scenario, kind: Kind, detail: bool) -> Result<ScenarioRun, ScenarioError> {
-    run_scenario_with(scenario, &|settings, seed| kind.start(settings, seed), detail)
+    run_scenario_with(scenario, &|settings, seed| kind.create_policy(settings, seed), detail)
 }
 
-/// Runs a scenario with policies that `start` creates. With `detail`, servers are sampled every second.
+/// Runs a scenario with policies that `create_policy` creates. With `detail`, servers are sampled every second.
 ///
 /// # Errors
 ///
-/// The scenario contradicts itself, or `start` rejects the settings that follow from it.
+/// The scenario contradicts itself, or `create_policy` rejects the settings that follow from it.
 pub fn run_scenario_with(
     scenario: &Scenario,
-    start: Start<'_>,
+    create_policy: PolicyFactory<'_>,
     detail: bool,
 ) -> Result<ScenarioRun, ScenarioError> {
     scenario.check()?;
     for tier in 0..scenario.tiers.len() {
         let settings = scenario.settings(tier, 0, 0);
-        start(settings, 0)?;
+        create_policy(settings, 0)?;
     }
-    let mut world = World::new(scenario, start, detail);
+    let mut world = World::new(scenario, create_policy, detail);
     world.run();
     Ok(world.finish())
 }
@@ -139,8 +139,8 @@
 /// The scenario contradicts itself; the error names the key.
 pub(crate) fn run_recorded(scenario: &Scenario, kind: Kind) -> Result<RecordedRun, ScenarioError> {
     scenario.check()?;
-    let start = |settings, seed| kind.start(settings, seed);
-    let mut world = World::new(scenario, &start, false);
+    let create_policy = |settings, seed| kind.create_policy(settings, seed);
+    let mut world = World::new(scenario, &create_policy, false);
     world.start_recording = Some(StartRecording::default());
     world.run();
     let recording = world.start_recording.take().unwrap_or_default();
--- a/crates/fleet-model/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -49,9 +49,8 @@
         let number = u64::from(self.processes.next_index());
         let settings = self.scenario.settings(place.tier, place.balancer, place.zone);
         let seed = random::stream(self.scenario.seed, Purpose::Process, number).random();
-        (self.start)(settings, seed).unwrap_or_else(|error| {
-            unreachable!("the settings were checked before the scenario began: {error}")
-        })
+        (self.create_policy)(settings, seed)
+            .unwrap_or_else(|error| unreachable!("the settings were checked before the run started: {error}"))
     }
 
     /// Returns the time by which the clock of a balancer is ahead of the world's.
--- a/crates/fleet-model/src/world/setup.rs
+++ b/crates/fleet-model/src/world/setup.rs
@@ -3,7 +3,7 @@
 use super::event::{EventQueue, WorldEvent};
 use super::index::ServerIndex;
 use super::state::{ClientAttempt, FrontBalancer};
-use super::{MICROS_PER_SECOND, Start, World, arrivals};
+use super::{MICROS_PER_SECOND, PolicyFactory, World, arrivals};
 use crate::scenario::Scenario;
 use crate::scoring::Metrics;
 use crate::server::{Server, ServerPlace};
@@ -11,8 +11,8 @@
 
 impl<'d> World<'d> {
     /// Builds the world of a scenario. The order of the steps decides the order of events of the same instant.
-    pub(super) fn new(scenario: &'d Scenario, start: Start<'d>, detail: bool) -> World<'d> {
-        let mut world = World::empty(scenario, start, detail);
+    pub(super) fn new(scenario: &'d Scenario, create_policy: PolicyFactory<'d>, detail: bool) -> World<'d> {
+        let mut world = World::empty(scenario, create_policy, detail);
         world.add_servers();
         let arrivals = arrivals::draw_arrivals(scenario);
         world.client_attempts = Table::from(vec![ClientAttempt::default(); arrivals.len()]);
@@ -31,10 +31,10 @@
         world
     }
 
-    fn empty(scenario: &'d Scenario, start: Start<'d>, detail: bool) -> World<'d> {
+    fn empty(scenario: &'d Scenario, create_policy: PolicyFactory<'d>, detail: bool) -> World<'d> {
         World {
             scenario,
-            start,
+            create_policy,
             now: 0,
             queue: EventQueue::default(),
             arrivals: Table::default(),
--- a/crates/fleet-model/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -4,7 +4,7 @@
 use zincstand_fleet_model::policy::{Kind, Policy};
 use zincstand_fleet_model::scenario::{Choke, Effect, Fault, FaultKind, Scenario};
 use zincstand_fleet_model::scoring::{Cause, Rule};
-use zincstand_fleet_model::{ScenarioRun, Span, Truth, run_scenario, run_scenario_with};
+use zincstand_fleet_model::{GroundTruth, ScenarioRun, Span, run_scenario, run_scenario_with};
 use zincstand_policy::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
 
 /// A scenario without randomness: one class of equal requests, equal servers, no jitter.
@@ -56,7 +56,7 @@
 }
 
 impl Policy for Scripted {
-    fn handle(&mut self, now: Micros, event: Event, _: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &GroundTruth<'_>, actions: &mut Vec<Action>) {
         if let Event::EndpointList { kind, entries } = &event {
             if *kind != ListKind::Delta {
                 self.servers.clear();
