--- a/crates/fleet-model/src/server/choke.rs
+++ b/crates/fleet-model/src/server/choke.rs
@@ -1,4 +1,5 @@
-//! Servers that turn slow from crowding and stay slow until they have rested.
+//! Metastable overload: a server that is crowded for too long becomes slow (it chokes), and stays slow until it has been
+//! nearly idle for a while.
 
 use std::collections::VecDeque;
 
@@ -6,10 +7,10 @@
 
 use crate::scenario::Choke;
 
-/// Number of samples of the busy time of a choked server within the time over which its utilization is measured.
-const SAMPLES_PER_REST: u64 = 10;
+/// Number of samples of the busy time of a choked server within the window over which its utilization is measured.
+const SAMPLES_PER_WINDOW: u64 = 10;
 
-/// Busy time of a server until an instant.
+/// Busy time of a server up to an instant, in microseconds.
 #[derive(Clone, Copy)]
 struct BusySample {
     at: Micros,
@@ -53,22 +54,23 @@
         if self.is_choked() { self.settings.slower } else { 1.0 }
     }
 
-    /// Returns the number of jobs that may run or wait at a server before it counts as crowded.
+    /// Returns the number of running and waiting jobs above which a server with this number of cores is crowded.
     pub fn crowding_limit(&self, cores: f64) -> f64 {
         (1.0 + self.settings.at) * cores
     }
 
-    /// Returns the time at which the state must be updated if nothing happens before. `None` if it will not change.
+    /// Returns the time at which the state must be updated if no earlier event updates it. `None` if it will not change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let choke_at = self.crowded_since.map(|since| (since + self.settings.over.0).max(now + 1));
-        let sample_at = self.choked_since.map(|_| now + (self.settings.rest.0 / SAMPLES_PER_REST).max(1));
+        let sample_at = self.choked_since.map(|_| now + (self.settings.rest.0 / SAMPLES_PER_WINDOW).max(1));
         [choke_at, sample_at].into_iter().flatten().min()
     }
 
-    /// Updates the state by the number of excess jobs, which is that of jobs beyond the cores, and the busy time.
+    /// Updates the state. `excess_jobs` is the number of running and waiting jobs beyond the cores, and `busy_time` is the
+    /// time for which the cores were busy so far, in microseconds.
     pub fn update(&mut self, now: Micros, excess_jobs: f64, cores: f64, busy_time: f64) {
         match self.choked_since {
-            Some(since) => self.recover_if_rested(now, since, busy_time),
+            Some(since) => self.recover_if_nearly_idle(now, since, busy_time),
             None => self.choke_if_crowded(now, excess_jobs, cores),
         }
     }
@@ -80,20 +82,20 @@
         self.busy_samples.clear();
     }
 
-    fn recover_if_rested(&mut self, now: Micros, since: Micros, busy_time: f64) {
-        let rest = self.settings.rest.0;
-        let sample_interval = rest / SAMPLES_PER_REST;
+    fn recover_if_nearly_idle(&mut self, now: Micros, since: Micros, busy_time: f64) {
+        let window = self.settings.rest.0;
+        let sample_interval = window / SAMPLES_PER_WINDOW;
         if self.busy_samples.back().is_none_or(|last| now >= last.at + sample_interval) {
             self.busy_samples.push_back(BusySample { at: now, busy_time });
         }
-        while self.busy_samples.len() > 1 && self.busy_samples[1].at + rest <= now {
+        while self.busy_samples.len() > 1 && self.busy_samples[1].at + window <= now {
             self.busy_samples.pop_front();
         }
         let first = self.busy_samples[0];
         let busy_since_first = busy_time - first.busy_time;
-        let rested =
-            now >= first.at + rest && busy_since_first < self.settings.below * (now - first.at) as f64;
-        if rested || now >= since + self.settings.most.0 {
+        let nearly_idle =
+            now >= first.at + window && busy_since_first < self.settings.below * (now - first.at) as f64;
+        if nearly_idle || now >= since + self.settings.most.0 {
             self.reset();
         }
     }
--- a/crates/fleet-model/src/server/jobs.rs
+++ b/crates/fleet-model/src/server/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of a server. They occupy slots and share the cores equally, or wait in the queue.
+//! Jobs of a server. They occupy slots and share the cores equally, or wait in the queue for a slot.
 
 use std::cmp::Reverse;
 
@@ -12,7 +12,8 @@
     JobIndex
 }
 
-/// Remaining service at which a job counts as done, in microseconds. Without it, rounding could leave a job running.
+/// Remaining service below which a job counts as done, in microseconds. Without it, rounding errors could keep a job
+/// running.
 const SERVICE_TOLERANCE: f64 = 1e-6;
 
 /// State of a job after its admission.
@@ -35,8 +36,8 @@
         self.jobs.len()
     }
 
-    /// Returns the number of jobs that run or wait for a slot. A job whose call of the next tier is in flight does
-    /// neither.
+    /// Returns the number of jobs that run or wait for a slot. Jobs whose call of the next tier is in flight are not
+    /// counted.
     pub(super) fn running_or_waiting(&self) -> f64 {
         (self.running.len() + self.queue.len()) as f64
     }
@@ -55,11 +56,12 @@
         let elapsed = now.saturating_sub(self.advanced_to) as f64;
         if elapsed > 0.0 && !self.running.is_empty() {
             let running = self.running.len() as f64;
-            // The capacity of a warming server grows meanwhile. Planned changes are close enough for one rate each.
-            let done = self.service_rate(self.advanced_to) * elapsed;
-            self.virtual_service += done;
+            // The capacity of a warming server grows in between, but planned changes are so frequent that the rate at
+            // the beginning is close enough.
+            let service = self.service_rate(self.advanced_to) * elapsed;
+            self.virtual_service += service;
             if self.started.is_some() {
-                self.work_since_start += done * running;
+                self.work_since_start += service * running;
             }
             if !self.paused {
                 self.busy_time += elapsed * (running / self.properties.cores).min(1.0);
@@ -89,7 +91,7 @@
         self.running.push(Reverse(((self.virtual_service + work).to_bits(), job)));
     }
 
-    /// Spends work outside of the jobs. The jobs share the delay, and idle cores take their part of it.
+    /// Spends work that belongs to no job. It delays the running jobs equally, less the part that idle cores do.
     pub fn spend(&mut self, work: f64) {
         self.virtual_service =
             (self.virtual_service - work / (self.running.len() as f64).max(self.properties.cores)).max(0.0);
--- a/crates/fleet-model/src/server/mod.rs
+++ b/crates/fleet-model/src/server/mod.rs
@@ -25,7 +25,7 @@
 pub(crate) use self::warm_up::{OverloadRule, WarmUpWork};
 
 /// Shortest warm-up time of a server, as a share of the warm-up time of its tier.
-const MIN_WARM_UP_SHARE: f64 = 0.6;
+const MIN_WARM_UP_TIME_SHARE: f64 = 0.6;
 
 /// Location of a server.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
     pub tier: usize,
     /// Index of the zone.
     pub zone: u32,
-    /// Number of the cell. The servers of a cell share their memory of idempotency keys.
+    /// Number of the cell. The servers of a cell share the idempotency keys that they have received.
     pub cell: u32,
     /// Index of the network address. A replacement takes over the address of its predecessor.
     pub address: usize,
@@ -57,13 +57,13 @@
 }
 
 impl AnsweredAttempts {
-    /// Adds an answer with its latency in microseconds.
+    /// Adds an answered attempt with its latency in microseconds.
     pub fn add(&mut self, latency: Micros) {
         self.count += 1;
         self.total_latency += latency;
     }
 
-    /// Returns the mean latency in microseconds, and 0 without answers.
+    /// Returns the mean latency in microseconds, or 0 if no attempt was answered.
     pub fn mean_latency(self) -> f64 {
         self.total_latency as f64 / f64::from(self.count.max(1))
     }
@@ -76,15 +76,16 @@
     speed: f64,
     slots: usize,
     queue_capacity: usize,
-    /// Loss of efficiency for each job beyond `crowded_from`.
+    /// Loss of efficiency for each job beyond `thrash_threshold`, as a share.
     thrash: f64,
-    crowded_from: f64,
-    /// Share of its capacity with which the server starts.
+    /// Number of jobs above which the server loses efficiency.
+    thrash_threshold: f64,
+    /// Share of its full capacity with which the server starts.
     initial_capacity: f64,
     warm_up_time: Micros,
     max_connections: u32,
     /// Share of its capacity that a full table of connections consumes.
-    full_table_tax: f64,
+    full_table_overhead: f64,
 }
 
 impl Properties {
@@ -92,18 +93,19 @@
         let mut rng = random::stream(seed, Purpose::Server, number);
         let speed = tier.speed * random::factor(&mut rng, Spread::Lognormal, tier.speed_cv);
         // Warm-up times differ between servers and never exceed that of the tier.
-        let warm_up_share = MIN_WARM_UP_SHARE + (1.0 - MIN_WARM_UP_SHARE) * rng.random::<f64>();
+        let warm_up_time_share =
+            MIN_WARM_UP_TIME_SHARE + (1.0 - MIN_WARM_UP_TIME_SHARE) * rng.random::<f64>();
         Properties {
             cores: f64::from(tier.cores),
             speed,
             slots: tier.slots as usize,
             queue_capacity: tier.waiting as usize,
             thrash: tier.thrash,
-            crowded_from: tier.crowded,
+            thrash_threshold: tier.crowded,
             initial_capacity: tier.initial_capacity,
-            warm_up_time: (tier.warm_up_time.0 as f64 * warm_up_share) as Micros,
+            warm_up_time: (tier.warm_up_time.0 as f64 * warm_up_time_share) as Micros,
             max_connections: tier.connections.most,
-            full_table_tax: tier.connections.full_tax,
+            full_table_overhead: tier.connections.full_tax,
         }
     }
 }
@@ -114,25 +116,26 @@
     pub tier: usize,
     /// Index of the zone.
     pub zone: u32,
-    /// Number of the cell. The servers of a cell share their memory of idempotency keys.
+    /// Number of the cell. The servers of a cell share the idempotency keys that they have received.
     pub cell: u32,
     /// Index of the network address.
     pub address: usize,
     properties: Properties,
     process: ProcessState,
-    /// Whether the machine has vanished and answers nobody.
+    /// Whether the machine has vanished, so that it does not react to any message.
     pub vanished: bool,
-    /// Number of the current process. It counts up with each end of a process.
+    /// Number of the current process. It increases when a process ends.
     pub epoch: u32,
-    /// Start time of the process. `None` if it runs since the beginning of the scenario.
+    /// Start time of the process. `None` if it has run since the beginning of the scenario.
     pub started: Option<Micros>,
     /// Number of established connections.
     pub connections: u32,
     choke: Option<ChokeState>,
-    /// Time for which the cores were busy, in microseconds.
+    /// Time for which the cores were busy since the beginning of the scenario, in microseconds.
     busy_time: f64,
     paused: bool,
-    /// Jobs that share the cores, by the virtual service at which each is done (bits of a non-negative float).
+    /// Jobs that share the cores, ordered by the virtual service at which each is done. The bits of a non-negative float
+    /// have the same order as its value.
     running: BinaryHeap<Reverse<(u64, JobIndex)>>,
     queue: VecDeque<JobIndex>,
     /// Jobs that occupy a slot or wait for one.
@@ -140,16 +143,17 @@
     slots_in_use: usize,
     /// Virtual service: the work that each running job has received since the cores were last idle, in microseconds.
     virtual_service: f64,
+    /// Time up to which the service of the jobs has been counted.
     advanced_to: Micros,
     /// Work done since the start of the process, which warms the server up.
     work_since_start: f64,
-    /// Version of the planned next change. Events of earlier plans are obsolete.
-    pub plan: u32,
+    /// Version of the planned next change. Events of earlier versions are ignored.
+    pub plan_version: u32,
     /// Work of the jobs that run or wait, in microseconds.
     pub pending_work: f64,
     /// Share of requests that fail immediately.
     pub error_rate: f64,
-    /// Whether the server accepts requests and answers none.
+    /// Whether the server accepts requests without answering any.
     pub silent: bool,
     /// Share of requests whose connection breaks.
     pub reset_rate: f64,
@@ -161,7 +165,7 @@
 }
 
 impl Server {
-    /// Creates a warm server whose process runs. `number` decides how its speed and warm-up time differ from those of
+    /// Creates a warm server whose process runs. Its speed and warm-up time are drawn for `number`, from the values of
     /// the tier.
     pub fn new(seed: u64, number: u64, tier: &Tier, place: ServerPlace) -> Server {
         Server {
@@ -185,7 +189,7 @@
             virtual_service: 0.0,
             advanced_to: 0,
             work_since_start: 0.0,
-            plan: 0,
+            plan_version: 0,
             pending_work: 0.0,
             error_rate: tier.error_rate,
             silent: false,
@@ -226,7 +230,7 @@
         self.connections >= self.properties.max_connections
     }
 
-    /// Updates the choke state, by which the server may choke or recover.
+    /// Updates the choke state. The server may choke or recover.
     pub fn update_choke(&mut self, now: Micros) {
         let excess_jobs = self.running_or_waiting() - self.properties.cores;
         if let Some(choke) = &mut self.choke {
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Stops the cores, or lets them continue.
+    /// Pauses or resumes the work of the cores.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
--- a/crates/fleet-model/src/server/process.rs
+++ b/crates/fleet-model/src/server/process.rs
@@ -13,7 +13,7 @@
     Draining,
     /// It has ended.
     Stopped,
-    /// It was overloaded while it warmed up, and stays down for the rest of the scenario.
+    /// It ended because it was overloaded while it warmed up. It does not start again during the scenario.
     Collapsed,
 }
 
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Ends the process and returns the jobs that are lost with it.
+    /// Ends the process and returns its jobs, which are lost.
     pub fn stop(&mut self) -> Vec<JobIndex> {
         self.process = ProcessState::Stopped;
         self.epoch += 1;
-        self.plan += 1;
+        self.plan_version += 1;
         self.connections = 0;
         if let Some(choke) = &mut self.choke {
             choke.reset();
--- a/crates/fleet-model/src/server/warm_up.rs
+++ b/crates/fleet-model/src/server/warm_up.rs
@@ -1,4 +1,4 @@
-//! Work that reaches a warming server, and the rule by which too much of it makes the server collapse.
+//! Work that reaches a warming server, and the rule by which the server collapses under too much of it.
 
 use std::collections::VecDeque;
 
@@ -31,13 +31,13 @@
 }
 
 impl WarmUpWorkWindow {
-    /// Forgets all work.
+    /// Removes all work.
     pub fn clear(&mut self) {
         self.arrived.clear();
     }
 
-    /// Adds work and forgets the work before the window. If the rest exceeds `limit`, returns the share of the work
-    /// whose senders had been notified of the start.
+    /// Adds work and removes the work that arrived before the window. If the rest exceeds `limit`, returns the share
+    /// of the work whose senders had been notified of the start.
     pub fn add(&mut self, arrived: WarmUpWork, window: Micros, limit: f64) -> Option<f64> {
         self.arrived.push_back(arrived);
         while self.arrived.front().is_some_and(|first| first.at + window < arrived.at) {
@@ -45,7 +45,7 @@
         }
         let sum: f64 = self.arrived.iter().map(|arrived| arrived.work).sum();
         let heaviest = self.arrived.iter().map(|arrived| arrived.work).fold(0.0, f64::max);
-        // The heaviest request does not count: a single one is chance, not overload by the balancers.
+        // The heaviest request does not count: one heavy request is chance, and not overload caused by the balancers.
         if sum - heaviest <= limit {
             return None;
         }
--- a/crates/fleet-model/src/world/event.rs
+++ b/crates/fleet-model/src/world/event.rs
@@ -29,8 +29,9 @@
     AttemptTimedOut { attempt: AttemptIndex },
     /// A request should have had its final answer by now.
     AnswerDue { request: RequestIndex },
-    /// A planned change of a server: a job ends, or the server chokes or recovers. Obsolete unless `plan` is current.
-    ServerStep { server: ServerIndex, plan: u32 },
+    /// A planned change of a server: a job ends, or the server chokes or recovers. It is ignored unless `plan_version`
+    /// is current.
+    ServerStep { server: ServerIndex, plan_version: u32 },
     /// A server's call of the next tier has ended.
     NestedCallEnded { job: JobIndex, ok: bool, useful: f64 },
     /// A server stops for a moment (even `number`) or continues (odd `number`).
--- a/crates/fleet-model/src/world/jobs.rs
+++ b/crates/fleet-model/src/world/jobs.rs
@@ -14,9 +14,9 @@
 
 impl World<'_> {
     /// Executes a planned change of a server: jobs have received their service, or the server has choked or recovered.
-    pub(super) fn server_step(&mut self, server: ServerIndex, plan: u32) {
+    pub(super) fn server_step(&mut self, server: ServerIndex, plan_version: u32) {
         let record = &mut self.servers[server];
-        if record.plan != plan {
+        if record.plan_version != plan_version {
             return;
         }
         record.advance(self.now);
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -186,7 +186,7 @@
             WorldEvent::AttemptAnswered { attempt, outcome } => self.attempt_answered(attempt, outcome),
             WorldEvent::AttemptTimedOut { attempt } => self.attempt_timed_out(attempt),
             WorldEvent::AnswerDue { request } => self.answer_due(request),
-            WorldEvent::ServerStep { server, plan } => self.server_step(server, plan),
+            WorldEvent::ServerStep { server, plan_version } => self.server_step(server, plan_version),
             WorldEvent::NestedCallEnded { job, ok, useful } => self.nested_call_ended(job, ok, useful),
             WorldEvent::ServerPause { server, epoch, number } => self.server_pause(server, epoch, number),
             WorldEvent::CloseIdleConnections { process, address } => {
--- a/crates/fleet-model/src/world/servers.rs
+++ b/crates/fleet-model/src/world/servers.rs
@@ -79,10 +79,10 @@
     pub(super) fn plan_next_change(&mut self, server: ServerIndex) {
         let record = &mut self.servers[server];
         record.update_choke(self.now);
-        record.plan += 1;
-        let plan = record.plan;
+        record.plan_version += 1;
+        let plan_version = record.plan_version;
         if let Some(at) = record.next_change(self.now) {
-            self.schedule_at(at, WorldEvent::ServerStep { server, plan });
+            self.schedule_at(at, WorldEvent::ServerStep { server, plan_version });
         }
     }
 
