--- a/crates/fleet-model/src/world/actions.rs
+++ b/crates/fleet-model/src/world/actions.rs
@@ -9,10 +9,10 @@
 use crate::scenario::{Class, Effect};
 use crate::scoring::Rule;
 
-/// A rule that an action breaks, with a description.
+/// A rule that an action breaks, with a description of the action.
 struct Violation {
     rule: Rule,
-    what: String,
+    description: String,
 }
 
 impl World<'_> {
@@ -54,8 +54,8 @@
         }
         let idempotent = self.scenario.classes[record.class].effect == Effect::Safe;
         if record.possible_run.is_some() && !idempotent {
-            let what = format!("request {request} is rejected though it may have run");
-            self.record_breach(Rule::Duplicate, process, None, what);
+            let description = format!("request {request} is rejected though it may have run");
+            self.record_breach(Rule::Duplicate, process, None, description);
         }
         self.remember_event(process, RecentEvent::RequestRejected { request });
         self.give_up(request, Reply::Rejected { retry_after });
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Sends an attempt. An attempt that breaks a rule is recorded and sent all the same. An attempt beyond the largest
-    /// number of attempts is not sent.
+    /// Sends an attempt. If it breaks a rule, the breach is recorded, and the attempt is sent nevertheless. An attempt
+    /// beyond the largest number of attempts is not sent.
     fn send(&mut self, process: ProcessIndex, request: RequestIndex, server: ServerIndex, limit: Micros) {
         let record = &self.requests[request];
         if record.closed || record.attempts_sent >= self.scenario.limits.max_attempts {
@@ -89,7 +89,7 @@
             return self.send_to_self(process, Message::Outcome(attempt, Outcome::NotSent));
         }
         if let Some(violation) = self.violation_of_send(process, request, server) {
-            self.record_breach(violation.rule, process, Some(server), violation.what);
+            self.record_breach(violation.rule, process, Some(server), violation.description);
         }
         self.remember_event(process, RecentEvent::AttemptSent { request, server, limit });
         self.charge_idle_time(request);
@@ -119,7 +119,8 @@
         self.arrivals[arrival].attempts += 1;
     }
 
-    /// Returns the rule that an attempt breaks if it is sent now. A possible duplicate takes precedence over a drain.
+    /// Returns the rule that an attempt breaks if it is sent now. The rule on duplicates takes precedence over the rule
+    /// on draining.
     fn violation_of_send(
         &self,
         process: ProcessIndex,
@@ -138,16 +139,17 @@
     ) -> Option<Violation> {
         let notifications = &self.processes[process].notifications;
         let notification = notifications.get(&server).copied().unwrap_or_default();
-        if let Some(out_since) = notification.out_since
-            && self.now > out_since + self.scenario.rules.drain_grace.0
+        if let Some(not_ready_since) = notification.not_ready_since
+            && self.now > not_ready_since + self.scenario.rules.drain_grace.0
         {
-            let seconds = (self.now - out_since) as f64 / 1e6;
-            let what = format!("request {request} goes to a server draining or removed for {seconds:.2} s");
-            return Some(Violation { rule: Rule::Drain, what });
+            let seconds = (self.now - not_ready_since) as f64 / 1e6;
+            let description =
+                format!("request {request} goes to a server draining or removed for {seconds:.2} s");
+            return Some(Violation { rule: Rule::Drain, description });
         }
         if !notification.known {
-            let what = format!("request {request} goes to a server that was on no list");
-            return Some(Violation { rule: Rule::Drain, what });
+            let description = format!("request {request} goes to a server that was on no list");
+            return Some(Violation { rule: Rule::Drain, description });
         }
         None
     }
@@ -156,18 +158,18 @@
         let record = &self.requests[request];
         let run = record.possible_run?;
         if record.attempts_in_flight > 0 && !self.scenario.limits.hedging {
-            let what = format!("request {request} has two attempts in flight at once");
-            return Some(Violation { rule: Rule::Duplicate, what });
+            let description = format!("request {request} has two attempts in flight at once");
+            return Some(Violation { rule: Rule::Duplicate, description });
         }
         let class = &self.scenario.classes[record.class];
         if !self.may_repeat(class, run, server) {
-            let what = format!("request {request} may run twice");
-            return Some(Violation { rule: Rule::Duplicate, what });
+            let description = format!("request {request} may run twice");
+            return Some(Violation { rule: Rule::Duplicate, description });
         }
         None
     }
 
-    /// Whether a request that may have run may be sent to a server.
+    /// Whether a request that a server may have executed may be sent to `server`.
     fn may_repeat(&self, class: &Class, run: PossibleRun, server: ServerIndex) -> bool {
         match class.effect {
             Effect::Safe => true,
--- a/crates/fleet-model/src/world/arrivals.rs
+++ b/crates/fleet-model/src/world/arrivals.rs
@@ -7,11 +7,11 @@
 use crate::scenario::{Scenario, Shape, Tenant};
 use crate::scoring::Arrival;
 
-/// Length of a phase of high or low load in a bursty scenario, in seconds.
-const PHASE_SECONDS: f64 = 1.5;
-/// Number of waves of the load in a scenario whose load is a sine.
-const WAVES: f64 = 1.5;
-/// Number of seconds whose quota a tenant may use at once.
+/// Length of an interval of high or low load in a bursty scenario, in seconds.
+const BURST_INTERVAL_SECONDS: f64 = 1.5;
+/// Number of periods of the load during a scenario whose load is a sine wave.
+const WAVE_PERIODS: f64 = 1.5;
+/// Largest burst of a tenant, in seconds of its quota.
 const QUOTA_BURST_SECONDS: f64 = 1.0;
 
 /// Token bucket of a tenant. Requests that find a token are within the quota.
@@ -31,18 +31,21 @@
         let refilled = self.tokens + (now - self.refilled_at) * quota;
         self.tokens = refilled.min(quota * QUOTA_BURST_SECONDS);
         self.refilled_at = now;
-        let within = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(within));
-        within
+        let within_quota = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(within_quota));
+        within_quota
     }
 }
 
 /// Returns the deviation of the load from its mean at a time of the scenario, from -1 to 1.
 fn load_swing(scenario: &Scenario, phase: f64, seconds: f64) -> f64 {
     match scenario.load.shape {
-        Shape::Wave => (std::f64::consts::TAU * (seconds / scenario.length.secs() * WAVES + phase)).sin(),
+        Shape::Wave => {
+            (std::f64::consts::TAU * (seconds / scenario.length.secs() * WAVE_PERIODS + phase)).sin()
+        }
         Shape::Bursty => {
-            let drawn = random::unit(scenario.seed, Purpose::Arrivals, 1 + (seconds / PHASE_SECONDS) as u64);
+            let drawn =
+                random::unit(scenario.seed, Purpose::Arrivals, 1 + (seconds / BURST_INTERVAL_SECONDS) as u64);
             if drawn < 0.5 { -1.0 } else { 1.0 }
         }
     }
@@ -62,7 +65,7 @@
         if now >= length {
             return arrivals;
         }
-        // Thinning: candidates come at the peak rate, and are accepted with the ratio of the present rate to it.
+        // Thinning: candidates arrive at the peak rate, and are accepted with probability current rate / peak rate.
         let rate = scenario.load.rate * (1.0 + scenario.load.swing * load_swing(scenario, phase, now));
         if rng.random::<f64>() * peak_rate > rate {
             continue;
@@ -75,7 +78,7 @@
     }
 }
 
-/// Draws zone, class, tenant and work of one first attempt.
+/// Draws the zone, class, tenant and work of one first attempt.
 fn draw_arrival(scenario: &Scenario, number: usize, now: f64) -> Arrival {
     let mut rng = random::stream(scenario.seed, Purpose::Request, number as u64);
     let zone = weighted_index(rng.random(), scenario.load.zone_shares.iter().copied());
@@ -87,18 +90,18 @@
     Arrival::new((now * 1e6) as Micros, zone as u32, class, tenant, work)
 }
 
-/// Returns the index whose part of the total weight contains `drawn`, a number from 0 to 1.
+/// Chooses an index with a probability proportional to its weight. `drawn` is a random number from 0 to 1.
 pub(super) fn weighted_index(drawn: f64, weights: impl Iterator<Item = f64> + Clone) -> usize {
-    let mut left = drawn * weights.clone().sum::<f64>();
+    let mut remaining = drawn * weights.clone().sum::<f64>();
     let mut last = 0;
     for (index, weight) in weights.enumerate() {
         if weight > 0.0 {
             last = index;
-            if left < weight {
+            if remaining < weight {
                 return index;
             }
         }
-        left -= weight;
+        remaining -= weight;
     }
     last
 }
--- a/crates/fleet-model/src/world/attempt_arrival.rs
+++ b/crates/fleet-model/src/world/attempt_arrival.rs
@@ -13,11 +13,11 @@
 use crate::scoring::Rule;
 use crate::server::{JobAdmission, OverloadRule, Slowdown, WarmUpWork};
 
-/// Time after which a server answers a request that it fails immediately.
+/// Time that a server takes to answer a request that it fails immediately.
 const FAST_ERROR_DELAY: Micros = 1_000;
-/// The collapse of a warming server breaks the rule if at least this share of the work came from balancers that had
-/// been notified of its start.
-const INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// The collapse of a warming server breaks a rule if at least this share of the work came from balancers that had been
+/// notified of its start.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
 impl World<'_> {
     /// Delivers an attempt to its server.
@@ -76,19 +76,19 @@
     /// Collapses a warming server under the work that it received, the last of it from `process`.
     fn collapse_server(&mut self, server: ServerIndex, process: ProcessIndex, informed_share: f64) {
         self.collapsed += 1;
-        if informed_share >= INFORMED_SHARE {
+        if informed_share >= MIN_INFORMED_SHARE {
             let percent = informed_share * 100.0;
-            let what = format!(
+            let description = format!(
                 "server {server} was overloaded while warming up, {percent:.0}% of the work from balancers notified of its start"
             );
-            self.record_breach(Rule::WarmUpOverload, process, Some(server), what);
+            self.record_breach(Rule::WarmUpOverload, process, Some(server), description);
         }
         self.stop_server(server);
         self.servers[server].collapse();
     }
 
-    /// Whether a server does not start to work on an attempt. If so, schedules its outcome, unless the server is
-    /// silent.
+    /// Returns whether an attempt fails before its server starts to work on it. If so, schedules its outcome, unless the
+    /// server is silent.
     fn fails_on_arrival(&mut self, attempt: AttemptIndex, work: f64) -> bool {
         let Attempt { destination, key, .. } = self.attempts[attempt];
         let latency = self.attempt_latency(attempt, Direction::ToBalancer);
@@ -105,7 +105,7 @@
             return true;
         }
         if random::unit(self.scenario.seed, Purpose::Fate, keys::attempt_reset(key)) < server.reset_rate {
-            // The server keeps working on an attempt whose connection breaks meanwhile.
+            // The server keeps working on the attempt after the connection has broken.
             let mut rng = random::stream(self.scenario.seed, Purpose::Fate, keys::attempt_reset_time(key));
             let breaks_after = (work * rng.random::<f64>()) as Micros;
             self.schedule_outcome(attempt, latency + breaks_after, Outcome::Reset);
--- a/crates/fleet-model/src/world/attempts.rs
+++ b/crates/fleet-model/src/world/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at the side of their balancers: creation, departure, outcome and time limit.
+//! Attempts as their balancers handle them: creation, sending, outcome and time limit.
 
 use zincstand_policy::{Micros, Outcome};
 
@@ -10,7 +10,7 @@
 use crate::scoring::Cause;
 use crate::server::JobIndex;
 
-/// Direction of a message between an attempt's balancer and its server. Each direction has a jitter of its own.
+/// Direction of a message between an attempt's balancer and its server. Each direction has its own jitter.
 #[derive(Clone, Copy)]
 pub(super) enum Direction {
     /// From the balancer to the server.
@@ -20,7 +20,7 @@
 }
 
 impl World<'_> {
-    /// Creates an attempt. Its time limit ends with the deadline of its request at the latest.
+    /// Creates an attempt. Its time limit expires no later than the deadline of its request.
     pub(super) fn new_attempt(
         &mut self,
         process: ProcessIndex,
@@ -64,7 +64,7 @@
         let key = keys::nested_call(job.calls_left, outer.number);
         match self.requests[outer.request].caller {
             Caller::Client { .. } => key,
-            // Without the outer key, the repeat of a call in an earlier tier would draw the same numbers again.
+            // Without the outer key, a call that is repeated in an earlier tier would draw the same numbers again.
             Caller::Job(_) => random::pair(key, outer.key),
         }
     }
@@ -124,7 +124,7 @@
         if ended || !self.processes[process].alive {
             return;
         }
-        // The balancer itself notices a connection that is not established. An answer does not cross a partition.
+        // The balancer itself detects that a connection is not established. Answers do not cross a partition.
         if outcome != Outcome::ConnectFailed && self.partitioned(process, destination) {
             return;
         }
@@ -169,7 +169,7 @@
         self.receive_message(process, Message::Outcome(attempt, Outcome::TimedOut));
     }
 
-    /// Ends an attempt for its balancer. A reusable connection becomes idle, any other is closed.
+    /// Ends an attempt at its balancer. A reusable connection becomes idle, and any other connection is closed.
     pub(super) fn end_attempt(&mut self, attempt: AttemptIndex, reusable: bool) {
         let record = &mut self.attempts[attempt];
         record.ended = true;
@@ -179,8 +179,8 @@
             return;
         }
         let server = &self.servers[destination];
-        let still_there = server.epoch == epoch && self.server_at_address[server.address] == destination;
-        if reusable && still_there {
+        let same_process = server.epoch == epoch && self.server_at_address[server.address] == destination;
+        if reusable && same_process {
             self.pool_connection(process, destination, epoch);
         } else {
             self.disconnect(destination, epoch);
--- a/crates/fleet-model/src/world/attribution.rs
+++ b/crates/fleet-model/src/world/attribution.rs
@@ -7,7 +7,7 @@
 use crate::server::Condition;
 
 impl World<'_> {
-    /// Returns the cause of time at a server: its condition, or `if_healthy`.
+    /// Returns the cause to which time at a server is charged: the condition of the server, or `if_healthy`.
     pub(super) fn server_cause(&self, server: ServerIndex, if_healthy: Cause) -> Cause {
         match self.servers[server].condition(self.now) {
             Condition::Healthy => if_healthy,
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Charges the time of an abandoned attempt to the server or balancer at which the request is, down the chain of
-    /// calls.
+    /// Charges the time of an abandoned attempt to the server or balancer at which the request currently is, which may be
+    /// that of a nested call in a later tier.
     pub(super) fn charge_abandoned_attempt(&mut self, attempt: AttemptIndex) {
         let Attempt { destination, sent, request, job, .. } = self.attempts[attempt];
         let arrival = self.requests[request].arrival;
@@ -54,7 +54,7 @@
             return;
         }
         let cause = if request.attempts_sent == 0 { Cause::Queued } else { Cause::Retry };
-        let queued_for = self.now - request.idle_since;
-        self.arrivals[request.arrival].charge(cause, None, queued_for);
+        let idle_time = self.now - request.idle_since;
+        self.arrivals[request.arrival].charge(cause, None, idle_time);
     }
 }
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -11,13 +11,13 @@
 use crate::scenario::Effect;
 use crate::scoring::{Cause, RequestEnd, Rule};
 
-/// Shortest time limit with which a client sends an attempt.
+/// Shortest time limit with which a client still sends an attempt.
 const MIN_ATTEMPT_TIME: Micros = 1_000;
 /// Number of retries after which the backoff no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl World<'_> {
-    /// Updates whether clients open connections to a balancer.
+    /// Sets whether clients open connections to a balancer.
     pub(super) fn front_update(&mut self, balancer: u32, open: bool) {
         self.front_balancers[balancer as usize].listed = open;
         self.update_front_routes();
@@ -27,8 +27,8 @@
     pub(super) fn update_front_routes(&mut self) {
         let listed = |in_zone: &dyn Fn(&FrontBalancer) -> bool| -> Vec<u32> {
             let balancers = self.front_balancers.iter().enumerate();
-            let taking = balancers.filter(|(_, balancer)| balancer.listed && in_zone(balancer));
-            taking.map(|(index, _)| index as u32).collect()
+            let accepting = balancers.filter(|(_, balancer)| balancer.listed && in_zone(balancer));
+            accepting.map(|(index, _)| index as u32).collect()
         };
         let route = |zone: u32| {
             let local = listed(&|balancer| balancer.zone == zone);
@@ -37,7 +37,7 @@
         self.front_routes = (0..self.front_routes.len() as u32).map(route).collect();
     }
 
-    /// Returns the time limit of an attempt that a client sends now, which ends with the deadline at the latest.
+    /// Returns the time limit of an attempt that a client sends now. It expires no later than the deadline.
     fn client_time_limit(&self, arrival: ArrivalIndex) -> Micros {
         let arrival = &self.arrivals[arrival];
         let deadline = self.scenario.classes[arrival.class].deadline.0;
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// The reply to the client if no process accepts the connection.
+    /// No process accepts the connection; the error is the reply to the client.
     fn choose_front_process(&self, arrival: ArrivalIndex, key: u64) -> Result<ProcessIndex, Reply> {
         let drawn = random::unit(self.scenario.seed, Purpose::Front, key);
         let route = &self.front_routes[self.arrivals[arrival].zone as usize];
@@ -106,7 +106,7 @@
         let drawn = random::unit(self.scenario.seed, Purpose::Client, key);
         let impatient = self.scenario.clients.impatient;
         if drawn < impatient {
-            // The client disconnects before its time limit. From then on it expects no answer.
+            // The client disconnects before its time limit, and does not wait for an answer.
             let disconnects_after = (limit as f64 * drawn / impatient) as Micros;
             let message = Message::ClientDisconnected(request);
             self.schedule_after(disconnects_after + latency, WorldEvent::Message { process, message });
@@ -141,7 +141,7 @@
         request
     }
 
-    /// Checks that a request has its final answer when the time for it has ended.
+    /// Checks that a request has its final answer after its deadline and the grace time.
     pub(super) fn answer_due(&mut self, request: RequestIndex) {
         let record = &self.requests[request];
         let process = record.process;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Delivers a reply to a client, which may no longer wait for it.
+    /// Delivers a reply to a client. It has no effect if the client no longer waits for the reply.
     pub(super) fn reply_arrived(&mut self, arrival: ArrivalIndex, number: u32, reply: Reply, useful: f64) {
         if !self.client_attempts[arrival].waits_for(number) {
             return;
@@ -195,8 +195,8 @@
         let clients = &self.scenario.clients;
         let key = keys::client_backoff(arrival, number);
         let drawn = random::unit(self.scenario.seed, Purpose::Client, key);
-        let doubled = f64::from(1u32 << number.min(MAX_BACKOFF_DOUBLINGS));
-        let mut backoff = clients.backoff.0 as f64 * doubled * (0.5 + drawn);
+        let backoff_factor = f64::from(1u32 << number.min(MAX_BACKOFF_DOUBLINGS));
+        let mut backoff = clients.backoff.0 as f64 * backoff_factor * (0.5 + drawn);
         if let Reply::Rejected { retry_after } = reply
             && self.scenario.limits.retry_after
             && random::unit(self.scenario.seed, Purpose::Client, keys::honours_retry_after(key))
--- a/crates/fleet-model/src/world/connections.rs
+++ b/crates/fleet-model/src/world/connections.rs
@@ -16,7 +16,8 @@
         let mut found = false;
         let mut expired = 0;
         if let Some(idle) = self.processes[process].idle_connections.get_mut(&address) {
-            // Connections break visibly when a server's process ends, not when its machine vanishes.
+            // The balancer detects that connections break when the process of a server ends, but not when its machine
+            // vanishes.
             while let Some(connection) = idle.connections.pop_back() {
                 if connection.epoch == epoch && connection.since + idle_limit > self.now {
                     found = true;
--- a/crates/fleet-model/src/world/discovery.rs
+++ b/crates/fleet-model/src/world/discovery.rs
@@ -13,19 +13,19 @@
 
 /// Duration of a call to discovery.
 const CALL_DURATION: Micros = 5_000;
-/// Time after which discovery resumes a broken push watch with the complete list.
+/// Time after which discovery resumes a broken watch of a scenario with push, by sending the complete list.
 const WATCH_RESUME_DELAY: Micros = 1_000_000;
-/// Multiplier that spreads servers over the ring: 2^64 divided by the golden ratio.
+/// Multiplier that spreads servers over the hash ring: 2^64 divided by the golden ratio.
 const RING_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Constant that is paired with the address of a server to form its ring position.
+/// Constant that is combined with the address of a server to compute its position on the ring.
 const RING_SALT: u64 = 0x9e37_79b9;
 
-/// The way in which discovery detects a change of a server.
+/// How discovery detects a change of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChangeVisibility {
     /// The server or its platform reports the change.
     Announced,
-    /// Discovery detects the change by its own checks.
+    /// Nobody reports the change. Discovery detects it by its own checks.
     Silent,
 }
 
@@ -39,14 +39,14 @@
 }
 
 impl World<'_> {
-    /// Lists a server that runs since the beginning of the scenario.
+    /// Lists a server that runs from the beginning of the scenario.
     pub(super) fn list_initial_server(&mut self, server: ServerIndex) {
         let tier = self.servers[server].tier;
         self.discovery_log[tier].push(Change { server, state: ListedState::Ready(None) });
     }
 
     /// Schedules the detection of a change of a server.
-    pub(super) fn announce_change(
+    pub(super) fn schedule_detection(
         &mut self,
         server: ServerIndex,
         state: ListedState,
@@ -58,13 +58,13 @@
             (_, ChangeVisibility::Silent) => discovery.silent_notice,
             (_, ChangeVisibility::Announced) => discovery.notice,
         };
-        // Discovery sends the changes of a period in one batch.
+        // Discovery publishes the changes of a period in one batch.
         let at = (self.now + notice.0).div_ceil(discovery.period.0) * discovery.period.0;
-        self.schedule_at(at, WorldEvent::ChangeNoticed { server, state });
+        self.schedule_at(at, WorldEvent::ChangeDetected { server, state });
     }
 
     /// Logs a detected change and schedules updates to all processes that watch.
-    pub(super) fn change_noticed(&mut self, server: ServerIndex, state: ListedState) {
+    pub(super) fn change_detected(&mut self, server: ServerIndex, state: ListedState) {
         let tier = self.servers[server].tier;
         self.discovery_log[tier].push(Change { server, state });
         let version = self.discovery_log[tier].len() as u64;
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Schedules an update to a process with a random delay. `version` distinguishes the draw from those of other
-    /// updates.
+    /// Schedules an update to a process with a random delay. `version` distinguishes the key of this draw from those of
+    /// other updates.
     pub(super) fn schedule_update(&mut self, process: ProcessIndex, version: u64, scope: UpdateScope) {
         let key = keys::notification_delay(process, version);
         let spread = self.scenario.discovery.spread.0 as f64;
@@ -188,7 +188,7 @@
         let now = self.now;
         for (server, notification) in &mut self.processes[process].notifications {
             if !listed.contains(server) {
-                notification.out_since.get_or_insert(now);
+                notification.not_ready_since.get_or_insert(now);
             }
         }
     }
@@ -220,14 +220,14 @@
         notification.known = true;
         notification.started = entry.started.map(|at| at - clock_offset);
         if entry.state == ServerState::Ready {
-            notification.out_since = None;
+            notification.not_ready_since = None;
         } else {
-            notification.out_since.get_or_insert(now);
+            notification.not_ready_since.get_or_insert(now);
         }
         self.remember_event(process, RecentEvent::Notified { server: entry.id, state: entry.state });
     }
 
-    /// Sends a process the entry of a server that operators have excluded or allowed again.
+    /// Sends a process the entry of a server that operators have excluded or included again.
     pub(super) fn notify_of_exclusion(&mut self, process: ProcessIndex, server: ServerIndex) {
         let tier = self.processes[process].tier;
         let latest = self.discovery_log[tier].iter().rev().find(|change| change.server == server).copied();
--- a/crates/fleet-model/src/world/event.rs
+++ b/crates/fleet-model/src/world/event.rs
@@ -13,13 +13,13 @@
 pub(super) enum WorldEvent {
     /// A client sends an attempt.
     ClientAttempt { arrival: ArrivalIndex, number: u32 },
-    /// A client's own time limit for an attempt expires.
+    /// The time limit of a client for an attempt expires.
     ClientAttemptTimedOut { arrival: ArrivalIndex, number: u32 },
     /// A reply reaches the client. `useful` is the work that contributed to it, in microseconds.
     ReplyArrived { arrival: ArrivalIndex, number: u32, reply: Reply, useful: f64 },
     /// A message reaches a balancer's process.
     Message { process: ProcessIndex, message: Message },
-    /// A process that was busy can take its next message.
+    /// A process that was busy can handle its next message.
     ProcessReady { process: ProcessIndex },
     /// An attempt reaches its server.
     AttemptArrived { attempt: AttemptIndex },
@@ -27,24 +27,24 @@
     AttemptAnswered { attempt: AttemptIndex, outcome: Outcome },
     /// An attempt's time limit expires.
     AttemptTimedOut { attempt: AttemptIndex },
-    /// A request should have had its final answer by now.
+    /// The time by which a request must have its final answer has come.
     AnswerDue { request: RequestIndex },
     /// A planned change of a server: a job ends, or the server chokes or recovers. It is ignored unless `plan_version`
     /// is current.
     ServerStep { server: ServerIndex, plan_version: u32 },
     /// A server's call of the next tier has ended.
     NestedCallEnded { job: JobIndex, ok: bool, useful: f64 },
-    /// A server stops for a moment (even `number`) or continues (odd `number`).
+    /// A pause of a server begins (even `number`) or ends (odd `number`).
     ServerPause { server: ServerIndex, epoch: u32, number: u32 },
-    /// Idle connections of a process to an address are checked for their idle limit.
+    /// The idle connections of a process to an address are checked against the idle limit.
     CloseIdleConnections { process: ProcessIndex, address: u32 },
     /// Discovery detects a change of a server.
-    ChangeNoticed { server: ServerIndex, state: ListedState },
+    ChangeDetected { server: ServerIndex, state: ListedState },
     /// Discovery sends an update to a process.
     DiscoveryUpdate { process: ProcessIndex, scope: UpdateScope },
     /// Clients start or stop to open connections to a balancer.
     FrontUpdate { balancer: u32, open: bool },
-    /// A stage of a fault.
+    /// A stage of a fault begins.
     FaultStage { fault: u32, stage: FaultStage },
     /// All servers are sampled. Happens every second of a run with details.
     SampleServers,
@@ -71,7 +71,7 @@
     },
     /// An error, or no answer within the time limit.
     Failed,
-    /// No balancer accepted the attempt, or the process ended with the attempt unanswered.
+    /// No balancer accepted the attempt, or the process ended before it answered the attempt.
     Unreachable,
 }
 
@@ -82,7 +82,7 @@
     Request(RequestIndex),
     /// An attempt has an outcome.
     Outcome(AttemptIndex, Outcome),
-    /// A caller no longer waits for the answer.
+    /// The caller of a request no longer waits for the answer.
     ClientDisconnected(RequestIndex),
     /// A timer of the policy expires. Contains the token of the timer.
     Timer(u64),
@@ -145,7 +145,7 @@
 /// State of a server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListedState {
-    /// It is ready. Contains its start time unless it runs since the beginning of the scenario.
+    /// It is ready. Contains its start time, unless it has run since the beginning of the scenario.
     Ready(Option<Micros>),
     /// It drains.
     Draining,
@@ -160,7 +160,7 @@
     Begin,
     /// The fault ends for all its targets.
     End,
-    /// One target takes a step.
+    /// A step of one target.
     Target { target: u32, step: TargetStep },
 }
 
--- a/crates/fleet-model/src/world/faults/balancers.rs
+++ b/crates/fleet-model/src/world/faults/balancers.rs
@@ -1,8 +1,9 @@
-//! Faults of balancers of the first tier: killed, restarted, or replaced by a process that serves meanwhile.
+//! Faults of balancers of the first tier: kills, restarts, and hot restarts, in which the next process serves while the
+//! old one drains.
 
 use zincstand_policy::LearnedState;
 
-use super::{FRONT_NOTICE, READY_DELAY};
+use super::{CLIENT_REROUTE_DELAY, READY_DELAY};
 use crate::scenario::{Fault, FaultKind};
 use crate::world::World;
 use crate::world::event::{TargetStep, WorldEvent};
@@ -14,12 +15,12 @@
     pub(super) fn balancer_step(&mut self, fault: &Fault, balancer: usize, step: TargetStep) {
         let replaced = fault.kind == FaultKind::ProcessReplaced;
         match step {
-            // The old process serves until the new one does, so clients need not use other balancers.
+            // The old process serves until the new one is ready, so clients need no other balancer.
             TargetStep::Drain if replaced => {}
             TargetStep::Drain => {
                 let notice = match fault.kind {
                     FaultKind::BalancerKilled => self.scenario.balancers.notice.0,
-                    _ => FRONT_NOTICE,
+                    _ => CLIENT_REROUTE_DELAY,
                 };
                 let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open: false };
                 self.schedule_after(notice, event);
@@ -45,13 +46,13 @@
         }
     }
 
-    /// Returns the process of a balancer that still runs beside its current one.
+    /// Returns the old process of a balancer, if it still runs in parallel with the current process.
     fn replaced_process(&self, balancer: usize) -> Option<ProcessIndex> {
-        let present = self.front_balancers[balancer].process;
+        let current = self.front_balancers[balancer].process;
         self.processes.indexes().find(|&process| {
             let record = &self.processes[process];
             let of_balancer = record.tier == 0 && record.balancer == balancer as u32;
-            record.alive && of_balancer && Some(process) != present
+            record.alive && of_balancer && Some(process) != current
         })
     }
 
--- a/crates/fleet-model/src/world/faults/mod.rs
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -14,9 +14,9 @@
 
 /// Time from the end of a process until the next one starts on the same machine.
 const RESTART_DELAY: Micros = 500_000;
-/// Time from a balancer's announcement that it accepts no connections until clients use other balancers.
-const FRONT_NOTICE: Micros = 300_000;
-/// Time beyond the longest deadline after which a balancer that is shutting down is ended.
+/// Time from a balancer's announcement that it accepts no new connections until clients use other balancers.
+const CLIENT_REROUTE_DELAY: Micros = 300_000;
+/// Time after the longest deadline at which a balancer that is shutting down is ended.
 const SHUTDOWN_GRACE: Micros = 700_000;
 /// Time from the start of a balancer's process until clients connect to it.
 const READY_DELAY: Micros = 300_000;
@@ -91,7 +91,7 @@
                 let open = status == FaultStatus::Over;
                 for &balancer in targets {
                     let event = WorldEvent::FrontUpdate { balancer: balancer as u32, open };
-                    self.schedule_after(FRONT_NOTICE, event);
+                    self.schedule_after(CLIENT_REROUTE_DELAY, event);
                 }
             }
             FaultKind::ExcludedByOperators => {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Begins or ends a fault that makes requests of a class heavy.
+    /// Begins or ends a fault that multiplies the work of some requests of a class.
     fn set_heavy_tail(&mut self, number: u32, fault: &Fault, status: FaultStatus) {
         self.heavy_tails.retain(|heavy| heavy.fault != number);
         if status == FaultStatus::Active {
--- a/crates/fleet-model/src/world/faults/schedule.rs
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -7,7 +7,7 @@
 use crate::world::World;
 use crate::world::event::{FaultStage, TargetStep, WorldEvent};
 
-/// Times at which a balancer's process drains and ends, and at which the next one starts.
+/// Times at which a balancer's process starts to drain and ends, and at which the next process starts.
 struct BalancerTimes {
     drain: Micros,
     stop: Micros,
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Returns the times of a balancer. Balancers are killed at once, and restarted or replaced one after the other.
+    /// Returns the times of a balancer's steps. All balancers are killed at the same time, but restarted or replaced one
+    /// after the other.
     fn balancer_times(&self, fault: &Fault, target: u32, targets: u32) -> BalancerTimes {
         if fault.kind == FaultKind::BalancerKilled {
             let at = fault.at.0;
@@ -88,12 +89,12 @@
         let interval = fault.length.0 / u64::from(targets.max(1));
         let drain = fault.at.0 + u64::from(target) * interval;
         let stop = drain + longest + SHUTDOWN_GRACE;
-        // A replacement starts first and serves while the old process drains.
+        // In a hot restart, the next process starts first, and serves while the old process drains.
         let start = if fault.kind == FaultKind::ProcessReplaced { drain } else { stop + RESTART_DELAY };
         BalancerTimes { drain, stop, start }
     }
 
-    /// Schedules the restart of servers that operators have excluded. They warm up when they are allowed again.
+    /// Schedules the restart of servers that operators have excluded. They warm up when they are included again.
     fn schedule_restarts(&mut self, number: u32, fault: &Fault, targets: u32) {
         let latest = fault.length.0.saturating_sub(RESTART_DELAY);
         let stop = fault.at.0 + fault.drain.0.min(latest);
--- a/crates/fleet-model/src/world/faults/servers.rs
+++ b/crates/fleet-model/src/world/faults/servers.rs
@@ -11,7 +11,7 @@
 use crate::world::processes::ProcessEnd;
 
 impl World<'_> {
-    /// Lets a server drain, stop or start again.
+    /// Executes a step of the deploy of a server: it drains, stops or starts again.
     pub(super) fn deploy_step(&mut self, server: ServerIndex, step: TargetStep) {
         if self.servers[server].has_collapsed() {
             return;
@@ -19,7 +19,7 @@
         match step {
             TargetStep::Drain => {
                 self.servers[server].drain();
-                self.announce_change(server, ListedState::Draining, ChangeVisibility::Announced);
+                self.schedule_detection(server, ListedState::Draining, ChangeVisibility::Announced);
             }
             TargetStep::Stop => self.stop_server(server),
             TargetStep::Start => self.start_server(server),
@@ -33,7 +33,7 @@
             if self.servers[old].is_up() {
                 self.stop_server(old);
             }
-            return self.announce_change(old, ListedState::Removed, ChangeVisibility::Announced);
+            return self.schedule_detection(old, ListedState::Removed, ChangeVisibility::Announced);
         }
         let number = self.servers.len();
         let predecessor = &self.servers[old];
@@ -45,7 +45,7 @@
         self.start_server(number as ServerIndex);
     }
 
-    /// Lets a server's machine vanish without deregistering, or return with a process that warms up.
+    /// Makes a server's machine vanish without deregistering, or return with a process that warms up.
     pub(super) fn vanish(&mut self, server: ServerIndex, status: FaultStatus) {
         let record = &mut self.servers[server];
         if record.has_collapsed() {
@@ -57,7 +57,7 @@
                 if let Some(process) = self.sidecars[server] {
                     self.end_process(process, ProcessEnd::Silent);
                 }
-                self.announce_change(server, ListedState::Removed, ChangeVisibility::Silent);
+                self.schedule_detection(server, ListedState::Removed, ChangeVisibility::Silent);
             }
             FaultStatus::Over => {
                 self.stop_server(server);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Excludes a server at all balancers of its tier on behalf of operators, or allows it again.
+    /// Excludes a server at all balancers of its tier on behalf of operators, or includes it again.
     pub(super) fn set_operator_exclusion(&mut self, fault: &Fault, server: ServerIndex, status: FaultStatus) {
         self.excluded_by_operator.retain(|excluded| *excluded != server);
         if status == FaultStatus::Active {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Lets a server fail requests, be silent, break connections or be slow, or ends the fault.
+    /// Makes a server fail requests, stop answering, break connections or become slow, or ends such a fault.
     pub(super) fn set_server_fault(&mut self, fault: &Fault, server: ServerIndex, status: FaultStatus) {
         let active = status == FaultStatus::Active;
         let usual_error_rate = self.scenario.tiers[fault.tier].error_rate;
--- a/crates/fleet-model/src/world/faults/zones.rs
+++ b/crates/fleet-model/src/world/faults/zones.rs
@@ -8,7 +8,7 @@
 use crate::world::processes::ProcessEnd;
 
 impl World<'_> {
-    /// Lets the servers and balancers of a zone vanish, or return.
+    /// Makes the servers and balancers of a zone vanish or return.
     pub(super) fn lose_zone(&mut self, fault: &Fault, status: FaultStatus) {
         let Some(zone) = self.fault_zone(fault) else { return };
         for address in 0..self.server_at_address.len() {
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Cuts a zone off, or connects it again. Messages across the partition are lost without an error. Discovery is
-    /// on the side that is not cut off. It lists the servers of the zone as removed, and the balancers there receive
-    /// no notifications until the partition ends, and then the complete list.
+    /// Cuts a zone off by a network partition, or connects it again. Messages across the partition are lost without an
+    /// error. Discovery is outside of the zone: it lists the servers of the zone as removed, and the balancers in the
+    /// zone receive no notifications until the partition ends, and then the complete list.
     pub(super) fn partition_zone(&mut self, fault: &Fault, status: FaultStatus) {
         let Some(zone) = self.fault_zone(fault) else { return };
         self.partitioned_zones[zone as usize] = status == FaultStatus::Active;
@@ -56,7 +56,7 @@
                 FaultStatus::Active => (ListedState::Removed, ChangeVisibility::Silent),
                 FaultStatus::Over => (ListedState::Ready(record.started), ChangeVisibility::Announced),
             };
-            self.announce_change(server, state, visibility);
+            self.schedule_detection(server, state, visibility);
         }
         if status == FaultStatus::Over {
             self.schedule_snapshots(Some(zone));
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Sends the complete list to the processes that watch, in one zone or in all, in place of the changes that they
-    /// missed.
+    /// Schedules the complete list for the processes that watch, in one zone or in all zones, to replace the changes that
+    /// they missed.
     fn schedule_snapshots(&mut self, zone: Option<u32>) {
         for process in self.processes.indexes() {
             let record = &self.processes[process];
--- a/crates/fleet-model/src/world/index.rs
+++ b/crates/fleet-model/src/world/index.rs
@@ -13,7 +13,7 @@
 }
 
 index_type! {
-    /// Index of a request of a client, which is counted once however often the client retries.
+    /// Index of a request of a client. All retries of the client belong to the same request.
     ArrivalIndex
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl RequestIndex {
-    /// Returns the index of the request that a policy knows by this id.
+    /// Returns the index of the request with an id that a policy uses.
     pub fn of_id(id: RequestId) -> RequestIndex {
         RequestIndex::from_position(id as usize)
     }
--- a/crates/fleet-model/src/world/jobs.rs
+++ b/crates/fleet-model/src/world/jobs.rs
@@ -26,7 +26,7 @@
         self.plan_next_change(server);
     }
 
-    /// Lets a job whose segment is done make its next call, or ends it.
+    /// Makes the next call of a job whose segment is done, or ends the job if no call is left.
     fn segment_finished(&mut self, server: ServerIndex, job: JobIndex) {
         self.account_segment(server, job);
         let record = &mut self.jobs[job];
@@ -39,8 +39,8 @@
         self.call_next_tier(server, job);
     }
 
-    /// Counts the work of a finished segment, and charges its duration to the work and the rest to the condition of the
-    /// server.
+    /// Counts the work of a finished segment. Charges as much of the elapsed time as the work needs to the work, and the
+    /// rest to the condition of the server.
     fn account_segment(&mut self, server: ServerIndex, job: JobIndex) {
         let cause = self.server_cause(server, Cause::Queueing);
         let record = &mut self.jobs[job];
@@ -52,10 +52,10 @@
         let tier = server_record.tier;
         self.tier_count(arrival, tier).work += segment;
         let elapsed = self.now - since;
-        let own = elapsed.min(segment as Micros);
+        let work_time = elapsed.min(segment as Micros);
         let arrival = &mut self.arrivals[arrival];
-        arrival.charge(Cause::Work, None, own);
-        arrival.charge(cause, Some(server), elapsed - own);
+        arrival.charge(Cause::Work, None, work_time);
+        arrival.charge(cause, Some(server), elapsed - work_time);
     }
 
     /// Sends a job's call to the next tier through the server's own balancer.
@@ -78,7 +78,7 @@
         self.schedule_after(0, WorldEvent::Message { process, message: Message::Request(request) });
     }
 
-    /// Continues a job whose call of the next tier has succeeded, or fails it.
+    /// Continues a job whose call of the next tier has succeeded, or fails the job if the call has failed.
     pub(super) fn nested_call_ended(&mut self, job: JobIndex, ok: bool, useful: f64) {
         let record = &mut self.jobs[job];
         let server = record.server;
--- a/crates/fleet-model/src/world/keys.rs
+++ b/crates/fleet-model/src/world/keys.rs
@@ -1,7 +1,7 @@
 //! Keys of random draws.
 //!
-//! Each key identifies what a number is drawn for, independently of all other draws, so that a scenario has the same
-//! chance whatever a policy decides. Stored results fix how the keys are computed.
+//! Each key identifies what a number is drawn for, independently of all other draws, so that the numbers of a scenario do
+//! not depend on the decisions of the policy. Stored results depend on how the keys are computed.
 
 use zincstand_policy::Micros;
 
@@ -11,12 +11,12 @@
 
 /// Offset of the keys of backoffs, which separates them from the keys of client attempts. The attempt's number is
 /// added.
-const BACKOFF_OFFSET: u64 = 1_000;
+const BACKOFF_KEY_OFFSET: u64 = 1_000;
 /// Offset of the keys of heavy requests, which separates them from other keys of an arrival. The fault's number is
 /// added.
-const HEAVY_TAIL_OFFSET: u64 = 1_000_000;
-/// Offset of the keys of numbers of calls, which separates them from other keys of an arrival. The tier is added.
-const CALL_COUNT_OFFSET: u64 = 77;
+const HEAVY_TAIL_KEY_OFFSET: u64 = 1_000_000;
+/// Offset of the keys of the numbers of nested calls, which separates them from other keys of an arrival. The tier is added.
+const CALL_COUNT_KEY_OFFSET: u64 = 77;
 
 /// Returns the key of a client's attempt.
 pub(super) fn client_attempt(arrival: ArrivalIndex, number: u32) -> u64 {
@@ -25,7 +25,7 @@
 
 /// Returns the key of the backoff after a client's attempt.
 pub(super) fn client_backoff(arrival: ArrivalIndex, number: u32) -> u64 {
-    random::pair(u64::from(arrival), BACKOFF_OFFSET + u64::from(number))
+    random::pair(u64::from(arrival), BACKOFF_KEY_OFFSET + u64::from(number))
 }
 
 /// Returns the key of an attempt of a balancer in `tier`. `caller` is the number of the client's attempt, or the key
@@ -67,12 +67,12 @@
 
 /// Returns the key that decides whether a fault makes a request heavy.
 pub(super) fn heavy_tail(arrival: ArrivalIndex, fault: u32) -> u64 {
-    random::pair(u64::from(arrival), HEAVY_TAIL_OFFSET + u64::from(fault))
+    random::pair(u64::from(arrival), HEAVY_TAIL_KEY_OFFSET + u64::from(fault))
 }
 
 /// Returns the key of the number of calls of the next tier that a request makes in `tier`.
 pub(super) fn call_count(arrival: ArrivalIndex, tier: usize) -> u64 {
-    random::pair(u64::from(arrival), CALL_COUNT_OFFSET + tier as u64)
+    random::pair(u64::from(arrival), CALL_COUNT_KEY_OFFSET + tier as u64)
 }
 
 /// Returns the key of the interval before a pause of a server's process.
--- a/crates/fleet-model/src/world/messages.rs
+++ b/crates/fleet-model/src/world/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to balancer processes, which handle one at a time, and the policy events that follow from them.
+//! Messages to balancer processes, which handle one message at a time, and the resulting events for the policy.
 
 use zincstand_policy::{Event, Micros, Outcome};
 
@@ -8,7 +8,7 @@
 use super::state::{Caller, RecentEvent};
 use crate::server::GroundTruth;
 
-/// Processor time of a timer, as a share of the processor time of any other message.
+/// Processor time for a timer, as a share of that for any other message.
 const TIMER_COST_SHARE: f64 = 0.1;
 
 impl World<'_> {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Lets a process that was busy handle its next message.
+    /// Handles the next message of a process that was busy.
     pub(super) fn process_ready(&mut self, process: ProcessIndex) {
         let record = &mut self.processes[process];
         record.wake_scheduled = false;
@@ -52,7 +52,7 @@
         self.schedule_after(1, WorldEvent::Message { process, message });
     }
 
-    /// Lets a process spend processor time on a message and passes it to its policy.
+    /// Spends the processor time of a process for a message, and passes the message to the policy.
     fn process_message(&mut self, process: ProcessIndex, message: Message) {
         let cost = self.message_cost(message);
         let record = &mut self.processes[process];
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -52,7 +52,7 @@
     /// The latest attempt of each request of a client.
     client_attempts: Table<ArrivalIndex, ClientAttempt>,
     servers: Table<ServerIndex, Server>,
-    /// The server at each address; a replacement takes over its predecessor's.
+    /// The server at each address. A replacement takes over the address of its predecessor.
     server_at_address: Vec<ServerIndex>,
     /// The first address of each tier.
     first_address_of_tier: Vec<usize>,
@@ -75,7 +75,7 @@
     /// Servers that collapsed under load while warming up.
     collapsed: usize,
     metrics: Metrics,
-    /// Buffer for the actions of one event, reused to save allocations.
+    /// Buffer for the actions of one event, which is reused to avoid allocations.
     actions: Vec<Action>,
     /// Samples of all servers by second. `None` in a run without details.
     samples: Option<Vec<Vec<Sample>>>,
@@ -157,7 +157,7 @@
         self.schedule_at(self.now + delay, event);
     }
 
-    /// Processes events until none is left or every request of the scenario must have ended.
+    /// Processes events until none is left, or until every request of the scenario must have ended.
     fn run(&mut self) {
         let longest = self.scenario.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
         let end = self.scenario.length.0 + 2 * longest + MICROS_PER_SECOND;
@@ -192,7 +192,7 @@
             WorldEvent::CloseIdleConnections { process, address } => {
                 self.close_idle_connections(process, address);
             }
-            WorldEvent::ChangeNoticed { server, state } => self.change_noticed(server, state),
+            WorldEvent::ChangeDetected { server, state } => self.change_detected(server, state),
             WorldEvent::DiscoveryUpdate { process, scope } => self.send_update(process, scope),
             WorldEvent::FrontUpdate { balancer, open } => self.front_update(balancer, open),
             WorldEvent::FaultStage { fault, stage } => self.fault_stage(fault, stage),
@@ -200,12 +200,12 @@
         }
     }
 
-    /// Returns the latency of a message between two zones. `key` decides its jitter.
+    /// Returns the latency of a message between two zones. Its jitter is drawn by `key`.
     fn network_latency(&self, from: u32, to: u32, key: u64) -> Micros {
         let network = &self.scenario.network;
         let base = if from == to { network.same_zone } else { network.cross_zone };
-        let late = network.jitter * random::unit(self.scenario.seed, Purpose::Message, key);
-        (base.0 as f64 * (1.0 + late)) as Micros
+        let jitter = network.jitter * random::unit(self.scenario.seed, Purpose::Message, key);
+        (base.0 as f64 * (1.0 + jitter)) as Micros
     }
 
     /// Whether a partition separates a process from a server.
--- a/crates/fleet-model/src/world/processes.rs
+++ b/crates/fleet-model/src/world/processes.rs
@@ -1,4 +1,4 @@
-//! Balancer processes: how they start and end.
+//! Start and end of balancer processes.
 
 use rand::RngExt;
 use zincstand_policy::{LearnedState, Micros};
@@ -11,33 +11,34 @@
 use crate::random::{self, Purpose};
 use crate::scenario::DiscoveryMode;
 
-/// Time from the start of a process until discovery sends it the first list.
+/// Time from the start of a process until discovery sends it the first endpoint list.
 const FIRST_LIST_DELAY: Micros = 20_000;
 
-/// The way in which clients notice the end of a balancer's process.
+/// How clients detect the end of a balancer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessEnd {
     /// The clients' connections are reset.
     ConnectionsReset,
-    /// Clients notice nothing and wait until their time limits expire.
+    /// Clients do not detect the end, and wait until their time limits expire.
     Silent,
 }
 
 impl World<'_> {
-    /// Starts a process of a balancer. It has the last list of its predecessor, or the current one.
+    /// Starts a process of a balancer, with the last endpoint list of its predecessor, or the current list if it has no
+    /// predecessor.
     fn start_process(&mut self, place: BalancerPlace, predecessor: Option<ProcessIndex>) -> ProcessIndex {
         let policy = self.start_policy(place);
         let clock_offset = self.clock_offset(place);
-        let pushed = self.scenario.discovery.mode == DiscoveryMode::Push;
+        let push_mode = self.scenario.discovery.mode == DiscoveryMode::Push;
         let process = self
             .processes
-            .push(Process { watching: pushed, ..Process::new(place, policy, clock_offset, self.now) });
+            .push(Process { watching: push_mode, ..Process::new(place, policy, clock_offset, self.now) });
         let position = match predecessor {
             Some(predecessor) => self.processes[predecessor].log_position,
             None => self.discovery_log[place.tier].len(),
         };
         self.restore_cached_list(process, position);
-        if pushed {
+        if push_mode {
             let event = WorldEvent::DiscoveryUpdate { process, scope: UpdateScope::Snapshot };
             self.schedule_after(FIRST_LIST_DELAY, event);
         }
@@ -53,7 +54,7 @@
             .unwrap_or_else(|error| unreachable!("the settings were checked before the run started: {error}"))
     }
 
-    /// Returns the time by which the clock of a balancer is ahead of the world's.
+    /// Returns the time by which the clock of a balancer is ahead of the world's clock.
     fn clock_offset(&self, place: BalancerPlace) -> Micros {
         let key = keys::balancer_clock(place.balancer, place.tier);
         let drawn = random::unit(self.scenario.seed, Purpose::Process, key);
--- a/crates/fleet-model/src/world/sampling.rs
+++ b/crates/fleet-model/src/world/sampling.rs
@@ -9,7 +9,7 @@
 use crate::scoring::{Breach, NotificationCount, Rule, Sample, TierCount};
 use crate::server::AnsweredAttempts;
 
-/// Largest number of reports of broken rules. Further breaches are only counted.
+/// Largest number of breaches that are reported in detail. Further breaches are only counted.
 const MAX_REPORTED_BREACHES: usize = 20;
 /// Largest number of recent events of a process in a report of a broken rule.
 const MAX_RECENT_EVENTS: usize = 24;
@@ -51,7 +51,7 @@
         rule: Rule,
         process: ProcessIndex,
         server: Option<ServerIndex>,
-        what: String,
+        description: String,
     ) {
         self.metrics.broken += 1;
         if self.metrics.breaches.len() >= MAX_REPORTED_BREACHES {
@@ -64,7 +64,7 @@
             at: self.now,
             balancer: (process.tier, process.balancer),
             server,
-            what,
+            what: description,
             before: process.recent_events.iter().map(describe).collect(),
         });
     }
@@ -100,7 +100,7 @@
             .collect()
     }
 
-    /// Adds the open breakers, and the concurrency limit of each zone, spread evenly over its servers.
+    /// Adds the open breakers of each server, and the concurrency limit of each zone, divided evenly among its servers.
     fn add_learned_state(&self, samples: &mut [Sample]) {
         let mut up_in_zone: BTreeMap<(usize, u32), f64> = BTreeMap::new();
         for server in self.servers.iter() {
--- a/crates/fleet-model/src/world/servers.rs
+++ b/crates/fleet-model/src/world/servers.rs
@@ -11,7 +11,7 @@
 use crate::world::event::ListedState;
 
 impl World<'_> {
-    /// Ends a server's process and its sidecar. The connections of its jobs break.
+    /// Ends the process and the sidecar of a server. The connections of its jobs are reset.
     pub(super) fn stop_server(&mut self, server: ServerIndex) {
         let lost_jobs = self.servers[server].stop();
         for job in lost_jobs {
@@ -42,7 +42,7 @@
         let epoch = record.epoch;
         self.start_sidecar(server);
         self.schedule_pause(server, epoch, 0);
-        self.announce_change(server, ListedState::Ready(started), ChangeVisibility::Announced);
+        self.schedule_detection(server, ListedState::Ready(started), ChangeVisibility::Announced);
     }
 
     /// Schedules a server's next pause (even `number`) or the end of its pause (odd `number`).
@@ -53,8 +53,8 @@
             return;
         }
         let delay = if number % 2 == 1 {
-            let jobs_per_core = tier.pause_grow * record.job_count() as f64 / f64::from(tier.cores);
-            (tier.pause.0 as f64 * (1.0 + jobs_per_core)) as Micros
+            let growth = tier.pause_grow * record.job_count() as f64 / f64::from(tier.cores);
+            (tier.pause.0 as f64 * (1.0 + growth)) as Micros
         } else {
             let key = keys::pause(server, epoch, number);
             let drawn = random::unit(self.scenario.seed, Purpose::Pause, key);
@@ -63,7 +63,7 @@
         self.schedule_after(delay, WorldEvent::ServerPause { server, epoch, number });
     }
 
-    /// Pauses a server, or lets it continue.
+    /// Pauses a server, or ends its pause.
     pub(super) fn server_pause(&mut self, server: ServerIndex, epoch: u32, number: u32) {
         let record = &mut self.servers[server];
         if record.epoch != epoch || !record.is_up() || self.now > self.scenario.length.0 {
@@ -75,7 +75,7 @@
         self.schedule_pause(server, epoch, number + 1);
     }
 
-    /// Plans the next change of a server if nothing happens before. Earlier plans become obsolete.
+    /// Schedules the next change of a server that happens without further events. Changes planned earlier are ignored.
     pub(super) fn plan_next_change(&mut self, server: ServerIndex) {
         let record = &mut self.servers[server];
         record.update_choke(self.now);
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Executes a health check. A server answers it without queueing. The answer shows that its process runs, and costs
-    /// it work.
+    /// Executes a health check. A server answers it without queueing. The answer shows that the process of the server
+    /// runs, and costs the server work.
     pub(super) fn health_check(&mut self, process: ProcessIndex, server: ServerIndex) {
         self.metrics.health_checks += 1;
         let key = keys::health_check(process, server, self.now);
--- a/crates/fleet-model/src/world/setup.rs
+++ b/crates/fleet-model/src/world/setup.rs
@@ -10,7 +10,7 @@
 use crate::table::Table;
 
 impl<'d> World<'d> {
-    /// Builds the world of a scenario. The order of the steps decides the order of events of the same instant.
+    /// Builds the world of a scenario. The order of the steps determines the order of events of the same instant.
     pub(super) fn new(scenario: &'d Scenario, create_policy: PolicyFactory<'d>, detail: bool) -> World<'d> {
         let mut world = World::empty(scenario, create_policy, detail);
         world.add_servers();
--- a/crates/fleet-model/src/world/state/mod.rs
+++ b/crates/fleet-model/src/world/state/mod.rs
@@ -10,7 +10,7 @@
     Attempt, AttemptConnection, Caller, ClientAttempt, Job, JobPhase, PossibleRun, Request,
 };
 
-/// A fault that makes some requests of a class heavy.
+/// A fault that multiplies the work of some requests of a class.
 pub(super) struct HeavyTail {
     /// Number of the fault.
     pub fault: u32,
--- a/crates/fleet-model/src/world/state/processes.rs
+++ b/crates/fleet-model/src/world/state/processes.rs
@@ -53,12 +53,12 @@
     }
 }
 
-/// The state of one server of which discovery has notified a process.
+/// The state of a server as discovery has notified it to a process.
 #[derive(Clone, Copy, Default)]
 pub(in crate::world) struct Notification {
     /// Time of the notification that the server drains or is removed. `None` while it is ready.
-    pub out_since: Option<Micros>,
-    /// Start time of the server, in time of the world. `None` if it runs since the beginning of the scenario.
+    pub not_ready_since: Option<Micros>,
+    /// Start time of the server, on the world's clock. `None` if it has run since the beginning of the scenario.
     pub started: Option<Micros>,
     /// Whether the server has been on a list.
     pub known: bool,
@@ -76,7 +76,7 @@
 /// Idle connections of a process to one address.
 #[derive(Default)]
 pub(in crate::world) struct IdleConnections {
-    /// The connections, the one that is idle for the longest time first.
+    /// The connections, in the order in which they became idle.
     pub connections: VecDeque<IdleConnection>,
     /// Whether a check of their idle limit is scheduled.
     pub check_scheduled: bool,
@@ -105,9 +105,9 @@
     pub policy: Box<dyn Policy>,
     /// Whether the process runs.
     pub alive: bool,
-    /// Time by which its clock is ahead of the world's.
+    /// Time by which its clock is ahead of the world's clock.
     pub clock_offset: Micros,
-    /// Time until which the processor works on messages that were taken from the inbox.
+    /// Time until which the processor is busy with messages that were taken from the inbox.
     pub busy_until: Micros,
     /// Messages that wait for the processor.
     pub inbox: VecDeque<Message>,
@@ -157,7 +157,7 @@
 pub(in crate::world) struct FrontBalancer {
     /// Index of the zone.
     pub zone: u32,
-    /// The process that serves. `None` before the first start.
+    /// The current process. `None` before the first start.
     pub process: Option<ProcessIndex>,
     /// Whether clients open connections to the balancer.
     pub listed: bool,
--- a/crates/fleet-model/src/world/state/requests.rs
+++ b/crates/fleet-model/src/world/state/requests.rs
@@ -8,7 +8,7 @@
 /// The latest attempt of a client.
 #[derive(Clone, Copy, Default)]
 pub(in crate::world) struct ClientAttempt {
-    /// Number of the attempt: 0 for the first attempt, counting up with each retry.
+    /// Number of the attempt, from 0. It increases with each retry.
     pub number: u32,
     /// Whether the client still waits for the reply.
     pub pending: bool,
@@ -26,7 +26,7 @@
 pub(in crate::world) enum Caller {
     /// A client, with the number of its attempt.
     Client { arrival: ArrivalIndex, number: u32 },
-    /// A job at a server of the tier before.
+    /// A job at a server of the previous tier.
     Job(JobIndex),
 }
 
@@ -40,9 +40,9 @@
     pub arrival: ArrivalIndex,
     /// Index of the class.
     pub class: usize,
-    /// Deadline, in time of the world.
+    /// Deadline, on the world's clock.
     pub deadline: Micros,
-    /// Whether the request has its final answer, or no caller waits for one.
+    /// Whether the request has its final answer, or its caller no longer waits for one.
     pub closed: bool,
     /// Number of attempts sent.
     pub attempts_sent: u32,
@@ -74,7 +74,7 @@
     None,
     /// An idle connection was reused.
     Reused,
-    /// A new connection is needed and has not reached a server.
+    /// A new connection is needed, and is not established.
     Connecting,
     /// A new connection, counted in the server's table.
     New,
@@ -114,7 +114,7 @@
     pub connection: AttemptConnection,
     /// Epoch of the process of the destination that the connection leads to.
     pub epoch: u32,
-    /// The job at the server. `None` until the server has accepted the attempt.
+    /// The job at the server. `None` before the server has accepted the attempt.
     pub job: Option<JobIndex>,
     /// Key of the random draws of the attempt. It does not depend on earlier decisions of the policy.
     pub key: u64,
