--- a/crates/fleet-model/src/policy/baseline.rs
+++ b/crates/fleet-model/src/policy/baseline.rs
@@ -1,4 +1,5 @@
-//! Behaviour that all baselines share: one retry, and the rules on draining servers and on repeats.
+//! Behaviour that all baselines share: one retry, and compliance with the rules on draining servers and on repeated
+//! requests.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,10 +17,10 @@
 
 /// Largest number of attempts of a request whose class permits repeats.
 const MAX_ATTEMPTS: u32 = 2;
-/// Interval at which the baseline with full knowledge tries to send a queued request, in microseconds. All baselines
-/// give a request up when less than twice this time is left.
+/// Interval at which the baseline with full knowledge tries to send a queued request. All baselines give a request up
+/// when no more than twice this time is left.
 const QUEUE_RETRY_INTERVAL: Micros = 5_000;
-/// The timer of a queued request has the id of the request plus this offset as its token, so that token 0 is not used.
+/// Difference between the token of the timer of a queued request and the id of the request. It keeps token 0 unused.
 const QUEUE_TOKEN_OFFSET: u64 = 1;
 
 /// An attempt that ended without answering its request.
@@ -29,7 +30,7 @@
     latency: Micros,
 }
 
-/// A policy that chooses servers by one simple strategy.
+/// A policy that chooses servers by a single strategy.
 pub(super) struct Baseline {
     strategy: Strategy,
     settings: Settings,
@@ -64,7 +65,7 @@
                     self.requests.remove(&request);
                 } else {
                     let failed = FailedAttempt { server, outcome, latency };
-                    self.retry_or_end(now, request, &failed, truth, actions);
+                    self.retry_or_give_up(now, request, &failed, truth, actions);
                 }
             }
             Event::ClientDisconnected { request } => {
@@ -111,7 +112,7 @@
         self.ready = ready.map(|known| known.entry.id).collect();
     }
 
-    fn retry_or_end(
+    fn retry_or_give_up(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -136,12 +137,12 @@
         if repeatable && request.attempts_sent < max_attempts && now < request.deadline {
             self.try_send(now, id, truth, actions);
         } else {
-            self.end(id, actions);
+            self.give_up(id, actions);
         }
     }
 
     /// Gives a request up. Rejects it if no server can have executed it or it is idempotent, and fails it otherwise.
-    fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         let idempotent = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
         actions.push(if idempotent || request.possible_run.is_none() {
@@ -158,11 +159,11 @@
         if now + 2 * QUEUE_RETRY_INTERVAL >= request.deadline
             || (has_full_knowledge && knowledge.is_too_late(request))
         {
-            return self.end(id, actions);
+            return self.give_up(id, actions);
         }
         let candidates = candidates(request, &self.settings, &self.servers, &self.ready);
         if candidates.is_empty() {
-            return self.end(id, actions);
+            return self.give_up(id, actions);
         }
         let server = if has_full_knowledge {
             let Some(server) = knowledge.choose(&candidates, request) else {
@@ -188,8 +189,8 @@
     }
 }
 
-/// Returns the ready servers that may receive a request. After an attempt that may have run, a request with an
-/// idempotency key may only go to the cell that knows the key.
+/// Returns the ready servers that may receive a request. After an attempt that a server may have executed, a request
+/// with an idempotency key may only be sent to the cell that has received the key.
 fn candidates<'a>(
     request: &OpenRequest,
     settings: &Settings,
--- a/crates/fleet-model/src/policy/known_state.rs
+++ b/crates/fleet-model/src/policy/known_state.rs
@@ -6,7 +6,7 @@
 pub(super) struct KnownServer {
     /// The latest entry of the server.
     pub entry: ServerEntry,
-    /// Number of attempts of this balancer in flight.
+    /// Number of attempts that this balancer has in flight at the server.
     pub in_flight: u32,
 }
 
--- a/crates/fleet-model/src/policy/mod.rs
+++ b/crates/fleet-model/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Policies of balancers in the model: the decision module in service, and baselines to compare it with.
+//! Policies of balancers in the model: the decision module that the proxy runs, and baselines for comparison.
 
 mod baseline;
 mod full_knowledge;
@@ -45,7 +45,7 @@
 /// The policies that a scenario can be run with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// The decision module in service.
+    /// The decision module that the proxy runs.
     Module,
     /// Any ready server, drawn at random.
     Random,
@@ -59,9 +59,9 @@
     Oracle,
 }
 
-/// Error of a name that no policy has.
+/// Error for a name that no policy has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no policy is called {name:?}; there are {}", Kind::ALL.map(Kind::name).join(", "))]
+#[error("unknown policy {name:?}; the policies are {}", Kind::ALL.map(Kind::name).join(", "))]
 pub struct UnknownPolicy {
     /// The unknown name.
     pub name: String,
--- a/crates/fleet-model/src/policy/selection.rs
+++ b/crates/fleet-model/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Choice among ready servers by the baselines.
+//! Choice of a ready server by the baselines without full knowledge.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     TwoChoices,
     /// The server with the fewest attempts in flight.
     LeastInFlight,
-    /// By the true state of the servers, see [`super::full_knowledge`].
+    /// The server that would answer first by the true state of all servers, see [`super::full_knowledge`].
     FullKnowledge,
 }
 
@@ -25,7 +25,7 @@
 pub(super) struct Selector {
     strategy: Strategy,
     rng: fastrand::Rng,
-    /// Number of choices by round robin.
+    /// Number of the latest turn of round robin.
     turn: usize,
 }
 
@@ -49,22 +49,22 @@
     ) -> ServerId {
         let in_flight = |id: ServerId| servers.get(&id).map_or(0, |known| known.in_flight);
         match self.strategy {
-            Strategy::Random | Strategy::FullKnowledge => self.any_other(candidates, last),
+            Strategy::Random | Strategy::FullKnowledge => self.draw_other(candidates, last),
             Strategy::RoundRobin => {
                 self.turn += 1;
                 candidates[self.turn % candidates.len()]
             }
             Strategy::TwoChoices => {
-                let first = self.any_other(candidates, last);
-                let second = self.any_other(candidates, last);
+                let first = self.draw_other(candidates, last);
+                let second = self.draw_other(candidates, last);
                 if in_flight(second) < in_flight(first) { second } else { first }
             }
             Strategy::LeastInFlight => self.least_in_flight(candidates, last, in_flight),
         }
     }
 
-    /// Draws a candidate, and not the last server if there are several.
-    fn any_other(&mut self, candidates: &[ServerId], last: Option<ServerId>) -> ServerId {
+    /// Draws a candidate other than the last server, or the last server if it is the only one.
+    fn draw_other(&mut self, candidates: &[ServerId], last: Option<ServerId>) -> ServerId {
         let drawn = self.rng.usize(..candidates.len());
         if candidates.len() > 1 && Some(candidates[drawn]) == last {
             candidates[(drawn + 1) % candidates.len()]
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Draws one of the candidates with the fewest attempts in flight, and not the last server if there are several.
+    /// Draws one of the candidates with the fewest attempts in flight. The last server is eligible only if it is the
+    /// only candidate.
     fn least_in_flight(
         &mut self,
         candidates: &[ServerId],
@@ -81,15 +82,15 @@
         in_flight: impl Fn(ServerId) -> u32,
     ) -> ServerId {
         let mut ties = Vec::new();
-        let mut least = u32::MAX;
+        let mut fewest = u32::MAX;
         let eligible = candidates.iter().filter(|id| candidates.len() == 1 || Some(**id) != last);
         for &candidate in eligible {
-            let own = in_flight(candidate);
-            if own < least {
-                least = own;
+            let attempts = in_flight(candidate);
+            if attempts < fewest {
+                fewest = attempts;
                 ties.clear();
             }
-            if own == least {
+            if attempts == fewest {
                 ties.push(candidate);
             }
         }
--- a/crates/fleet-model/src/server/choke.rs
+++ b/crates/fleet-model/src/server/choke.rs
@@ -1,5 +1,5 @@
-//! Metastable overload: a server that is crowded for too long becomes slow (it chokes), and stays slow until it has been
-//! nearly idle for a while.
+//! Metastable overload: a server that is crowded for too long becomes slow (it chokes), and stays slow until it has
+//! been nearly idle for a while or a time limit has passed.
 
 use std::collections::VecDeque;
 
@@ -59,15 +59,16 @@
         (1.0 + self.settings.at) * cores
     }
 
-    /// Returns the time at which the state must be updated if no earlier event updates it. `None` if it will not change.
+    /// Returns the time at which the state must be updated if no earlier event updates it. `None` if it will not
+    /// change.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let choke_at = self.crowded_since.map(|since| (since + self.settings.over.0).max(now + 1));
         let sample_at = self.choked_since.map(|_| now + (self.settings.rest.0 / SAMPLES_PER_WINDOW).max(1));
         [choke_at, sample_at].into_iter().flatten().min()
     }
 
-    /// Updates the state. `excess_jobs` is the number of running and waiting jobs beyond the cores, and `busy_time` is the
-    /// time for which the cores were busy so far, in microseconds.
+    /// Updates the state. `excess_jobs` is the number of running and waiting jobs beyond the cores, and `busy_time` is
+    /// the time for which the cores were busy so far, in microseconds.
     pub fn update(&mut self, now: Micros, excess_jobs: f64, cores: f64, busy_time: f64) {
         match self.choked_since {
             Some(since) => self.recover_if_nearly_idle(now, since, busy_time),
--- a/crates/fleet-model/src/server/mod.rs
+++ b/crates/fleet-model/src/server/mod.rs
@@ -2,9 +2,9 @@
 
 mod capacity;
 mod choke;
+mod ground_truth;
 mod jobs;
 mod process;
-mod truth;
 mod warm_up;
 
 use std::cmp::Reverse;
@@ -19,9 +19,9 @@
 use crate::scenario::{Spread, Tier};
 
 pub(crate) use self::capacity::Condition;
+pub use self::ground_truth::{GroundTruth, TrueState};
 pub(crate) use self::jobs::{JobAdmission, JobIndex};
 pub(crate) use self::process::ProcessState;
-pub use self::truth::{GroundTruth, TrueState};
 pub(crate) use self::warm_up::{OverloadRule, WarmUpWork};
 
 /// Shortest warm-up time of a server, as a share of the warm-up time of its tier.
@@ -134,8 +134,8 @@
     /// Time for which the cores were busy since the beginning of the scenario, in microseconds.
     busy_time: f64,
     paused: bool,
-    /// Jobs that share the cores, ordered by the virtual service at which each is done. The bits of a non-negative float
-    /// have the same order as its value.
+    /// Jobs that share the cores, ordered by the virtual service at which each is done. The bits of a non-negative
+    /// float have the same order as its value.
     running: BinaryHeap<Reverse<(u64, JobIndex)>>,
     queue: VecDeque<JobIndex>,
     /// Jobs that occupy a slot or wait for one.
--- a/crates/fleet-model/src/world/attempt_arrival.rs
+++ b/crates/fleet-model/src/world/attempt_arrival.rs
@@ -87,7 +87,7 @@
         self.servers[server].collapse();
     }
 
-    /// Returns whether an attempt fails before its server starts to work on it. If so, schedules its outcome, unless the
+    /// Whether an attempt fails before its server starts to work on it. If so, schedules its outcome, unless the
     /// server is silent.
     fn fails_on_arrival(&mut self, attempt: AttemptIndex, work: f64) -> bool {
         let Attempt { destination, key, .. } = self.attempts[attempt];
--- a/crates/fleet-model/src/world/attribution.rs
+++ b/crates/fleet-model/src/world/attribution.rs
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Charges the time of an abandoned attempt to the server or balancer at which the request currently is, which may be
-    /// that of a nested call in a later tier.
+    /// Charges the time of an abandoned attempt to the server or balancer at which the request currently is, which may
+    /// be that of a nested call in a later tier.
     pub(super) fn charge_abandoned_attempt(&mut self, attempt: AttemptIndex) {
         let Attempt { destination, sent, request, job, .. } = self.attempts[attempt];
         let arrival = self.requests[request].arrival;
--- a/crates/fleet-model/src/world/discovery.rs
+++ b/crates/fleet-model/src/world/discovery.rs
@@ -25,7 +25,7 @@
 pub(super) enum ChangeVisibility {
     /// The server or its platform reports the change.
     Announced,
-    /// Nobody reports the change. Discovery detects it by its own checks.
+    /// Neither the server nor its platform reports the change, and discovery detects it by its own checks.
     Silent,
 }
 
--- a/crates/fleet-model/src/world/faults/mod.rs
+++ b/crates/fleet-model/src/world/faults/mod.rs
@@ -79,14 +79,14 @@
     fn set_fault(&mut self, number: u32, fault: &Fault, targets: &[usize], status: FaultStatus) {
         match fault.kind {
             FaultKind::HeavyTail => self.set_heavy_tail(number, fault, status),
-            FaultKind::ZoneLost => self.lose_zone(fault, status),
-            FaultKind::ZoneCut => self.partition_zone(fault, status),
+            FaultKind::ZoneLost => self.set_zone_lost(fault, status),
+            FaultKind::ZoneCut => self.set_partition(fault, status),
             FaultKind::Vanished => {
                 for &address in targets {
-                    self.vanish(self.server_at_address[address], status);
+                    self.set_vanished(self.server_at_address[address], status);
                 }
             }
-            FaultKind::DiscoveryOutage => self.discovery_outage(status),
+            FaultKind::DiscoveryOutage => self.set_discovery_outage(status),
             FaultKind::Evacuated => {
                 let open = status == FaultStatus::Over;
                 for &balancer in targets {
--- a/crates/fleet-model/src/world/faults/schedule.rs
+++ b/crates/fleet-model/src/world/faults/schedule.rs
@@ -43,7 +43,7 @@
         self.schedule_at(at, WorldEvent::FaultStage { fault, stage });
     }
 
-    fn schedule_target(&mut self, fault: u32, at: Micros, target: u32, step: TargetStep) {
+    fn schedule_target_step(&mut self, fault: u32, at: Micros, target: u32, step: TargetStep) {
         self.schedule_stage(fault, at, FaultStage::Target { target, step });
     }
 
@@ -54,9 +54,9 @@
         for target in 0..targets {
             let at = fault.at.0 + fault.length.0 * u64::from(target / batch) / u64::from(rounds);
             let stop = at + fault.drain.0;
-            self.schedule_target(number, at, target, TargetStep::Drain);
-            self.schedule_target(number, stop, target, TargetStep::Stop);
-            self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
+            self.schedule_target_step(number, at, target, TargetStep::Drain);
+            self.schedule_target_step(number, stop, target, TargetStep::Stop);
+            self.schedule_target_step(number, stop + RESTART_DELAY, target, TargetStep::Start);
         }
     }
 
@@ -64,22 +64,22 @@
     fn schedule_replacements(&mut self, number: u32, fault: &Fault, targets: u32) {
         for target in 0..targets {
             let stop = fault.at.0 + fault.length.0 * u64::from(target) / u64::from(targets.max(1));
-            self.schedule_target(number, stop, target, TargetStep::Stop);
-            self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
+            self.schedule_target_step(number, stop, target, TargetStep::Stop);
+            self.schedule_target_step(number, stop + RESTART_DELAY, target, TargetStep::Start);
         }
     }
 
     fn schedule_balancer_steps(&mut self, number: u32, fault: &Fault, targets: u32) {
         for target in 0..targets {
             let times = self.balancer_times(fault, target, targets);
-            self.schedule_target(number, times.drain, target, TargetStep::Drain);
-            self.schedule_target(number, times.stop, target, TargetStep::Stop);
-            self.schedule_target(number, times.start, target, TargetStep::Start);
+            self.schedule_target_step(number, times.drain, target, TargetStep::Drain);
+            self.schedule_target_step(number, times.stop, target, TargetStep::Stop);
+            self.schedule_target_step(number, times.start, target, TargetStep::Start);
         }
     }
 
-    /// Returns the times of a balancer's steps. All balancers are killed at the same time, but restarted or replaced one
-    /// after the other.
+    /// Returns the times of a balancer's steps. All balancers are killed at the same time, but restarted or replaced
+    /// one after the other.
     fn balancer_times(&self, fault: &Fault, target: u32, targets: u32) -> BalancerTimes {
         if fault.kind == FaultKind::BalancerKilled {
             let at = fault.at.0;
@@ -99,8 +99,8 @@
         let latest = fault.length.0.saturating_sub(RESTART_DELAY);
         let stop = fault.at.0 + fault.drain.0.min(latest);
         for target in 0..targets {
-            self.schedule_target(number, stop, target, TargetStep::Stop);
-            self.schedule_target(number, stop + RESTART_DELAY, target, TargetStep::Start);
+            self.schedule_target_step(number, stop, target, TargetStep::Stop);
+            self.schedule_target_step(number, stop + RESTART_DELAY, target, TargetStep::Start);
         }
     }
 }
--- a/crates/fleet-model/src/world/faults/servers.rs
+++ b/crates/fleet-model/src/world/faults/servers.rs
@@ -46,7 +46,7 @@
     }
 
     /// Makes a server's machine vanish without deregistering, or return with a process that warms up.
-    pub(super) fn vanish(&mut self, server: ServerIndex, status: FaultStatus) {
+    pub(super) fn set_vanished(&mut self, server: ServerIndex, status: FaultStatus) {
         let record = &mut self.servers[server];
         if record.has_collapsed() {
             return;
--- a/crates/fleet-model/src/world/faults/zones.rs
+++ b/crates/fleet-model/src/world/faults/zones.rs
@@ -9,22 +9,22 @@
 
 impl World<'_> {
     /// Makes the servers and balancers of a zone vanish or return.
-    pub(super) fn lose_zone(&mut self, fault: &Fault, status: FaultStatus) {
+    pub(super) fn set_zone_lost(&mut self, fault: &Fault, status: FaultStatus) {
         let Some(zone) = self.fault_zone(fault) else { return };
         for address in 0..self.server_at_address.len() {
             let server = self.server_at_address[address];
             if self.servers[server].zone == zone {
-                self.vanish(server, status);
+                self.set_vanished(server, status);
             }
         }
         for balancer in 0..self.front_balancers.len() {
             if self.front_balancers[balancer].zone == zone {
-                self.lose_front_balancer(balancer, status);
+                self.set_front_balancer_lost(balancer, status);
             }
         }
     }
 
-    fn lose_front_balancer(&mut self, balancer: usize, status: FaultStatus) {
+    fn set_front_balancer_lost(&mut self, balancer: usize, status: FaultStatus) {
         let number = balancer as u32;
         match status {
             FaultStatus::Active => {
@@ -44,7 +44,7 @@
     /// Cuts a zone off by a network partition, or connects it again. Messages across the partition are lost without an
     /// error. Discovery is outside of the zone: it lists the servers of the zone as removed, and the balancers in the
     /// zone receive no notifications until the partition ends, and then the complete list.
-    pub(super) fn partition_zone(&mut self, fault: &Fault, status: FaultStatus) {
+    pub(super) fn set_partition(&mut self, fault: &Fault, status: FaultStatus) {
         let Some(zone) = self.fault_zone(fault) else { return };
         self.partitioned_zones[zone as usize] = status == FaultStatus::Active;
         for server in self.servers.indexes() {
@@ -64,15 +64,15 @@
     }
 
     /// Begins or ends an outage of discovery.
-    pub(super) fn discovery_outage(&mut self, status: FaultStatus) {
+    pub(super) fn set_discovery_outage(&mut self, status: FaultStatus) {
         self.discovery_down = status == FaultStatus::Active;
         if status == FaultStatus::Over {
             self.schedule_snapshots(None);
         }
     }
 
-    /// Schedules the complete list for the processes that watch, in one zone or in all zones, to replace the changes that
-    /// they missed.
+    /// Schedules the complete list for the processes that watch, in one zone or in all zones, to replace the changes
+    /// that they missed.
     fn schedule_snapshots(&mut self, zone: Option<u32>) {
         for process in self.processes.indexes() {
             let record = &self.processes[process];
--- a/crates/fleet-model/src/world/jobs.rs
+++ b/crates/fleet-model/src/world/jobs.rs
@@ -39,8 +39,8 @@
         self.call_next_tier(server, job);
     }
 
-    /// Counts the work of a finished segment. Charges as much of the elapsed time as the work needs to the work, and the
-    /// rest to the condition of the server.
+    /// Counts the work of a finished segment. Charges as much of the elapsed time as the work needs to the work, and
+    /// the rest to the condition of the server.
     fn account_segment(&mut self, server: ServerIndex, job: JobIndex) {
         let cause = self.server_cause(server, Cause::Queueing);
         let record = &mut self.jobs[job];
--- a/crates/fleet-model/src/world/keys.rs
+++ b/crates/fleet-model/src/world/keys.rs
@@ -1,7 +1,7 @@
 //! Keys of random draws.
 //!
-//! Each key identifies what a number is drawn for, independently of all other draws, so that the numbers of a scenario do
-//! not depend on the decisions of the policy. Stored results depend on how the keys are computed.
+//! Each key identifies what a number is drawn for, independently of all other draws, so that the numbers of a scenario
+//! do not depend on the decisions of the policy. Stored results depend on how the keys are computed.
 
 use zincstand_policy::Micros;
 
@@ -15,7 +15,8 @@
 /// Offset of the keys of heavy requests, which separates them from other keys of an arrival. The fault's number is
 /// added.
 const HEAVY_TAIL_KEY_OFFSET: u64 = 1_000_000;
-/// Offset of the keys of the numbers of nested calls, which separates them from other keys of an arrival. The tier is added.
+/// Offset of the keys of the numbers of nested calls, which separates them from other keys of an arrival. The tier is
+/// added.
 const CALL_COUNT_KEY_OFFSET: u64 = 77;
 
 /// Returns the key of a client's attempt.
