--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -9,12 +9,12 @@
 use common::*;
 
 #[test]
-fn malformed_requests_are_answered_and_disturb_no_other_request() {
+fn malformed_requests_get_an_error_and_affect_no_other_request() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut other = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-0", ""));
 
-    let large = "Host: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 33554433\r\n\r\n";
+    let oversized = "Host: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 33554433\r\n\r\n";
     for (status, text) in [
         (400, "no HTTP at all\r\n\r\n".to_owned()),
         (400, "GET /api HTTP/1.1\r\nbad header\r\n\r\n".to_owned()),
@@ -25,12 +25,12 @@
         (400, "GET /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: \u{fe}\u{ff}\r\n\r\n".to_owned()),
         (404, request("look", "r-2", "").replace("/api", "/elsewhere")),
         (405, "DELETE /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: look\r\n\r\n".to_owned()),
-        (413, format!("POST /api HTTP/1.1\r\n{large}")),
+        (413, format!("POST /api HTTP/1.1\r\n{oversized}")),
     ] {
         let response = balancer.send(&text);
         assert_eq!(response.status(), status, "{:?}", text.lines().next());
     }
-    // A request whose connection ends in the middle of the body.
+    // The connection of this request ends in the middle of the head.
     let mut truncated = balancer.connect();
     truncated.write_all(&request("pay", "r-3", "").as_bytes()[..60]).expect("the balancer reads");
     truncated.shutdown(Shutdown::Both).expect("the client is connected");
@@ -42,7 +42,7 @@
 #[test]
 fn an_absent_or_longer_deadline_becomes_that_of_the_class() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     for deadline in ["", "Req-Deadline-Ms: 99999999\r\n"] {
         assert_eq!(balancer.send(&request("pay", "r-1", deadline)).status(), 200, "{deadline:?}");
@@ -57,14 +57,14 @@
 #[test]
 fn invalid_headers_are_answered_400_and_nothing_is_forwarded() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
-    let twice = "Req-Deadline-Ms: 5\r\nreq-deadline-ms: 5\r\n";
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
+    let duplicate_deadline = "Req-Deadline-Ms: 5\r\nreq-deadline-ms: 5\r\n";
     for (class, headers) in [
         ("pay", "Req-Deadline-Ms: soon\r\n"),
         ("pay", "Req-Deadline-Ms: -5\r\n"),
         ("pay", "Req-Deadline-Ms:\r\n"),
         ("pay", "Req-Deadline-Ms: 99999999999999999999999\r\n"),
-        ("pay", twice),
+        ("pay", duplicate_deadline),
         ("pay", "Req-Kind: look\r\n"),
         ("pay", "Req-Id: r-2\r\n"),
         ("pull", "Idempotency-Key: other\r\n"),
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn an_id_that_is_in_flight_is_rejected() {
+fn the_id_of_a_request_in_flight_is_rejected() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut first = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
     assert_eq!(balancer.send(&request("look", "r-1", "")).status(), 400);
     first.complete();
@@ -101,7 +101,7 @@
 #[test]
 fn a_body_that_could_smuggle_a_request_is_rejected_and_the_connection_closed() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let hidden = request("pay", "r-2", "");
     let (length, chunked) = (format!("Content-Length: {}", 5 + hidden.len()), "Transfer-Encoding: chunked");
     for framing in [
@@ -124,7 +124,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     let mut client = balancer.connect();
     let pipelined = request("pay", "r-1", "") + &request("look", "r-2", "") + &request("pull", "r-3", "");
@@ -134,7 +134,7 @@
         let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt");
         assert_eq!(attempt.header("req-id"), Some(id));
     }
-    // The connection is closed after a chunked body, because only hyper knows where it ends.
+    // The connection is closed after a chunked body, because only hyper knows where the body ends.
     let chunked = "Host: b\r\nReq-Id: r-4\r\nReq-Kind: pay\r\nTransfer-Encoding: chunked";
     let text = format!("POST /api HTTP/1.1\r\n{chunked}\r\n\r\n2\r\nab\r\n0\r\n\r\n");
     let response = exchange(&mut client, &text);
@@ -145,15 +145,16 @@
 
 #[test]
 fn unfinished_requests_and_idle_connections_time_out() {
-    let balancer = Setup::knowing(&[closed_address()]).start();
+    let balancer = Setup::with_upstreams(&[closed_address()]).start();
     let start = Instant::now();
-    let begin = |text: &str| {
+    let send_beginning = |text: &str| {
         let mut client = balancer.connect();
         send(&mut client, text);
         client
     };
     let complete = request("pay", "r-1", "");
-    let mut unfinished = [&complete[..3], &complete[..40], &complete[..complete.len() - 2]].map(begin);
+    let mut unfinished =
+        [&complete[..3], &complete[..40], &complete[..complete.len() - 2]].map(send_beginning);
     let mut idle = [balancer.connect(), balancer.connect()];
     assert_eq!(exchange(&mut idle[1], READINESS_CHECK).status(), 200);
     for client in &mut unfinished {
@@ -162,18 +163,18 @@
     for client in &mut idle {
         assert!(peer_closed(client), "the connection stays open");
     }
-    // The limit is 3 s; a busy machine has ten times as much.
+    // The time limit is 3 s. The bound is ten times as long, for a busy machine.
     assert!(start.elapsed() < EVENT_TIMEOUT);
-    let mut endless = begin("GET /api HTTP/1.1\r\n");
+    let mut endless = send_beginning("GET /api HTTP/1.1\r\n");
     let line = format!("X-Pad: {}\r\n", "p".repeat(500));
     while endless.write_all(line.as_bytes()).is_ok() {}
-    assert!(start.elapsed() < EVENT_TIMEOUT, "a head without end is read on");
+    assert!(start.elapsed() < EVENT_TIMEOUT, "the balancer keeps reading a head without end");
 }
 
 #[test]
 fn a_body_over_the_size_limit_is_rejected_or_its_connection_closed() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let mut client = balancer.connect();
     let head =
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r\r\nReq-Kind: pay\r\nContent-Length: 60000000\r\n\r\n";
@@ -192,7 +193,7 @@
 #[test]
 fn an_absolute_request_target_is_forwarded_as_a_path() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let requests = upstream.serve_ok();
     let absolute = request("look", "r-1", "").replace("GET /api", "GET http://backend.local/api");
     assert_eq!(balancer.send(&absolute).status(), 200);
@@ -203,7 +204,7 @@
 #[test]
 fn a_connection_serves_several_requests() {
     let upstream = Peer::new();
-    let balancer = Setup::knowing(&[upstream.address]).start();
+    let balancer = Setup::with_upstreams(&[upstream.address]).start();
     let _requests = upstream.serve_ok();
     let mut client = balancer.connect();
     for id in ["r-1", "r-2", "r-3"] {
