--- a/crates/proxy/tests/hot_restart.rs
+++ b/crates/proxy/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Hot restart: a successor starts beside the process that it replaces, on the same listener and the same files.
+//! Hot restart: a successor starts while the process that it replaces still runs, with the same listener and files.
 
 mod common;
 
@@ -39,14 +39,14 @@
         let response = exchange(client_of_predecessor, &request("pay", &format!("r-{id}"), ""));
         assert_eq!(response.status(), 200);
     }
-    let excluded = (upstreams.first.take_request_count(), upstreams.third.take_request_count());
-    assert_eq!(excluded, (0, 0));
+    let requests_to_excluded = (upstreams.first.take_request_count(), upstreams.third.take_request_count());
+    assert_eq!(requests_to_excluded, (0, 0));
     assert!(upstreams.second.take_request_count() >= 10);
     assert_eq!(successor.admin_status("POST", "/api/include/s-2"), 200);
 }
 
-/// Shuts the predecessor down. Checks that its connection stays open until the next response, and that the address is
-/// ready all the while.
+/// Shuts the predecessor down. Checks that its connection stays open until the next response, and that a readiness check
+/// on that connection succeeds, because the successor serves the address.
 fn check_shutdown(mut predecessor: Balancer, mut client: TcpStream) {
     predecessor.start_shutdown();
     assert_eq!(predecessor.admin_status("GET", "/api/ready"), 503);
@@ -66,10 +66,10 @@
         setup.folder(&folder).inherited_listener(&listener).start()
     };
     let mut current = start();
-    assert_eq!(current.address, listener.local_addr().expect("the local address"));
+    assert_eq!(current.address, listener.local_addr().expect("the listener has a local address"));
     assert_eq!(current.admin_status("POST", "/api/exclude/s-0"), 200);
     for round in 0..3 {
-        // While there is only one process, it certainly accepts the connection.
+        // Connects before the successor starts, so that the current process accepts the connection.
         let mut client = current.connect();
         assert_eq!(exchange(&mut client, READINESS_CHECK).status(), 200);
         let successor = start();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_successor_that_dies_harms_nothing_and_a_reload_changes_no_override() {
+fn a_killed_successor_does_not_affect_the_running_process_and_a_reload_keeps_overrides() {
     let [first, second] = [(); 2].map(|()| RespondingUpstream::start());
     let folder = SharedFolder::new("died");
     let listener = free_listener();
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Idle clients that take every permit and fill the accept queue while discovery is down. They must not cost the watch
-//! its next connection, upstreams their connections, or other clients their responses.
+//! Idle clients hold every permit and fill the accept queue while discovery is down. They must not prevent the watch from
+//! reconnecting, new connections to upstreams, or responses to other clients.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use common::*;
 
 /// The smallest limit on descriptors that the documentation allows.
-const SOCKETS: usize = 256;
+const DESCRIPTOR_LIMIT: usize = 256;
 /// Number of idle clients, more than there are descriptors.
 const IDLE_CLIENTS: usize = 300;
 
@@ -26,7 +26,7 @@
 /// Clients that connect and send nothing, and reconnect at once when their connection is closed. They disconnect when
 /// dropped.
 struct IdleClients {
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -38,33 +38,33 @@
             stream.set_nonblocking(true).ok().map(|()| stream)
         };
         let mut streams: Vec<_> = (0..IDLE_CLIENTS).map(|_| connect()).collect();
-        let is_over = Arc::new(AtomicBool::new(false));
-        let must_end = is_over.clone();
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let must_stop = is_stopped.clone();
         let thread = std::thread::spawn(move || {
-            while !must_end.load(Ordering::Relaxed) {
+            while !must_stop.load(Ordering::Relaxed) {
                 for stream in &mut streams {
-                    if !stream.as_ref().is_some_and(is_open) && !must_end.load(Ordering::Relaxed) {
+                    if !stream.as_ref().is_some_and(is_open) && !must_stop.load(Ordering::Relaxed) {
                         *stream = connect();
                     }
                 }
                 std::thread::sleep(Duration::from_millis(2));
             }
         });
-        IdleClients { is_over, thread: Some(thread) }
+        IdleClients { is_stopped, thread: Some(thread) }
     }
 }
 
 impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// A discovery that is down at first: it closes each connection without a response. Once it has a list, it sends the
-/// list to each watch.
+/// A discovery service that is down at first: it closes each connection without a response. Once it has a list, it sends
+/// the list to each watch.
 struct UnreliableDiscovery {
     address: SocketAddr,
     list: Arc<Mutex<Option<String>>>,
@@ -75,7 +75,7 @@
 }
 
 impl UnreliableDiscovery {
-    /// Starts a discovery that is down.
+    /// Starts a discovery service that is down.
     fn down() -> UnreliableDiscovery {
         let peer = Peer::new();
         let address = peer.address;
@@ -85,7 +85,7 @@
         let current_list: Arc<Mutex<Option<String>>> = list.clone();
         std::thread::spawn(move || {
             for stream in peer.incoming() {
-                let list = current_list.lock().expect("no panic").clone();
+                let list = current_list.lock().expect("the lock is not poisoned").clone();
                 let Some(list) = list else {
                     let _ = closed_sender.send(());
                     continue;
@@ -99,19 +99,19 @@
 
     /// Sends a list of these endpoints from now on.
     fn recover(&self, entries: &[String]) {
-        *self.list.lock().expect("no panic") = Some(endpoint_list(42, true, entries));
+        *self.list.lock().expect("the lock is not poisoned") = Some(endpoint_list(42, true, entries));
     }
 
-    /// Waits for so many further connections while discovery is down.
+    /// Waits for `count` further connections while discovery is down.
     fn wait_for_connections(&self, count: usize) {
         while self.closed_connections.try_recv().is_ok() {}
         for _ in 0..count {
-            self.closed_connections.recv_timeout(EVENT_TIMEOUT).expect("a connection of the watch");
+            self.closed_connections.recv_timeout(EVENT_TIMEOUT).expect("the watch connects");
         }
     }
 
-    /// Waits until so many processes have applied the list, in which `old` drains and `new` serves. Checks that requests
-    /// are forwarded to `new` alone.
+    /// Waits until this number of processes has applied the list, in which `old` drains and `new` serves. Checks that
+    /// requests are forwarded only to `new`.
     fn check_update_applies(
         &self,
         balancer: &Balancer,
@@ -123,14 +123,15 @@
             self.applied_lists.recv_timeout(EVENT_TIMEOUT).expect("the list is applied");
         }
         old.try_iter().count();
-        // Few requests: from a hundred on, attempts are bounded by the measured latency of a fraction of a millisecond,
-        // which a busy machine exceeds.
+        // Fewer than a hundred requests: from a hundred on, the policy bounds attempts by the measured latency, a fraction
+        // of a millisecond, which a busy machine exceeds.
         balancer.serve_requests(1000..1010);
         assert_eq!((old.try_iter().count(), new.try_iter().count()), (0, 10));
     }
 }
 
-/// Sends the list once and reports each later request of the watch, which waits for the next version in vain.
+/// Sends the list once and reports each later request of the watch. Such a request waits for the next version and gets no
+/// response.
 fn serve_list(mut stream: TcpStream, list: &str, applied: &Sender<()>) {
     if read_message(&mut stream).is_some() {
         respond(&mut stream, "200 OK", "", list.as_bytes());
@@ -142,18 +143,21 @@
 
 /// Describes a balancer that knows one upstream and has the smallest allowed limit on descriptors.
 fn setup(upstream: SocketAddr, discovery: SocketAddr) -> Setup {
-    Setup::knowing(&[upstream]).watched_discovery(discovery).sockets(SOCKETS).descriptor_limit(SOCKETS)
+    Setup::knowing(&[upstream])
+        .watched_discovery(discovery)
+        .sockets(DESCRIPTOR_LIMIT)
+        .descriptor_limit(DESCRIPTOR_LIMIT)
 }
 
-/// Returns an endpoint list in which the upstream at `old` drains and a new one at `new` serves.
-fn replacement(old: SocketAddr, new: SocketAddr) -> [String; 2] {
+/// Returns the entries of a list in which the upstream at `old` drains and a new one at `new` serves.
+fn replacement_entries(old: SocketAddr, new: SocketAddr) -> [String; 2] {
     [endpoint("s-0", old, "DRAINING"), endpoint("s-1", new, "SERVING")]
 }
 
 #[test]
-fn idle_clients_cost_neither_the_watch_nor_upstreams_nor_other_clients_and_updates_apply() {
+fn idle_clients_do_not_block_the_watch_upstream_connections_or_other_clients_and_updates_apply() {
     let [old, new] = [Peer::new(), Peer::new()];
-    let entries = replacement(old.address, new.address);
+    let entries = replacement_entries(old.address, new.address);
     let discovery = UnreliableDiscovery::down();
     let balancer = setup(old.address, discovery.address).start();
     let _idle_clients = IdleClients::connect(balancer.address);
@@ -165,19 +169,19 @@
     discovery.wait_for_connections(2);
     discovery.recover(&entries);
     discovery.check_update_applies(&balancer, 1, &old, &new);
-    assert!(balancer.open_descriptors() < SOCKETS, "no descriptor is left");
+    assert!(balancer.open_descriptors() < DESCRIPTOR_LIMIT, "no descriptor is left");
 }
 
 #[test]
 fn a_discovery_at_a_new_address_is_reached_despite_idle_clients() {
     let [old, new] = [(); 2].map(|()| RespondingUpstream::start());
-    let [down, up] = [(); 2].map(|()| UnreliableDiscovery::down());
-    up.recover(&replacement(old.address, new.address));
-    let balancer = setup(old.address, down.address).start();
+    let [old_discovery, new_discovery] = [(); 2].map(|()| UnreliableDiscovery::down());
+    new_discovery.recover(&replacement_entries(old.address, new.address));
+    let balancer = setup(old.address, old_discovery.address).start();
     let _idle_clients = IdleClients::connect(balancer.address);
-    down.wait_for_connections(2);
-    balancer.reload(&setup(closed_address(), up.address).config());
-    up.check_update_applies(&balancer, 1, &old.requests, &new.requests);
+    old_discovery.wait_for_connections(2);
+    balancer.reload(&setup(closed_address(), new_discovery.address).config());
+    new_discovery.check_update_applies(&balancer, 1, &old.requests, &new.requests);
 }
 
 #[test]
@@ -198,12 +202,15 @@
     successor.serve_requests(0..10);
     let open_descriptors = || predecessor.open_descriptors() + successor.open_descriptors();
     let start = Instant::now();
-    while open_descriptors() > SOCKETS {
-        assert!(start.elapsed() < EVENT_TIMEOUT, "together they exceed the limit of one balancer");
+    while open_descriptors() > DESCRIPTOR_LIMIT {
+        assert!(start.elapsed() < EVENT_TIMEOUT, "both processes together exceed the limit of one balancer");
     }
     successor.serve_requests(10..20);
-    assert!(open_descriptors() <= SOCKETS, "together they exceed the limit of one balancer");
-    discovery.recover(&replacement(old.address, new.address));
+    assert!(
+        open_descriptors() <= DESCRIPTOR_LIMIT,
+        "both processes together exceed the limit of one balancer"
+    );
+    discovery.recover(&replacement_entries(old.address, new.address));
     discovery.check_update_applies(&successor, 2, &old.requests, &new.requests);
     predecessor.terminate();
     predecessor.assert_exits_cleanly();
@@ -212,7 +219,7 @@
 }
 
 #[test]
-fn idle_clients_in_the_accept_queue_cost_no_response_during_a_shutdown() {
+fn requests_behind_idle_clients_in_the_accept_queue_are_answered_during_a_shutdown() {
     let upstream = RespondingUpstream::start();
     let discovery = UnreliableDiscovery::down();
     let mut balancer = setup(upstream.address, discovery.address).start();
@@ -235,13 +242,13 @@
     }
     balancer.assert_exits_cleanly();
     let elapsed = shutdown.elapsed();
-    assert!(elapsed < Duration::from_secs(10), "after the platform would have killed the process");
+    assert!(elapsed < Duration::from_secs(10), "the process exited after the platform would have killed it");
 }
 
 #[test]
 fn a_successor_evicts_no_more_idle_connections_than_its_permits_need() {
-    // Of 118 permits, each of two processes keeps 48, so 12 of 60 connections are closed. A connection that was idle for
-    // 2 s may be closed as well, which a busy machine may exceed.
+    // Of 118 permits, each of two processes keeps 48, so 12 of 60 connections are closed. Connections that were idle
+    // for 2 s may be closed as well; a run that takes longer on a busy machine does not count.
     assert_in_time(|| {
         let folder = SharedFolder::new("excess");
         let listener = free_listener();
@@ -259,13 +266,13 @@
         std::thread::sleep(Duration::from_millis(150));
         let _successor = start();
         predecessor.wait_for_log("2 processes");
-        let resized = Instant::now();
+        let permits_reduced_at = Instant::now();
         let is_open = |stream: &&TcpStream| stream.set_nonblocking(true).is_ok() && is_open(stream);
         let open_count = || clients.iter().filter(is_open).count();
-        while open_count() == 60 && resized.elapsed() < Duration::from_secs(1) {}
-        let left = open_count();
+        while open_count() == 60 && permits_reduced_at.elapsed() < Duration::from_secs(1) {}
+        let remaining = open_count();
         let is_in_time = idle_since.elapsed() < Duration::from_millis(1900);
-        assert!(!is_in_time || left >= 48, "{left} of 60 connections are left, with 48 permits");
+        assert!(!is_in_time || remaining >= 48, "{remaining} of 60 connections remain, with 48 permits");
         is_in_time
     });
 }
--- a/crates/proxy/tests/log_lines.rs
+++ b/crates/proxy/tests/log_lines.rs
@@ -13,22 +13,26 @@
 fn leading_literal(code: &str) -> String {
     let code = code.trim_start();
     let mut characters =
-        code.strip_prefix('"').expect("a message is a literal, so that the table can list it").chars();
+        code.strip_prefix('"').expect("a message is a string literal, so that the table can list it").chars();
     let mut literal = String::new();
     while let Some(character) = characters.next() {
         match character {
             '"' => return literal,
             '\\' => {
-                assert_eq!(characters.next(), Some('\n'), "no escape but the continued line: {literal}");
+                assert_eq!(
+                    characters.next(),
+                    Some('\n'),
+                    "a message has no escape except a line continuation: {literal}"
+                );
                 characters = characters.as_str().trim_start().chars();
             }
             plain => literal.push(plain),
         }
     }
-    panic!("the literal has no end: {literal}");
+    panic!("the string literal is not terminated: {literal}");
 }
 
-/// Returns a message with the names of its placeholders only: `{waited:?}` becomes `{waited}`.
+/// Returns a message whose placeholders have names and no format specifications: `{waited:?}` becomes `{waited}`.
 fn without_formats(message: &str) -> String {
     let mut plain = String::new();
     let mut in_format = false;
@@ -51,15 +55,15 @@
     calls.map(|call| without_formats(&leading_literal(call))).collect()
 }
 
-/// Returns the log messages in all source files of a folder and its subfolders, unit tests apart.
+/// Returns the log messages in all source files of a folder and its subfolders, except unit tests.
 fn messages_of_folder(folder: &Path) -> Vec<String> {
     let mut messages = Vec::new();
-    for entry in fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in fs::read_dir(folder).expect("the folder can be read") {
+        let path = entry.expect("the folder entry can be read").path();
         if path.is_dir() {
             messages.extend(messages_of_folder(&path));
         } else if path.file_name().is_some_and(|name| name != "tests.rs") {
-            messages.extend(messages_in(&fs::read_to_string(&path).expect("a source file")));
+            messages.extend(messages_in(&fs::read_to_string(&path).expect("the source file can be read")));
         }
     }
     messages
@@ -68,24 +72,24 @@
 /// Returns the lines in the first column of the table.
 fn documented_lines() -> Vec<String> {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operations.md");
-    let page = fs::read_to_string(page).expect("the page");
-    let (_, section) = page.split_once(SECTION).expect("the section");
-    let section = section.split("\n## ").next().expect("its text");
+    let page = fs::read_to_string(page).expect("the page can be read");
+    let (_, section) = page.split_once(SECTION).expect("the page has the section");
+    let section = section.split("\n## ").next().expect("a split has a first part");
     let rows = section.lines().filter_map(|line| line.strip_prefix("| `"));
-    rows.map(|row| row.split_once("` |").expect("a column").0.to_owned()).collect()
+    rows.map(|row| row.split_once("` |").expect("the first column ends").0.to_owned()).collect()
 }
 
 #[test]
-fn the_page_for_staff_on_call_lists_exactly_the_log_lines_of_the_sources() {
+fn the_operations_page_lists_exactly_the_log_lines_of_the_sources() {
     let in_sources = messages_of_folder(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
     let documented = documented_lines();
     let unique: BTreeSet<_> = documented.iter().collect();
-    assert_eq!(unique.len(), documented.len(), "a row is there twice");
+    assert_eq!(unique.len(), documented.len(), "the table has a row twice");
     let missing: Vec<_> = in_sources.iter().filter(|message| !unique.contains(message)).collect();
-    assert!(missing.is_empty(), "not in the table: {missing:#?}");
+    assert!(missing.is_empty(), "in the sources, but not in the table: {missing:#?}");
     let obsolete: Vec<_> = documented.iter().filter(|line| !in_sources.contains(line)).collect();
-    assert!(obsolete.is_empty(), "in no source file: {obsolete:#?}");
-    assert!(documented.len() > 20, "the sources were read");
+    assert!(obsolete.is_empty(), "in the table, but in no source file: {obsolete:#?}");
+    assert!(documented.len() > 20, "the table has more than 20 log lines");
 }
 
 #[test]
--- a/crates/proxy/tests/messages.rs
+++ b/crates/proxy/tests/messages.rs
@@ -13,8 +13,8 @@
     lines.collect::<String>() + &String::from_utf8_lossy(&response.body)
 }
 
-/// Returns a response of the admin API: one line of plain text, after which hyper closes the connection. `allow` is empty or a
-/// header line.
+/// Returns a response of the admin API: one line of plain text, after which hyper closes the connection. `allow` is
+/// empty or a header line.
 fn admin_response(status: &str, allow: &str, text: &str) -> String {
     let length = text.len() + 1;
     format!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn each_admin_request_is_answered_to_the_byte() {
+fn each_admin_request_gets_the_exact_response() {
     let balancer = start_with_admin();
     for (method, path, text) in [
         ("GET", "/api/ready", "ready"),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn each_rejected_admin_request_is_answered_to_the_byte() {
+fn each_rejected_admin_request_gets_the_exact_response() {
     let balancer = start_with_admin();
     let long_name = format!("/api/exclude/{}", "s".repeat(257));
     let get = "allow: GET\r\n";
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn admin_requests_with_a_body_are_answered_to_the_byte() {
+fn admin_requests_with_a_body_get_the_exact_response() {
     let balancer = start_with_admin();
     let mut stream = balancer.connect_admin();
     let long = "POST /api/exclude/s-0 HTTP/1.1\r\nHost: b\r\nContent-Length: 90000\r\n\r\n";
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_admin_request_that_cannot_be_parsed_is_answered_to_the_byte() {
+fn an_admin_request_that_cannot_be_parsed_gets_the_exact_response() {
     let balancer = start_with_admin();
     let mut stream = balancer.connect_admin();
     let response = exchange(&mut stream, "POST api/exclude/s-0\r\n\r\n");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_override_that_cannot_be_written_is_answered_to_the_byte() {
+fn an_override_that_cannot_be_written_gets_the_exact_response() {
     let folder = SharedFolder::new("unwritable");
     let balancer = Setup::knowing(&[closed_address()]).with_admin().folder(&folder).start();
     std::fs::remove_dir_all(&folder.path).expect("the folder is removed");
@@ -150,9 +150,9 @@
 }
 
 const REQUEST_ID: &str = "Req-Id: r-1\r\n";
-const LOOK: &str = "Req-Kind: look\r\n";
-const PAY: &str = "Req-Kind: pay\r\n";
-const KEY: &str = "Idempotency-Key: k\r\n";
+const CLASS_LOOK: &str = "Req-Kind: look\r\n";
+const CLASS_PAY: &str = "Req-Kind: pay\r\n";
+const IDEMPOTENCY_KEY: &str = "Idempotency-Key: k\r\n";
 
 /// Sends a request with these header lines and returns the response without its date.
 fn send_headers(balancer: &Balancer, line: &str, headers: &[&str], body: &str) -> String {
@@ -161,13 +161,13 @@
 }
 
 #[test]
-fn readiness_and_routing_errors_are_answered_to_the_byte() {
+fn readiness_and_routing_errors_get_the_exact_response() {
     let balancer = Setup::knowing(&[closed_address()]).start();
     for (line, headers, status, text) in [
         ("GET /health/ready", &[][..], "200 OK", "ready"),
         ("GET /nothing", &[], "404 Not Found", "no such path"),
         ("GET /api/", &[], "404 Not Found", "no such path"),
-        ("DELETE /api", &[REQUEST_ID, LOOK], "405 Method Not Allowed", "GET or POST"),
+        ("DELETE /api", &[REQUEST_ID, CLASS_LOOK], "405 Method Not Allowed", "GET or POST"),
     ] {
         let response = send_headers(&balancer, line, headers, "");
         assert_eq!(response, client_response(status, "", text), "{line} {headers:?}");
@@ -175,25 +175,25 @@
 }
 
 #[test]
-fn invalid_headers_are_answered_to_the_byte() {
+fn invalid_headers_get_the_exact_response() {
     let balancer = Setup::knowing(&[closed_address()]).start();
-    let unfit = "method or Idempotency-Key do not fit the class";
-    let twice = "a header that may stand once stands twice";
+    let class_mismatch = "method or Idempotency-Key do not fit the class";
+    let duplicate = "a header that may stand once stands twice";
     let not_a_number = "Req-Deadline-Ms is no number";
     for (line, headers, text) in [
         ("GET /api", &[REQUEST_ID][..], "no Req-Kind"),
         ("GET /api", &[REQUEST_ID, "Req-Kind: other\r\n"], "unknown Req-Kind"),
-        ("GET /api", &[LOOK], "no Req-Id"),
-        ("GET /api", &[LOOK, "Req-Id:\r\n"], "no Req-Id"),
-        ("POST /api", &[REQUEST_ID, LOOK], unfit),
-        ("GET /api", &[REQUEST_ID, LOOK, KEY], unfit),
-        ("GET /api", &[REQUEST_ID, PAY], unfit),
-        ("POST /api", &[REQUEST_ID, PAY, KEY], unfit),
-        ("POST /api", &[REQUEST_ID, "Req-Kind: pull\r\n"], unfit),
-        ("GET /api", &[REQUEST_ID, REQUEST_ID, LOOK], twice),
-        ("GET /api", &[REQUEST_ID, LOOK, "Req-Cost: 1\r\n", "Req-Cost: 1\r\n"], twice),
-        ("GET /api", &[REQUEST_ID, LOOK, "Req-Deadline-Ms: soon\r\n"], not_a_number),
-        ("GET /api", &[REQUEST_ID, LOOK, "Req-Deadline-Ms: -1\r\n"], not_a_number),
+        ("GET /api", &[CLASS_LOOK], "no Req-Id"),
+        ("GET /api", &[CLASS_LOOK, "Req-Id:\r\n"], "no Req-Id"),
+        ("POST /api", &[REQUEST_ID, CLASS_LOOK], class_mismatch),
+        ("GET /api", &[REQUEST_ID, CLASS_LOOK, IDEMPOTENCY_KEY], class_mismatch),
+        ("GET /api", &[REQUEST_ID, CLASS_PAY], class_mismatch),
+        ("POST /api", &[REQUEST_ID, CLASS_PAY, IDEMPOTENCY_KEY], class_mismatch),
+        ("POST /api", &[REQUEST_ID, "Req-Kind: pull\r\n"], class_mismatch),
+        ("GET /api", &[REQUEST_ID, REQUEST_ID, CLASS_LOOK], duplicate),
+        ("GET /api", &[REQUEST_ID, CLASS_LOOK, "Req-Cost: 1\r\n", "Req-Cost: 1\r\n"], duplicate),
+        ("GET /api", &[REQUEST_ID, CLASS_LOOK, "Req-Deadline-Ms: soon\r\n"], not_a_number),
+        ("GET /api", &[REQUEST_ID, CLASS_LOOK, "Req-Deadline-Ms: -1\r\n"], not_a_number),
     ] {
         let response = send_headers(&balancer, line, headers, "");
         assert_eq!(response, client_response("400 Bad Request", "", text), "{line} {headers:?}");
@@ -201,20 +201,21 @@
 }
 
 #[test]
-fn bodies_that_are_not_accepted_are_answered_to_the_byte() {
+fn bodies_that_are_not_accepted_get_the_exact_response() {
     let balancer = Setup::knowing(&[closed_address()]).start();
     // The connection is closed: bytes that follow an unread body cannot be parsed as the next request.
     let close = "connection: close\r\n";
-    let unfit = send_headers(&balancer, "GET /api", &[REQUEST_ID, LOOK, "Content-Length: 4\r\n"], "body");
+    let unexpected_body =
+        send_headers(&balancer, "GET /api", &[REQUEST_ID, CLASS_LOOK, "Content-Length: 4\r\n"], "body");
     let expected = client_response("400 Bad Request", close, "a body that does not fit the class");
-    assert_eq!(unfit, expected);
+    assert_eq!(unexpected_body, expected);
     let too_long =
-        send_headers(&balancer, "POST /api", &[REQUEST_ID, PAY, "Content-Length: 33554433\r\n"], "");
+        send_headers(&balancer, "POST /api", &[REQUEST_ID, CLASS_PAY, "Content-Length: 33554433\r\n"], "");
     assert_eq!(too_long, client_response("413 Payload Too Large", close, "over 32 MiB"));
 }
 
 #[test]
-fn unparsable_requests_are_answered_to_the_byte() {
+fn unparsable_requests_get_the_exact_response() {
     let balancer = Setup::knowing(&[closed_address()]).start();
     let long = format!("GET /api HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(100_000));
     for (request, status) in [
@@ -232,15 +233,15 @@
 }
 
 #[test]
-fn a_request_id_that_is_in_flight_is_answered_to_the_byte() {
-    let path = SingleUpstream::start();
-    let _first = path.start_request(&request("pay", "r-1", ""));
+fn a_request_id_that_is_in_flight_gets_the_exact_response() {
+    let single_upstream = SingleUpstream::start();
+    let _first = single_upstream.start_request(&request("pay", "r-1", ""));
     let expected = client_response("400 Bad Request", "connection: close\r\n", "this Req-Id is open");
-    assert_eq!(without_date(&path.balancer.send(&request("pay", "r-1", ""))), expected);
+    assert_eq!(without_date(&single_upstream.balancer.send(&request("pay", "r-1", ""))), expected);
 }
 
 #[test]
-fn a_body_with_broken_framing_is_answered_to_the_byte() {
+fn a_body_with_broken_framing_gets_the_exact_response() {
     let balancer = Setup::knowing(&[closed_address()]).start();
     let head =
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r-1\r\nReq-Kind: pay\r\nTransfer-Encoding: chunked\r\n";
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn rejected_failed_and_timed_out_requests_are_answered_to_the_byte() {
+fn rejected_failed_and_timed_out_requests_get_the_exact_response() {
     // Nothing listens on the address of the upstream: the attempt never ran, so the client may retry it.
     let balancer = Setup::knowing(&[closed_address()]).start();
     let rejected = balancer.send(&request("pay", "r-1", "Req-Deadline-Ms: 900\r\n"));
@@ -271,7 +272,7 @@
 }
 
 #[test]
-fn a_forwarded_response_keeps_its_headers_and_body_to_the_byte() {
+fn a_forwarded_response_keeps_its_end_to_end_headers_and_body() {
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let _requests = upstream.serve(|_, stream| {
@@ -283,7 +284,7 @@
 }
 
 #[test]
-fn a_balancer_without_free_permits_answers_to_the_byte() {
+fn a_balancer_without_free_permits_gives_the_exact_response() {
     // 46 descriptors leave 3 permits for clients.
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).sockets(46).start();
@@ -294,7 +295,7 @@
 }
 
 #[test]
-fn a_balancer_without_memory_for_bodies_answers_to_the_byte() {
+fn a_balancer_without_memory_for_bodies_gives_the_exact_response() {
     // Of 1 MB, bodies and responses may take 0.4 MB: three bodies of the largest buffered size.
     let upstream = Peer::new();
     let balancer = Setup::knowing(&[upstream.address]).memory_mb(1).start();
--- a/crates/proxy/tests/override_faults.rs
+++ b/crates/proxy/tests/override_faults.rs
@@ -21,8 +21,8 @@
 fn an_admin_request_that_cannot_get_the_lock_delays_no_client() {
     let folder = SharedFolder::new("held-lock");
     let balancer = setup_in(&folder).start();
-    let lock = File::create(folder.path.join(OVERRIDES_LOCK_FILE)).expect("the lock file");
-    lock.lock().expect("the lock");
+    let lock = File::create(folder.path.join(OVERRIDES_LOCK_FILE)).expect("the lock file is created");
+    lock.lock().expect("the lock is taken");
     let mut admin = balancer.connect_admin();
     let sent = Instant::now();
     send(&mut admin, "POST /api/evacuate HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -50,11 +50,15 @@
     let complete = fs::read(folder.path.join(OVERRIDES_FILE)).expect("the overrides are stored");
     for length in [0, 1, complete.len() / 2, complete.len() - 1] {
         fs::write(folder.path.join(OVERRIDES_FILE), &complete[..length]).expect("the file is truncated");
-        let next = setup_in(&folder).start();
-        assert_eq!(next.send(READINESS_CHECK).status(), 503, "evacuated, with {length} bytes");
-        assert_eq!(next.admin_status("POST", "/api/rejoin"), 200);
-        assert_eq!(next.send(READINESS_CHECK).status(), 200);
-        assert_eq!(next.admin_status("POST", "/api/evacuate"), 200);
+        let restarted = setup_in(&folder).start();
+        assert_eq!(
+            restarted.send(READINESS_CHECK).status(),
+            503,
+            "not evacuated after truncation to {length} bytes"
+        );
+        assert_eq!(restarted.admin_status("POST", "/api/rejoin"), 200);
+        assert_eq!(restarted.send(READINESS_CHECK).status(), 200);
+        assert_eq!(restarted.admin_status("POST", "/api/evacuate"), 200);
         // The exclusion is still in force too, and the file is complete again.
         let stored = stored_overrides(&folder);
         assert!(stored.contains("s-0"), "{stored}");
@@ -74,8 +78,8 @@
         fs::remove_file(&switch).expect("the faults are disabled");
         drop(balancer);
         // The override confirmed before the fault stays in force; the one that failed does not apply.
-        let next = setup_in(&folder).start();
-        assert_eq!(next.send(READINESS_CHECK).status(), 200, "{faults}");
+        let restarted = setup_in(&folder).start();
+        assert_eq!(restarted.send(READINESS_CHECK).status(), 200, "{faults}");
         let stored = stored_overrides(&folder);
         assert!(stored.contains("s-0"), "{faults}: {stored}");
     }
@@ -89,7 +93,11 @@
     let writer = setup_in(&folder).start();
     fs::write(&switch, "").expect("the faults are enabled");
     assert_eq!(writer.admin_status("POST", "/api/evacuate"), 200);
-    assert_eq!(reader.send(READINESS_CHECK).status(), 200, "the reader cannot know of the override");
+    assert_eq!(
+        reader.send(READINESS_CHECK).status(),
+        200,
+        "the reader applied an override that it cannot read"
+    );
     fs::remove_file(&switch).expect("the faults are disabled");
     let is_applied = (0..100).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/proxy/tests/ready.rs
+++ b/crates/proxy/tests/ready.rs
@@ -1,7 +1,7 @@
 //! The time until processes that start together are ready: nine in ten within 10 s and all within 30 s, with discovery
 //! up, down, silent or slow, and with and without a cached list.
 //!
-//! In the release profile a hundred processes start at a time. The tests print what they measure:
+//! In the release profile a hundred processes start at the same time. The tests print what they measure:
 //! `cargo test --release -p zincstand-proxy --test ready -- --nocapture --test-threads 1`.
 
 mod common;
@@ -44,9 +44,9 @@
         let peer = Peer::new();
         let address = peer.address;
         let text = endpoint_list(42, true, &[endpoint("s-0", closed_address(), "SERVING")]);
-        let _calls = peer.serve(move |call, stream| {
-            // A watch waits for a change, which never comes.
-            if matches!(self, DiscoveryState::Silent) || call.first_line().contains("index=") {
+        let _requests = peer.serve(move |request, stream| {
+            // A watch waits for a change, which never occurs.
+            if matches!(self, DiscoveryState::Silent) || request.first_line().contains("index=") {
                 return;
             }
             if matches!(self, DiscoveryState::Up) {
@@ -79,17 +79,13 @@
     time_to_ready: Option<Duration>,
 }
 
-/// Starts a process together with the others of the barrier and polls it until it is ready.
-fn start_and_measure(
-    discovery: SocketAddr,
-    has_cached_list: bool,
-    start_together: &Barrier,
-) -> MeasuredStart {
+/// Starts a process at the same time as the others at the barrier and polls it until it is ready.
+fn start_and_measure(discovery: SocketAddr, has_cached_list: bool, start_barrier: &Barrier) -> MeasuredStart {
     let endpoints =
         if has_cached_list { vec![endpoint("s-0", closed_address(), "SERVING")] } else { Vec::new() };
     let setup =
         Setup::knowing(&[]).cached_endpoints(endpoints).watched_discovery(discovery).drain_grace_ms(2500);
-    start_together.wait();
+    start_barrier.wait();
     let start = Instant::now();
     let balancer = setup.start();
     let is_ready = || balancer.send(READINESS_CHECK).status() == 200;
@@ -103,15 +99,16 @@
 
 /// Starts all processes at once and returns their times to readiness in ascending order; `None` comes last.
 fn measure_starts(discovery: SocketAddr, has_cached_list: bool) -> Vec<Option<Duration>> {
-    let start_together = Arc::new(Barrier::new(PROCESSES));
+    let start_barrier = Arc::new(Barrier::new(PROCESSES));
     let start_one = |_| {
-        let start_together = start_together.clone();
-        std::thread::spawn(move || start_and_measure(discovery, has_cached_list, &start_together))
+        let start_barrier = start_barrier.clone();
+        std::thread::spawn(move || start_and_measure(discovery, has_cached_list, &start_barrier))
     };
     let threads: Vec<_> = (0..PROCESSES).map(start_one).collect();
     // All threads are joined before any failure is reported, so that no process outlives the test.
     let joined: Vec<_> = threads.into_iter().map(JoinHandle::join).collect();
-    let measured: Vec<_> = joined.into_iter().map(|measured| measured.expect("the measurement")).collect();
+    let measured: Vec<_> =
+        joined.into_iter().map(|measured| measured.expect("the thread did not panic")).collect();
     let mut times: Vec<_> = measured.iter().map(|measured| measured.time_to_ready).collect();
     times.sort_by_key(|time| time.unwrap_or(Duration::MAX));
     times
@@ -120,19 +117,23 @@
 /// Checks the bounds on the times to readiness, and prints the times.
 fn check_start_times(discovery: DiscoveryState, has_cached_list: bool) {
     let times = measure_starts(discovery.start(), has_cached_list);
-    let late = times.iter().filter(|time| time.is_none()).count();
+    let not_ready = times.iter().filter(|time| time.is_none()).count();
     let percentile = |percent: usize| times[(PROCESSES * percent).div_ceil(100) - 1].unwrap_or(Duration::MAX);
     let list = if has_cached_list { "a cached list" } else { "no list" };
     let label = format!("{PROCESSES} together, discovery {discovery:?}, {list}");
     let seconds = |percent| percentile(percent).as_secs_f64().min(999.0);
     println!(
-        "{label}: median {:.2} s, 90th {:.2} s, worst {:.2} s, {late} not ready after 30 s",
+        "{label}: median {:.2} s, 90th {:.2} s, worst {:.2} s, {not_ready} not ready after 30 s",
         seconds(50),
         seconds(90),
         seconds(100)
     );
-    assert_eq!(late, 0, "{label}: not ready after 30 s");
-    assert!(percentile(90) <= Duration::from_secs(10), "{label}: nine in ten take {:?}", percentile(90));
+    assert_eq!(not_ready, 0, "{label}: not ready after 30 s");
+    assert!(
+        percentile(90) <= Duration::from_secs(10),
+        "{label}: the 90th percentile is {:?}",
+        percentile(90)
+    );
 }
 
 #[test]
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -54,11 +54,11 @@
     let upstream = Peer::new();
     let setup_at_start = Setup::knowing(&[upstream.address]).polled_discovery(discoveries[0].address);
     let mut balancer = setup_at_start.start();
-    // Kept open: a watch whose connection ends is restarted, at the address that is configured by then.
+    // Kept open: a watch whose connection ends reconnects to the address that is configured at that time.
     let mut first = discoveries[0].accept();
     read_poll(&mut first);
-    let unresolved = setup(discoveries[1].address).config().replace("127.0.0.1", "localhost");
-    for invalid in ["", "{", &unresolved] {
+    let with_host_name = setup(discoveries[1].address).config().replace("127.0.0.1", "localhost");
+    for invalid in ["", "{", &with_host_name] {
         balancer.reload(invalid);
         balancer.wait_for_log("the running configuration is kept");
     }
@@ -70,7 +70,7 @@
         connection
     });
     assert!(peer_closed(&mut superseded), "the connection to the second discovery stays open");
-    // Too late: the third address is configured by now.
+    // The balancer ignores this list, because the third address is configured already.
     send_snapshot(&mut superseded, 99, &[]);
     send_snapshot(&mut current, 3, &[endpoint("s-0", upstream.address, "SERVING")]);
     read_poll(&mut current);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_configuration_that_was_half_written_at_its_signal_is_read_again() {
+fn a_configuration_that_was_partly_written_at_the_reload_signal_is_read_again() {
     let [old, new] = [Peer::new(), Peer::new()];
     let balancer = setup(old.address).start();
     read_poll(&mut old.accept());
--- a/crates/proxy/tests/scale.rs
+++ b/crates/proxy/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The cost of a request and of a change of the endpoint list, as counts of connections, requests and bytes. The testbed
-//! runs around the real program.
+//! The cost of a request and of a change of the endpoint list, as counts of connections, requests and bytes. The real
+//! program runs in the testbed.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -38,31 +38,39 @@
 
 /// Changes these entries and returns the traffic between discovery and a balancer until the balancer has applied them.
 async fn traffic_of_change(discovery: &Discovery, changed: Vec<Entry>) -> Traffic {
-    wait_until("the balancer watches", || discovery.counters().expect("counts").waiting_watches > 0).await;
-    let before = discovery.counters().expect("counts").total;
-    let version = discovery.change(changed).expect("a version").version;
-    let has_applied =
-        || discovery.take_acknowledgements().expect("watches").iter().any(|seen| seen.version == version);
+    wait_until("the balancer watches", || {
+        discovery.counters().expect("the counters are read").waiting_watches > 0
+    })
+    .await;
+    let before = discovery.counters().expect("the counters are read").total;
+    let version = discovery.change(changed).expect("the change is published").version;
+    let has_applied = || {
+        discovery
+            .take_acknowledgements()
+            .expect("the acknowledgements are read")
+            .iter()
+            .any(|applied| applied.version == version)
+    };
     wait_until("the balancer applies the version", has_applied).await;
-    discovery.counters().expect("counts").total.since(&before)
+    discovery.counters().expect("the counters are read").total.since(&before)
 }
 
 #[tokio::test]
 async fn a_request_reaches_one_upstream_over_a_reused_connection_however_many_are_known() {
     for known in [10, 200, 1_000] {
-        let upstreams = Upstreams::start(known).expect("upstreams");
-        let discovery = Discovery::start().expect("discovery");
+        let upstreams = Upstreams::start(known).expect("the upstreams start");
+        let discovery = Discovery::start().expect("discovery starts");
         let balancer = start_balancer(&discovery, upstreams.entries()).await;
-        let mut clients = OpenConnections::connect(balancer.address, 1).expect("a connection");
+        let mut clients = OpenConnections::connect(balancer.address, 1).expect("the client connects");
         for _ in 0..20 {
-            clients.send().expect("a request");
+            clients.send().expect("the request is sent");
             assert_eq!(clients.receive(EVENT_TIMEOUT).expect("a response"), [200]);
         }
         let requests = upstreams.requests();
-        assert_eq!(requests.iter().sum::<u64>(), 20, "{known} known");
+        assert_eq!(requests.iter().sum::<u64>(), 20, "{known} known upstreams");
         // One connection to each upstream that received a request.
         let used = requests.iter().filter(|requests| **requests > 0).count() as u64;
-        assert_eq!(upstreams.connections(), used, "{known} known");
+        assert_eq!(upstreams.connections(), used, "{known} known upstreams");
     }
 }
 
@@ -73,7 +81,7 @@
     let entries = |count| (0..count).map(entry).collect::<Vec<_>>();
     let mut bytes = Vec::new();
     for known in [34, 200, 2_000] {
-        let discovery = Discovery::start().expect("discovery");
+        let discovery = Discovery::start().expect("discovery starts");
         let _balancer = start_balancer(&discovery, entries(known)).await;
         for changed in [1, 11, 21] {
             let changed: Vec<_> =
@@ -94,8 +102,8 @@
 }
 
 #[tokio::test]
-async fn a_balancer_exits_with_its_owner() {
-    let discovery = Discovery::start().expect("discovery");
+async fn a_balancer_exits_when_its_handle_is_dropped() {
+    let discovery = Discovery::start().expect("discovery starts");
     let balancer = start_balancer(&discovery, vec![Entry::serving(0, 1, ([127, 0, 0, 1], 1).into())]).await;
     let id = balancer.id();
     Usage::of(id).expect("the balancer runs");
--- a/crates/proxy/tests/settings.rs
+++ b/crates/proxy/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of customers: extreme but valid values for each time and count, and arbitrary names. Each configuration is
-//! started as a real process and serves a request of each of its classes.
+//! Settings of customers: extreme but valid values for each time and count, and arbitrary names. A balancer
+//! process with each of these configurations serves a request of each class.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// A class as the settings have it.
+/// A request class of the settings.
 struct Class {
     name: String,
     /// Whether requests may be repeated: `retryable`, `dedup` or `fragile`.
     effect: &'static str,
-    /// The servers that share their deduplication: `all`, `zone` or `cell`.
+    /// The servers that share request deduplication: `all`, `zone` or `cell`.
     group: &'static str,
     times: ClassTimes,
     value: f64,
@@ -38,7 +38,7 @@
         Class { name: name.to_owned(), effect, group, times, value }
     }
 
-    /// Returns the class as the settings have it.
+    /// Returns the class as JSON of the settings.
     fn json(&self) -> Value {
         json!({
             "Name": self.name,
@@ -54,20 +54,20 @@
 
     /// Returns a request of this class.
     fn request(&self, id: usize, tenant: &str) -> String {
-        let common =
+        let headers =
             format!("Host: b\r\nReq-Id: r-{id}\r\nReq-Kind: {}\r\nReq-Owner: {tenant}\r\n", self.name);
         match self.effect {
-            "retryable" => format!("GET /api HTTP/1.1\r\n{common}\r\n"),
+            "retryable" => format!("GET /api HTTP/1.1\r\n{headers}\r\n"),
             "dedup" => format!(
-                "POST /api HTTP/1.1\r\n{common}Idempotency-Key: k-{id}\r\nContent-Length: 4\r\n\r\nbody"
+                "POST /api HTTP/1.1\r\n{headers}Idempotency-Key: k-{id}\r\nContent-Length: 4\r\n\r\nbody"
             ),
-            _ => format!("POST /api HTTP/1.1\r\n{common}Content-Length: 4\r\n\r\nbody"),
+            _ => format!("POST /api HTTP/1.1\r\n{headers}Content-Length: 4\r\n\r\nbody"),
         }
     }
 }
 
 /// The configuration of a customer.
-struct Customer {
+struct CustomerConfig {
     classes: Vec<Class>,
     tenants: Vec<String>,
     /// Limit on descriptors.
@@ -78,9 +78,9 @@
     settings: Value,
 }
 
-impl Customer {
+impl CustomerConfig {
     /// Returns the configuration file of a balancer that knows one upstream.
-    fn config(&self, upstream: SocketAddr) -> Value {
+    fn json(&self, upstream: SocketAddr) -> Value {
         let mut settings = self.settings.clone();
         settings["Categories"] = self.classes.iter().map(Class::json).collect();
         let tenant = |name| json!({"Name": name, "QuotaRps": 1.0, "Share": 0.5});
@@ -98,8 +98,8 @@
     }
 }
 
-/// Returns a customer whose times and counts are as small as allowed.
-fn shortest() -> Customer {
+/// Returns a configuration whose times and counts are as small as allowed.
+fn minimal_config() -> CustomerConfig {
     let settings = json!({
         "Limits": {
             "MostTries": 1, "ConnectTimeoutMs": 20.0, "IdleCloseMs": 50.0, "MaxOpen": 1, "MaxStreams": 1,
@@ -111,7 +111,7 @@
         },
         "Areas": ["a"], "Balancers": 1, "Discovery": "automatic", "GranularityMs": 1.0, "Zone": "a",
     });
-    Customer {
+    CustomerConfig {
         classes: vec![
             Class::new("q", "retryable", "all", ClassTimes::new(20.0, 40.0, 0.0), 0.001),
             Class::new("put", "dedup", "cell", ClassTimes::new(30.0, 60.0, 1.0), 1.0),
@@ -124,8 +124,8 @@
     }
 }
 
-/// Returns the settings of [`longest`] without classes and tenants.
-fn longest_settings() -> Value {
+/// Returns the settings of [`maximal_config`] without classes and tenants.
+fn maximal_settings() -> Value {
     json!({
         "Limits": {
             "MostTries": 4_000_000_000_u32, "Cancel": true, "Probing": true, "SecondCopies": true,
@@ -147,7 +147,7 @@
 }
 
 /// Returns a customer whose times and counts are as large as those of any customer.
-fn longest() -> Customer {
+fn maximal_config() -> CustomerConfig {
     let hour = 3_600_000.0;
     let times = ClassTimes::new(hour, hour, 24.0 * hour);
     let effects =
@@ -156,17 +156,17 @@
         let (effect, group) = effects[number % effects.len()];
         Class::new(&format!("class {number} of 40"), effect, group, times, 1e9)
     };
-    Customer {
+    CustomerConfig {
         classes: (0..40).map(class).collect(),
         tenants: (0..200).map(|number| format!("tenant/{number}")).collect(),
         sockets: 1_000_000,
         memory_mb: 1_000_000,
-        settings: longest_settings(),
+        settings: maximal_settings(),
     }
 }
 
-/// Returns a customer whose optional settings are absent or zero, and whose names are not plain text.
-fn sparsest() -> Customer {
+/// Returns a configuration whose optional settings are absent or zero, and whose names are not plain ASCII words.
+fn sparse_config() -> CustomerConfig {
     let settings = json!({
         "Limits": {"MostTries": 2},
         "Rules": {
@@ -175,7 +175,7 @@
         "Areas": [], "Balancers": 1, "Discovery": "subscribe", "GranularityMs": 0.5,
         "Zone": "nowhere in the list",
     });
-    Customer {
+    CustomerConfig {
         classes: vec![
             Class::new("réservation", "fragile", "all", ClassTimes::new(900.0, 1100.5, 0.0), 0.0),
             Class::new("検索", "retryable", "all", ClassTimes::new(0.9, 2000.0, 0.0), 0.0),
@@ -189,10 +189,12 @@
 }
 
 #[test]
-fn a_request_of_each_class_is_served_under_the_settings_of_any_customer() {
-    for (name, customer) in [("shortest", shortest()), ("longest", longest()), ("sparsest", sparsest())] {
+fn a_request_of_each_class_is_served_with_extreme_settings() {
+    for (name, customer) in
+        [("minimal", minimal_config()), ("maximal", maximal_config()), ("sparse", sparse_config())]
+    {
         let upstream = Peer::new();
-        let config = customer.config(upstream.address).to_string();
+        let config = customer.json(upstream.address).to_string();
         let balancer = Setup::knowing(&[]).complete_config(config).start();
         let requests = upstream.serve_ok();
         let mut request_id = 0;
@@ -223,27 +225,27 @@
 
 #[test]
 fn invalid_settings_end_the_start_with_one_line_that_names_the_key() {
-    let shortest = shortest().config(closed_address());
-    let longest = longest().config(closed_address());
+    let minimal = minimal_config().json(closed_address());
+    let maximal = maximal_config().json(closed_address());
     for (config, pointer, invalid, key) in [
-        (&shortest, "/settings/Categories", json!([]), "Categories"),
-        (&shortest, "/settings/Categories/2/Name", json!("q"), "Categories[2].Name"),
-        (&shortest, "/settings/Categories/1/DeadlineMs", json!(0.0), "Categories[1].DeadlineMs"),
-        (&shortest, "/settings/Categories/0/TargetMs", json!(-5.0), "Categories[0].TargetMs"),
-        (&shortest, "/settings/Categories/2/Value", json!(-9.0), "Categories[2].Value"),
-        (&shortest, "/settings/Categories/1/Group", json!("shelf"), "Categories[1].Group"),
-        (&shortest, "/settings/Limits/MostTries", json!(0), "Limits.MostTries"),
-        (&shortest, "/settings/Rules/ColdFrom", json!(1.5), "Rules.ColdFrom"),
-        (&shortest, "/settings/Rules/OverloadFactor", json!(-1.0), "Rules.OverloadFactor"),
-        (&shortest, "/settings/Rules/DrainGraceMs", json!(-1.0), "Rules.DrainGraceMs"),
-        (&shortest, "/settings/Balancers", json!(0), "Balancers"),
-        (&shortest, "/settings/GranularityMs", json!(0.0), "GranularityMs"),
-        (&longest, "/settings/Stage", json!(8), "Stage"),
-        (&longest, "/settings/Realms/0/Share", json!(-0.5), "Realms[0].Share"),
-        (&longest, "/settings/Tariffs/Waste", json!(-100.0), "Tariffs.Waste"),
-        (&shortest, "/limits/sockets", json!(0), "limits.sockets"),
-        (&shortest, "/limits/memory_mb", json!(0), "limits.memory_mb"),
-        (&shortest, "/settings/Categories/1/DeadlineMs", json!("60"), "EDGE_CONFIG"),
+        (&minimal, "/settings/Categories", json!([]), "Categories"),
+        (&minimal, "/settings/Categories/2/Name", json!("q"), "Categories[2].Name"),
+        (&minimal, "/settings/Categories/1/DeadlineMs", json!(0.0), "Categories[1].DeadlineMs"),
+        (&minimal, "/settings/Categories/0/TargetMs", json!(-5.0), "Categories[0].TargetMs"),
+        (&minimal, "/settings/Categories/2/Value", json!(-9.0), "Categories[2].Value"),
+        (&minimal, "/settings/Categories/1/Group", json!("shelf"), "Categories[1].Group"),
+        (&minimal, "/settings/Limits/MostTries", json!(0), "Limits.MostTries"),
+        (&minimal, "/settings/Rules/ColdFrom", json!(1.5), "Rules.ColdFrom"),
+        (&minimal, "/settings/Rules/OverloadFactor", json!(-1.0), "Rules.OverloadFactor"),
+        (&minimal, "/settings/Rules/DrainGraceMs", json!(-1.0), "Rules.DrainGraceMs"),
+        (&minimal, "/settings/Balancers", json!(0), "Balancers"),
+        (&minimal, "/settings/GranularityMs", json!(0.0), "GranularityMs"),
+        (&maximal, "/settings/Stage", json!(8), "Stage"),
+        (&maximal, "/settings/Realms/0/Share", json!(-0.5), "Realms[0].Share"),
+        (&maximal, "/settings/Tariffs/Waste", json!(-100.0), "Tariffs.Waste"),
+        (&minimal, "/limits/sockets", json!(0), "limits.sockets"),
+        (&minimal, "/limits/memory_mb", json!(0), "limits.memory_mb"),
+        (&minimal, "/settings/Categories/1/DeadlineMs", json!("60"), "EDGE_CONFIG"),
     ] {
         let config = replace_value(config.clone(), pointer, invalid);
         let output = run_until_exit(Some(&config.to_string()), &[]);
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -53,7 +53,7 @@
 }
 
 /// Sends requests just after the start of a shutdown, when all connections are still open and new ones are accepted:
-/// clients may not have noticed another balancer yet.
+/// clients may not have switched to another balancer yet.
 fn send_late_requests(balancer: &Balancer, mut reused: TcpStream, unused: TcpStream) -> LateRequests {
     let send_request = |mut client: TcpStream, id: &str| {
         client.write_all(request("pay", id, "").as_bytes()).ok()?;
@@ -73,7 +73,7 @@
 #[track_caller]
 fn assert_last_response(client: &mut TcpStream) {
     assert_eq!(read_message(client).expect("a response").status(), 200);
-    assert!(peer_closed(client), "the connection stays open when no more requests are accepted");
+    assert!(peer_closed(client), "the connection stays open although no more requests are accepted");
 }
 
 #[test]
@@ -102,7 +102,7 @@
         }
         // The request in flight keeps the process running after its listener is closed.
         balancer.wait_for_closed_listener();
-        let status = balancer.process.try_wait().expect("the exit status");
+        let status = balancer.process.try_wait().expect("the exit status is read");
         assert!(status.is_none(), "the process exited with a request in flight");
         respond_ok(&mut in_flight.upstream);
         let response = read_message(&mut in_flight.client).expect("a response");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_request_accepted_late_in_a_shutdown_is_answered_before_the_kill() {
+fn a_request_accepted_late_in_a_shutdown_is_answered_before_the_platform_kills_the_process() {
     assert_in_time(|| {
         let upstream = Peer::new();
         let mut balancer = Setup::knowing(&[upstream.address]).start();
@@ -125,7 +125,7 @@
         if shutdown.elapsed() > Duration::from_millis(1100) {
             return false;
         }
-        written.expect("the balancer reads");
+        written.expect("the bytes are written");
         let mut upstream = upstream.accept();
         read_message(&mut upstream).expect("an attempt");
         assert_eq!(read_message(&mut client).expect("a response").status(), 504);
@@ -133,7 +133,7 @@
         // The deadline of the class is 20 s.
         assert!(
             shutdown.elapsed() < Duration::from_secs(15),
-            "after the platform would have killed the process"
+            "the process exited after the platform would have killed it"
         );
         true
     });
@@ -142,12 +142,12 @@
 #[test]
 fn a_killed_balancer_restarts_at_the_same_address() {
     let upstream = Peer::new();
-    // An IP address that no other test uses, so that no other test takes the port in between.
+    // An IP address that no other test uses, so that no other test takes the port before the restart.
     let setup = Setup::knowing(&[upstream.address]).listen("127.0.0.9:0".to_owned());
     let mut balancer = setup.start();
     let mut in_flight = RequestInFlight::start(balancer.connect(), &upstream, &request("pay", "r-1", ""));
     balancer.process.kill().expect("the process is killed");
-    balancer.process.wait().expect("the exit status");
+    balancer.process.wait().expect("the exit status is read");
     assert!(peer_closed(&mut in_flight.client) && peer_closed(&mut in_flight.upstream));
     let restarted = Setup::knowing(&[upstream.address]).listen(balancer.address.to_string()).start();
     let _requests = upstream.serve_ok();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn connections_are_accepted_for_as_long_with_short_deadlines() {
+fn short_deadlines_do_not_shorten_the_time_in_which_connections_are_accepted() {
     // New connections are accepted for 0.4 s after the start of the shutdown.
     assert_in_time(|| {
         let upstream = Peer::new();
@@ -216,8 +216,8 @@
 
 #[test]
 fn an_idle_connection_is_not_closed_once_a_request_has_arrived() {
-    // An idle connection is closed after two seconds. The process is suspended past that, and the request arrives
-    // meanwhile.
+    // An idle connection is closed after two seconds. The process is suspended for longer than that, and the
+    // request arrives in that time.
     let upstream = RespondingUpstream::start();
     let balancer = Setup::knowing(&[upstream.address]).start();
     let mut client = balancer.connect();
@@ -236,7 +236,7 @@
     let (first, rest) = body.split_at(120_000);
     let head =
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r-up\r\nReq-Kind: pay\r\nContent-Length: 200000\r\n\r\n";
-    uploader.write_all(&[head.as_bytes(), first].concat()).expect("the balancer reads");
+    uploader.write_all(&[head.as_bytes(), first].concat()).expect("the bytes are written");
     let mut upload = upstream.accept();
     let mut uploaded = read_head(&mut upload).expect("an attempt");
 
@@ -245,15 +245,15 @@
     let mut download = upstream.accept();
     assert_eq!(read_message(&mut download).expect("an attempt").header("req-id"), Some("r-down"));
     let head = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
-    download.write_all(&[head.as_bytes(), first].concat()).expect("the balancer reads");
+    download.write_all(&[head.as_bytes(), first].concat()).expect("the bytes are written");
     let mut downloaded = read_head(&mut downloader).expect("a response");
 
     balancer.start_shutdown();
     balancer.wait_for_closed_listener();
-    download.write_all(rest).expect("the balancer reads");
+    download.write_all(rest).expect("the bytes are written");
     read_body(&mut downloader, &mut downloaded).expect("the rest of the response");
     assert_eq!((downloaded.status(), downloaded.body == body), (200, true));
-    uploader.write_all(rest).expect("the balancer reads");
+    uploader.write_all(rest).expect("the bytes are written");
     read_body(&mut upload, &mut uploaded).expect("the rest of the request");
     assert!(uploaded.body == body);
     RequestInFlight { client: uploader, upstream: upload }.complete();
@@ -277,7 +277,7 @@
     });
     for client in &mut waiting {
         let response = read_message(client).expect("a response");
-        // Rejected for want of a permit, before the policy has seen the request.
+        // Rejected because no permit is free, before the request reaches the policy.
         assert_eq!((response.status(), &response.body[..]), (503, &b"no place"[..]));
     }
     in_flight.iter_mut().for_each(RequestInFlight::complete);
--- a/crates/proxy/tests/stored_state.rs
+++ b/crates/proxy/tests/stored_state.rs
@@ -15,13 +15,13 @@
 /// The operator overrides as the earlier version stored them.
 const OVERRIDES: &str = include_str!("fixtures/sloeline-orders.json");
 /// The learned state as the earlier version stored it.
-const LEARNED: &str = include_str!("fixtures/sloeline-learned.json");
+const LEARNED_STATE: &str = include_str!("fixtures/sloeline-learned.json");
 
 /// File of the learned state. Its name is fixed, because earlier versions use it too.
-const LEARNED_FILE: &str = "sloeline-learned.json";
+const LEARNED_STATE_FILE: &str = "sloeline-learned.json";
 
 fn parse(text: &str) -> Value {
-    serde_json::from_str(text).expect("JSON")
+    serde_json::from_str(text).expect("the text is JSON")
 }
 
 fn read_json(folder: &Path, name: &str) -> Value {
@@ -69,12 +69,12 @@
     }
 }
 
-/// Returns whether the keys of the object at this path are ids, in place of names of fields.
+/// Returns whether the keys of the object at this path are ids rather than field names.
 fn is_keyed_by_id(path: &str) -> bool {
     ["learned.zones", "learned.servers", "overrides.back"].contains(&path)
 }
 
-/// Returns the time of day in microseconds since 1970.
+/// Returns the current time in microseconds since 1970.
 fn unix_micros() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
     u64::try_from(since_epoch.as_micros()).expect("microseconds that fit into 64 bits")
@@ -86,10 +86,10 @@
 }
 
 /// Waits until the process replaces the learned state `before`, and returns the state that it has stored.
-fn learned_after(folder: &SharedFolder, before: &Value) -> Value {
+fn wait_for_new_learned_state(folder: &SharedFolder, before: &Value) -> Value {
     let start = Instant::now();
     loop {
-        let learned = read_json(&folder.path, LEARNED_FILE);
+        let learned = read_json(&folder.path, LEARNED_STATE_FILE);
         if learned != *before {
             return learned;
         }
@@ -100,15 +100,15 @@
 
 /// Returns the learned state of the earlier version, as if it had been stored a moment ago.
 fn fresh_learned_state() -> Value {
-    let mut learned = parse(LEARNED);
+    let mut learned = parse(LEARNED_STATE);
     learned["learned"]["at"] = unix_micros().into();
     learned
 }
 
 #[test]
-fn overrides_of_the_earlier_version_are_in_force() {
+fn overrides_of_the_earlier_version_are_applied() {
     let folder = SharedFolder::new("stored-overrides");
-    // At the start without the evacuation: its log line would come before those that name the addresses.
+    // The process starts without the evacuation, whose log line would come before those that name the addresses.
     let not_evacuated = OVERRIDES.replace(r#""evacuated":true"#, r#""evacuated":false"#);
     fs::write(folder.path.join(OVERRIDES_FILE), not_evacuated).expect("the overrides are written");
     let first = RespondingUpstream::start();
@@ -117,7 +117,7 @@
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
     balancer.serve_requests(10..20);
     assert_eq!((first.take_request_count(), second.take_request_count()), (10, 0));
-    // The fixture as it is, while the process runs.
+    // The unchanged fixture is written while the process runs.
     let earlier = EarlierVersion::start(&folder);
     let lock = earlier.lock_overrides();
     earlier.write_overrides(&parse(OVERRIDES));
@@ -143,7 +143,7 @@
     }
     let written = read_json(&folder.path, OVERRIDES_FILE);
     assert_same_shape("overrides", &parse(OVERRIDES), &written);
-    // Only the times differ: the same admin requests made the fixture.
+    // The fixture was written after the same admin requests, so only the times differ.
     let mut expected = parse(OVERRIDES);
     expected["back"]["s-0"] = written["back"]["s-0"].clone();
     assert_eq!(written, expected);
@@ -152,17 +152,17 @@
 }
 
 #[test]
-fn learned_state_of_the_earlier_version_is_taken_over_and_written_alike() {
+fn learned_state_of_the_earlier_version_is_loaded_and_written_in_the_same_format() {
     let folder = SharedFolder::new("stored-learned");
     let before = fresh_learned_state();
-    fs::write(folder.path.join(LEARNED_FILE), before.to_string()).expect("the state is written");
+    fs::write(folder.path.join(LEARNED_STATE_FILE), before.to_string()).expect("the state is written");
     let upstreams: Vec<_> = (0..4).map(|_| RespondingUpstream::start()).collect();
     let addresses: Vec<_> = upstreams.iter().map(|upstream| upstream.address).collect();
     let balancer = start(&folder, &addresses);
-    let after = learned_after(&folder, &before);
+    let after = wait_for_new_learned_state(&folder, &before);
     assert_same_shape("learned", &before, &after);
     assert_same_shape("learned", &after, &before);
-    // The state began with the earlier process, and what that process measured is still there.
+    // The start time and the measurements of the earlier process are kept.
     assert_eq!(after["learned"]["began"], before["learned"]["began"]);
     assert_eq!(after["learned"]["all"], before["learned"]["all"]);
     assert_eq!(after["servers"].as_object().map(serde_json::Map::len), Some(4));
@@ -170,12 +170,12 @@
 }
 
 #[test]
-fn learned_state_that_is_old_is_not_taken_over() {
+fn learned_state_that_is_old_is_not_loaded() {
     let folder = SharedFolder::new("stored-learned-old");
-    let before = parse(LEARNED);
-    fs::write(folder.path.join(LEARNED_FILE), LEARNED).expect("the state is written");
+    let before = parse(LEARNED_STATE);
+    fs::write(folder.path.join(LEARNED_STATE_FILE), LEARNED_STATE).expect("the state is written");
     let _balancer = start(&folder, &[closed_address()]);
-    let after = learned_after(&folder, &before);
+    let after = wait_for_new_learned_state(&folder, &before);
     assert_ne!(after["learned"]["began"], before["learned"]["began"]);
     assert_eq!(after["learned"]["all"]["counts"], parse("[]"));
 }
@@ -185,7 +185,7 @@
     folder: std::path::PathBuf,
     /// The lock file that shows that this process runs.
     _own_lock: File,
-    /// The lock files of the other places.
+    /// The other lock files, one for each process that may run.
     other_locks: Vec<File>,
 }
 
@@ -194,8 +194,8 @@
     fn start(folder: &SharedFolder) -> EarlierVersion {
         let path = |number| folder.path.join(format!("sloeline-process-{number}.lock"));
         let mut files: Vec<_> =
-            (0..4).map(|number| File::create(path(number)).expect("a lock file")).collect();
-        let free = files.iter().position(|file| file.try_lock().is_ok()).expect("a free lock");
+            (0..4).map(|number| File::create(path(number)).expect("the lock file is created")).collect();
+        let free = files.iter().position(|file| file.try_lock().is_ok()).expect("a lock is free");
         let own_lock = files.remove(free);
         EarlierVersion { folder: folder.path.clone(), _own_lock: own_lock, other_locks: files }
     }
@@ -212,28 +212,28 @@
 
     /// Waits for the lock of the overrides and takes it until the file is dropped.
     fn lock_overrides(&self) -> File {
-        let lock = File::create(self.folder.join(OVERRIDES_LOCK_FILE)).expect("the lock file");
-        lock.lock().expect("the lock");
+        let lock = File::create(self.folder.join(OVERRIDES_LOCK_FILE)).expect("the lock file is created");
+        lock.lock().expect("the lock is taken");
         lock
     }
 
     /// Replaces the overrides by a rename. The caller has locked them.
     fn write_overrides(&self, overrides: &Value) {
         let new_path = self.folder.join(format!("{OVERRIDES_FILE}.new"));
-        let mut file = File::create(&new_path).expect("the new file");
+        let mut file = File::create(&new_path).expect("the new file is created");
         file.write_all(overrides.to_string().as_bytes()).expect("the overrides are written");
         fs::rename(&new_path, self.folder.join(OVERRIDES_FILE)).expect("the overrides are replaced");
     }
 }
 
 #[test]
-fn processes_of_both_versions_see_each_other() {
+fn processes_of_both_versions_detect_each_other() {
     let folder = SharedFolder::new("stored-processes");
     let earlier = EarlierVersion::start(&folder);
     assert_eq!(earlier.other_processes(), 0);
     let balancer = start(&folder, &[closed_address()]);
     assert_eq!(earlier.other_processes(), 1);
-    // The start and the end of a later process are noticed.
+    // The balancer detects the start and the end of a later process.
     let another = EarlierVersion::start(&folder);
     balancer.wait_for_log("3 processes");
     assert_eq!(another.other_processes(), 2);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn processes_of_both_versions_follow_each_others_overrides() {
+fn processes_of_both_versions_apply_each_others_overrides() {
     let folder = SharedFolder::new("stored-both");
     let earlier = EarlierVersion::start(&folder);
     let first = RespondingUpstream::start();
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! Single system calls of the balancer fail as Linux documents that they may. No request is lost by that.
+//! Single system calls of the balancer fail with errors that Linux documents. No request may be lost.
 
 mod common;
 
@@ -10,16 +10,16 @@
 use common::*;
 
 /// Number of requests to one balancer. From a hundred requests on, the policy bounds attempts by the 99th percentile of
-/// the latency, which is a few microseconds here: a moment without a processor would then end in a rejection, which no
-/// system call has caused.
+/// the latency, which is a few microseconds here: a scheduling delay would then cause a rejection that is not due to a
+/// failed system call.
 const REQUESTS: u32 = 90;
 
-/// Result of [`failures`] if every request was served.
+/// Result of [`failed_statuses`] if every request was served.
 const NO_FAILURES: [u16; 0] = [];
 
-/// Sends so many requests, each on a new connection, and returns the statuses that are not 200. 0 stands for a
+/// Sends this number of requests, each on a new connection, and returns the statuses that are not 200. 0 stands for a
 /// connection that ended without a response.
-fn failures(address: SocketAddr, requests: u32) -> Vec<u16> {
+fn failed_statuses(address: SocketAddr, requests: u32) -> Vec<u16> {
     let send_request = |id| {
         let Ok(mut stream) = TcpStream::connect(address) else { return 0 };
         let _ = stream.set_read_timeout(Some(EVENT_TIMEOUT));
@@ -29,8 +29,8 @@
     (0..requests).map(send_request).filter(|status| *status != 200).collect()
 }
 
-/// Sends so many requests one after the other on one connection and returns the number of successes. Reconnects after a
-/// connection that ended without a response.
+/// Sends this number of requests one after the other on one connection and returns the number of successes. Reconnects
+/// after a connection that ended without a response.
 fn count_served(balancer: &Balancer, requests: u32) -> u32 {
     let mut client = balancer.connect();
     let mut served = 0;
@@ -46,14 +46,15 @@
 }
 
 #[test]
-fn failed_accepts_during_a_shutdown_cost_no_request() {
+fn failed_accepts_during_a_shutdown_lose_no_request() {
     for error in ["ECONNABORTED", "EINTR", "ENFILE", "EMFILE", "ENOBUFS"] {
         let upstream = RespondingUpstream::start();
         let faults = format!("accept4:{error}/3");
         let balancer = Setup::knowing(&[upstream.address]).faults(&faults).deadline_ms(1000).start();
         assert_eq!(balancer.send(READINESS_CHECK).status(), 200, "{error}");
         balancer.terminate();
-        // If each failure cost a pause, not all of these connections would be accepted before the listener is closed.
+        // If the balancer paused after each failure, not all of these connections would be accepted before the listener
+        // is closed.
         let send_request = |id| {
             let mut client = balancer.connect();
             send(&mut client, &request("look", &format!("r-{id}"), ""));
@@ -71,68 +72,70 @@
     let upstream = RespondingUpstream::start();
     let balancer = Setup::knowing(&[upstream.address]).faults("accept4:ECONNABORTED/2").start();
     let start = Instant::now();
-    assert_eq!(failures(balancer.address, REQUESTS), NO_FAILURES);
+    assert_eq!(failed_statuses(balancer.address, REQUESTS), NO_FAILURES);
     assert!(start.elapsed() < Duration::from_millis(800), "{:?}", start.elapsed());
 }
 
 #[test]
-fn interrupted_calls_end_no_request() {
+fn interrupted_calls_fail_no_request() {
     let upstream = RespondingUpstream::start();
     let faults = "recv:EINTR/3,peek:EINTR/2,send:EINTR/3,connect:EINTR/2,epoll_wait:EINTR/5,accept4:EINTR/3";
     let start = || Setup::knowing(&[upstream.address]).faults(faults).start();
-    assert_eq!(failures(start().address, REQUESTS), NO_FAILURES);
+    assert_eq!(failed_statuses(start().address, REQUESTS), NO_FAILURES);
     assert_eq!(count_served(&start(), REQUESTS), REQUESTS);
 }
 
 #[test]
-fn short_reads_and_writes_end_no_request() {
+fn short_reads_and_writes_fail_no_request() {
     let upstream = RespondingUpstream::start();
     let faults = "recv:short=7,send:short=11";
     let balancer = Setup::knowing(&[upstream.address]).faults(faults).deadline_ms(5000).start();
-    assert_eq!(failures(balancer.address, 30), NO_FAILURES);
+    assert_eq!(failed_statuses(balancer.address, 30), NO_FAILURES);
     assert_eq!(count_served(&balancer, 30), 30);
 }
 
 /// Checks that a balancer with a redirected log serves requests, shuts down and exits cleanly.
 fn check_with_log(log: Stdio) {
     let upstream = RespondingUpstream::start();
-    // A fixed port, because the log cannot be read for it.
-    let listen = free_listener().local_addr().expect("the local address").to_string();
+    // The port is fixed, because the test cannot read it from the log.
+    let listen = free_listener().local_addr().expect("the listener has a local address").to_string();
     let mut balancer = Setup::knowing(&[upstream.address]).listen(listen).log_to(log).start();
     let is_listening = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
         TcpStream::connect(balancer.address).is_ok()
     });
-    assert!(is_listening, "the balancer never listens");
-    assert_eq!(failures(balancer.address, 20), NO_FAILURES);
+    assert!(is_listening, "the balancer does not listen");
+    assert_eq!(failed_statuses(balancer.address, 20), NO_FAILURES);
     balancer.terminate();
     balancer.assert_exits_cleanly();
 }
 
 #[test]
 fn a_log_that_cannot_be_written_stops_no_request() {
-    let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("the device /dev/full");
-    check_with_log(Stdio::from(full));
+    let full_device =
+        std::fs::OpenOptions::new().write(true).open("/dev/full").expect("the device /dev/full");
+    check_with_log(Stdio::from(full_device));
 }
 
 #[test]
 fn a_log_that_nobody_reads_delays_no_request() {
-    let (_reader, mut writer) = std::io::pipe().expect("a pipe");
-    // As much as a pipe holds, so that the next write blocks.
+    let (_reader, mut writer) = std::io::pipe().expect("the pipe is created");
+    // Fills the pipe, so that the next write blocks.
     writer.write_all(&vec![b'x'; 65_536]).expect("the pipe has capacity");
     check_with_log(Stdio::from(writer));
 }
 
 #[test]
-fn interrupted_reads_at_a_signal_end_no_request() {
+fn interrupted_reads_at_a_signal_fail_no_request() {
     for _ in 0..4 {
         let upstream = RespondingUpstream::start();
         let mut balancer = Setup::knowing(&[upstream.address]).faults("recv:EINTR/2").start();
         assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
-        balancer.reload(&std::fs::read_to_string(&balancer.config_path).expect("the configuration"));
+        balancer
+            .reload(&std::fs::read_to_string(&balancer.config_path).expect("the configuration can be read"));
         balancer.wait_for_log("read again");
         balancer.terminate();
-        assert_eq!(failures(balancer.address, 10), NO_FAILURES);
+        assert_eq!(failed_statuses(balancer.address, 10), NO_FAILURES);
         balancer.assert_exits_cleanly();
     }
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -10,15 +10,15 @@
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
-    #[error("line {line}: cannot be read: {source}")]
+    #[error("line {line}: cannot read standard input: {source}")]
     Read {
         /// Number of the line that was to be read.
         line: u64,
         /// Error of the operating system.
         source: io::Error,
     },
-    /// The line is not a message of the wire.
-    #[error("line {line}: {source}")]
+    /// The line is not a message of the wire protocol.
+    #[error("line {line}: invalid message: {source}")]
     Parse {
         /// Number of the line.
         line: u64,
@@ -34,13 +34,13 @@
         source: MessageError,
     },
     /// The input ends before the `Commit` of a batch.
-    #[error("line {line}: input ends inside a batch")]
+    #[error("line {line}: the input ends inside a batch, before its Commit")]
     IncompleteBatch {
         /// Number of the line after the last.
         line: u64,
     },
     /// Standard output cannot be written.
-    #[error("writing the reply: {0}")]
+    #[error("cannot write the reply: {0}")]
     Write(#[source] io::Error),
 }
 
@@ -48,10 +48,10 @@
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// A batch begins before the last one has ended.
-    #[error("a batch begins inside a batch")]
+    #[error("BeginBatch inside a batch: the open batch must end with a Commit first")]
     NestedBatch,
     /// A message arrives between two batches.
-    #[error("a message outside a batch")]
+    #[error("message outside a batch: a BeginBatch must come first")]
     OutsideBatch,
     /// The class of a request is not in the settings.
     #[error("JobIn.Lane: unknown class {0:?}: no entry of Setup.Categories has this name")]
@@ -60,15 +60,15 @@
     #[error("JobIn.Owner: unknown tenant {0:?}: no entry of Setup.Realms has this name")]
     UnknownTenant(String),
     /// An endpoint list refers to an unknown table.
-    #[error("Fleet.SetId: no table {0}: a Table with this SetId must come before")]
+    #[error("Fleet.SetId: unknown table {0}: a Table with this SetId must come first")]
     UnknownTable(u64),
-    /// The settings of a balancer have a fault.
+    /// The settings of a balancer are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The policy rejects the settings.
     #[error(transparent)]
     Policy(#[from] policy::SettingsError),
     /// An action cannot be encoded.
-    #[error("encoding an action: {0}")]
+    #[error("cannot encode an action: {0}")]
     Encode(#[from] serde_json::Error),
 }
--- a/crates/simulator-adapter/src/host/balancer.rs
+++ b/crates/simulator-adapter/src/host/balancer.rs
@@ -1,4 +1,4 @@
-//! A hosted balancer: its policy, and the ids in the policy of the names on the wire.
+//! A hosted balancer: its policy, and the mapping of wire names to the policy's ids.
 
 use zincstand_policy as policy;
 use zincstand_policy::Event;
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first fault of the settings.
+    /// Returns the first error in the settings.
     pub fn start(start: &BalancerStart) -> Result<HostedBalancer, MessageError> {
         let setup = &start.setup;
         let mut zones = Names::default();
@@ -84,7 +84,7 @@
         self.handle(event, batch)
     }
 
-    /// Processes the begin of a streamed response.
+    /// Processes the start of a streamed response.
     pub fn receive_first_byte(
         &mut self,
         event: &FirstByte<'_>,
@@ -155,7 +155,7 @@
         self.handle(event, batch)
     }
 
-    /// Passes an event to the policy and writes the actions that follow.
+    /// Passes an event to the policy and writes the resulting actions.
     fn handle(&mut self, event: Event, batch: &mut Batch<'_>) -> Result<(), MessageError> {
         let mut actions = std::mem::take(&mut self.actions);
         self.policy.handle(batch.now, event, &mut actions);
@@ -185,7 +185,7 @@
         index.ok_or_else(|| MessageError::UnknownClass(name.to_owned()))
     }
 
-    /// Returns the index of the tenant, `None` where the service is not shared, whatever the request says.
+    /// Returns the index of the tenant, `None` where the service is not shared, even if the request names one.
     fn tenant_index(&self, tenant: Option<&TenantName<'_>>) -> Result<Option<usize>, MessageError> {
         let Some(TenantName::Name(name)) = tenant else {
             return Ok(None);
--- a/crates/simulator-adapter/src/host/mod.rs
+++ b/crates/simulator-adapter/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! The balancers of this process: messages of the simulator go to them, and their actions into the reply to
-//! the batch.
+//! The balancers of this process: passes the simulator's messages to them and writes their actions to the
+//! reply to the batch.
 
 mod balancer;
 mod convert;
@@ -48,7 +48,7 @@
         self.now.is_some()
     }
 
-    /// Processes a message and appends the actions that follow to `reply`.
+    /// Processes a message and appends the resulting actions to `reply`.
     ///
     /// Messages for a balancer that is not running, or about a request that is not open, are ignored: they
     /// may have been sent before the simulator received the end of the balancer or request.
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Returns an error for a message in the wrong order, or one that refers to an unknown definition. The
-    /// reply is incomplete then.
+    /// reply is then incomplete.
     pub fn receive(&mut self, message: Message<'_>, reply: &mut Vec<u8>) -> Result<BatchState, MessageError> {
         if let Message::BeginBatch(start) = &message {
             self.begin_batch(start)?;
@@ -65,7 +65,7 @@
         let now = self.now.ok_or(MessageError::OutsideBatch)?;
         if let Message::Commit {} = message {
             self.now = None;
-            reply::write_line(reply, &ReplyLine::Yield {})?;
+            reply::write_line(reply, &ReplyLine::End {})?;
             return Ok(BatchState::Complete);
         }
         self.process(message, &mut Batch { now, reply })?;
@@ -75,12 +75,12 @@
     /// Processes a message inside a batch.
     fn process(&mut self, message: Message<'_>, batch: &mut Batch<'_>) -> Result<(), MessageError> {
         match message {
-            Message::BeginBatch(_) | Message::Commit {} | Message::Peer { .. } => Ok(()),
+            Message::BeginBatch(_) | Message::Commit {} | Message::Gossip { .. } => Ok(()),
             Message::Table(table) => {
                 self.tables.insert(table.id, table.entries);
                 Ok(())
             }
-            Message::PowerOn(start) => self.start_balancer(&start),
+            Message::BalancerStart(start) => self.start_balancer(&start),
             Message::BalancerStop(stop) => {
                 self.balancers.remove(&stop.balancer_id);
                 Ok(())
--- a/crates/simulator-adapter/src/host/open_requests.rs
+++ b/crates/simulator-adapter/src/host/open_requests.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Records that the request has its final answer, and removes it if no outcome is missing.
+    /// Records that the request has its final answer, and removes it if each attempt has an outcome.
     pub fn finish(&mut self, id: RequestId) {
         if let Some(open) = self.requests.get_mut(&id) {
             open.is_finished = true;
--- a/crates/simulator-adapter/src/host/reply.rs
+++ b/crates/simulator-adapter/src/host/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: the actions of the policy as lines of the wire.
+//! Encodes the actions of the policy as lines of a reply.
 
 use serde_json::Error;
 use zincstand_policy::{Action, RequestId, ServerId};
--- a/crates/simulator-adapter/src/host/reply/tests.rs
+++ b/crates/simulator-adapter/src/host/reply/tests.rs
@@ -6,9 +6,9 @@
     let setup = r#"{"Areas":["a"],"Balancers":1,"Categories":[{"DeadlineMs":9.0,"Effect":"fragile",
         "Name":"c","TargetMs":9.0}],"Discovery":"automatic","GranularityMs":1.0,"Limits":{"MostTries":1},
         "Rules":{"ColdFrom":0.5,"OverloadFactor":3.0,"TipAfterMs":1.0,"WarmAfterMs":1.0},"Zone":"a"}"#;
-    let setup = serde_json::from_str(setup).expect("a setup");
+    let setup = serde_json::from_str(setup).expect("the settings are valid JSON");
     let start = BalancerStart { balancer_id: 6, rng_seed: 1, setup };
-    let mut balancer = HostedBalancer::start(&start).expect("it starts");
+    let mut balancer = HostedBalancer::start(&start).expect("the balancer starts");
     for wire_id in ["r-0", "r-1", "r-2"] {
         balancer.requests.open(wire_id.to_owned());
     }
@@ -18,13 +18,13 @@
 /// Writes an action and returns its line.
 fn line(balancer: &mut HostedBalancer, action: &Action) -> String {
     let mut reply = Vec::new();
-    balancer.write_action(action, &mut reply).expect("it is written");
-    let text = String::from_utf8(reply).expect("UTF-8");
-    text.strip_suffix('\n').expect("a line").to_owned()
+    balancer.write_action(action, &mut reply).expect("the action is encoded");
+    let text = String::from_utf8(reply).expect("the reply is UTF-8");
+    text.strip_suffix('\n').expect("the text ends with a line feed").to_owned()
 }
 
 #[test]
-fn every_action_has_its_line() {
+fn every_action_is_encoded_as_a_line() {
     let mut balancer = balancer();
     let server = balancer.servers.intern("10.0.0.1:80");
     let mut line = |action: Action| line(&mut balancer, &action);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
 //! Connects the policy to the simulator: reads the simulator's messages from standard input and writes the
 //! replies to standard output.
 //!
-//! One process hosts many balancers, which share endpoint tables and nothing else. The program exits at the
-//! end of the input, with status 0 if that is between two batches.
+//! One process hosts many balancers, which share only the endpoint tables. The program exits at the end
+//! of the input, with status 0 if the input ends between two batches.
 
 #![forbid(unsafe_code)]
 
@@ -16,8 +16,8 @@
 use crate::error::AdapterError;
 use crate::host::{BatchState, Host};
 
-/// Size of the buffers for input and output, in bytes. Batches may have megabytes.
-const BUFFER_SIZE: usize = 1 << 20;
+/// Size of the buffers for input and output. A batch may have megabytes.
+const BUFFER_SIZE_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
     match run(io::stdin().lock(), io::stdout().lock()) {
@@ -35,8 +35,8 @@
 ///
 /// Returns the first error of the input, with its line, or an error of the output.
 fn run(input: impl Read, output: impl Write) -> Result<(), AdapterError> {
-    let mut input = BufReader::with_capacity(BUFFER_SIZE, input);
-    let mut output = BufWriter::with_capacity(BUFFER_SIZE, output);
+    let mut input = BufReader::with_capacity(BUFFER_SIZE_BYTES, input);
+    let mut output = BufWriter::with_capacity(BUFFER_SIZE_BYTES, output);
     let mut host = Host::default();
     let mut reply = Vec::new();
     let mut text = Vec::new();
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -94,5 +94,6 @@
         balancer_id: u64,
     },
     /// Ends the reply.
-    Yield {},
+    #[serde(rename = "Yield")]
+    End {},
 }
--- a/crates/simulator-adapter/src/wire/message/endpoints.rs
+++ b/crates/simulator-adapter/src/wire/message/endpoints.rs
@@ -27,7 +27,7 @@
     /// Name of the kind of machine.
     #[serde(rename = "Machine")]
     pub machine_kind: String,
-    /// Cell: a group of servers that drop each other's repeats.
+    /// Cell: the group of servers that share request deduplication.
     #[serde(rename = "Group", default)]
     pub cell: u32,
     /// State of the endpoint.
@@ -36,7 +36,7 @@
     /// Weight of the endpoint. `Setup.Weights` defines its meaning.
     #[serde(default = "unit_weight")]
     pub weight: f64,
-    /// Time of its last start, in milliseconds; 0 for long ago.
+    /// Time of its last start, in milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub last_start_ms: f64,
 }
@@ -59,12 +59,12 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EndpointList {
-    /// Id of the balancer that is notified.
+    /// Id of the balancer that receives the list.
     pub balancer_id: u64,
     /// How the entries relate to the list that the balancer has.
     #[serde(rename = "Form")]
     pub kind: ListKind,
-    /// Id of the table with the entries. It has no meaning where the call failed.
+    /// Id of the table with the entries. Not used if discovery did not respond.
     #[serde(rename = "SetId", default)]
     pub table_id: u64,
 }
--- a/crates/simulator-adapter/src/wire/message/mod.rs
+++ b/crates/simulator-adapter/src/wire/message/mod.rs
@@ -22,7 +22,8 @@
     /// Defines a list of endpoints for later reference.
     Table(EndpointTable),
     /// Starts a balancer.
-    PowerOn(BalancerStart),
+    #[serde(rename = "PowerOn")]
+    BalancerStart(BalancerStart),
     /// Stops a balancer, which loses all its state.
     #[serde(rename = "Teardown")]
     BalancerStop(BalancerStop),
@@ -47,15 +48,16 @@
     /// The result of a health check.
     #[serde(borrow, rename = "Echo")]
     HealthChecked(HealthChecked<'a>),
-    /// Gossip of another balancer. It is ignored, since the policy uses none.
-    Peer {
-        /// Id of the balancer that receives it. The key is required.
+    /// Gossip from another balancer. It is ignored, because the policy uses no gossip.
+    #[serde(rename = "Peer")]
+    Gossip {
+        /// Id of the balancer that receives the gossip. The key is required.
         #[serde(rename = "BalancerId")]
         _balancer: u64,
     },
 }
 
-/// The begin of a batch (`BeginBatch`).
+/// The start of a batch (`BeginBatch`).
 #[derive(Deserialize)]
 pub struct BatchStart {
     /// Time of all events of the batch, in milliseconds.
--- a/crates/simulator-adapter/src/wire/message/request.rs
+++ b/crates/simulator-adapter/src/wire/message/request.rs
@@ -37,10 +37,13 @@
     #[serde(borrow)]
     Name(Cow<'a, str>),
     /// A number (0) where the service is not shared.
-    None(#[expect(dead_code, reason = "parsed only to reject what is neither name nor number")] u64),
+    None(
+        #[expect(dead_code, reason = "parsed only to reject a value that is neither a name nor a number")]
+        u64,
+    ),
 }
 
-/// The begin of a streamed response (`AckFirst`).
+/// The start of a streamed response (`AckFirst`).
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct FirstByte<'a> {
--- a/crates/simulator-adapter/src/wire/message/result.rs
+++ b/crates/simulator-adapter/src/wire/message/result.rs
@@ -24,7 +24,7 @@
     pub outcome: Outcome,
     /// Time since the attempt was sent, in milliseconds.
     pub time_taken_ms: f64,
-    /// Whether the request has its final answer, from this outcome or before.
+    /// Whether the request has its final answer, from this outcome or an earlier one.
     #[serde(rename = "Final", default)]
     pub is_final: bool,
     /// Load report of the upstream, `None` if it sent none.
@@ -69,7 +69,7 @@
     /// No connection could be established, and the request did not run.
     #[serde(rename = "C")]
     ConnectFailed,
-    /// The connection broke with the attempt in flight.
+    /// The connection was reset while the attempt was in flight.
     #[serde(rename = "R")]
     Reset,
     /// The balancer cancelled the attempt.
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The messages of the simulator's wire.
+//! The messages of the simulator's wire protocol.
 //!
-//! Names of messages, keys and values are fixed by the platform's wire page. The serde attributes in these
-//! two modules are the only place that maps them to the terms of the field.
+//! Names of messages, keys and values are fixed by the platform's wire protocol. The serde attributes in
+//! these two modules map them to the names that the rest of the program uses.
 
 pub mod action;
 pub mod message;
