--- a/crates/proxy/src/downstream/service.rs
+++ b/crates/proxy/src/downstream/service.rs
@@ -31,7 +31,7 @@
         permit_kind: PermitKind,
     ) -> Response<ResponseBody> {
         let mut response = match request.uri().path() {
-            "/health/ready" => self.readiness(),
+            "/health/ready" => self.readiness_response(),
             "/api" if permit_kind == PermitKind::Overflow => {
                 plain_text(StatusCode::SERVICE_UNAVAILABLE, "no place")
             }
@@ -41,9 +41,9 @@
         // Bytes that follow an unread request, or one whose end only hyper knows, cannot be parsed as the next request.
         let is_last_request = progress.has_unread_request() || progress.is_last_request();
         if is_last_request {
-            progress.response_is_last();
+            progress.record_last_response();
         } else if !response.body().is_streamed() {
-            progress.response_complete();
+            progress.record_response_complete();
         }
         if is_last_request || self.closes_after_response(permit_kind) {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -51,7 +51,7 @@
         response
     }
 
-    /// Returns whether connections with this kind of permit close after each response at present.
+    /// Returns whether connections with this kind of permit currently close after each response.
     fn closes_after_response(&self, permit_kind: PermitKind) -> bool {
         permit_kind == PermitKind::Overflow
             || self.permits.is_nearly_full()
@@ -59,7 +59,7 @@
     }
 
     /// Creates the readiness response, which says whether clients may send requests to this address.
-    fn readiness(&self) -> Response<ResponseBody> {
+    fn readiness_response(&self) -> Response<ResponseBody> {
         // While the successor of this process runs, the address continues to accept clients.
         let accepting = match self.lifecycle.apply_overrides() {
             Phase::Running => true,
@@ -98,7 +98,7 @@
             RequestBody::Streamed(upload) => Some(upload.clone()),
         };
         if upload.is_none() {
-            progress.request_complete();
+            progress.record_request_complete();
             // The client may have disconnected while its connection waited for a permit or before its request was
             // read.
             if progress.disconnected_now().await {
@@ -110,7 +110,7 @@
             None => pending.final_response().await,
             Some(upload) => respond_to_upload(pending, upload, progress).await?,
         };
-        Ok(final_response(response, body_memory, progress))
+        Ok(client_response(response, body_memory, progress))
     }
 
     /// Reserves memory for the buffered parts of the request body and of the response body, before any of the request
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     ///
-    /// A 503 if the bodies of the open requests leave too little memory for this one.
+    /// A 503 error if the bodies of the open requests leave too little memory for this one.
     fn acquire_body_memory(&self, request: &Request<Incoming>) -> Result<Permit, RequestError> {
         let length = request.body().size_hint().exact().unwrap_or(u64::MAX);
         let buffered = length.min(MAX_BUFFERED_BODY as u64) as usize;
@@ -139,16 +139,16 @@
     let body_end = async {
         let end = upload.wait_for_end().await;
         if end == BodyEnd::Complete {
-            progress.request_complete();
+            progress.record_request_complete();
         }
         end
     };
     pending.final_response_after_body(body_end).await.map_err(RequestError::incomplete_body)
 }
 
-/// Builds the response to the client. The body owns `body_memory` and releases it after it was written, or when the
-/// client has disconnected.
-fn final_response(
+/// Builds the response to the client. The body owns `body_memory` and releases it once the body has been written or
+/// the client has disconnected.
+fn client_response(
     response: FinalResponse<UpstreamResponse>,
     body_memory: Permit,
     progress: &Rc<ConnectionProgress>,
