--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,10 +1,10 @@
-//! Random legal sequences of events under random settings: every request gets one final answer in time, and
-//! no action breaks a rule. `common::checker` has the rules.
+//! Random valid sequences of events under random settings: every request gets one final answer in time, and
+//! no action breaks a rule. The rules are in `common::checker`.
 
 mod common;
 
 use common::fixtures::class;
-use common::{AttemptInFlight, MS, Response, SECOND, World, ends_after, ok_after, settings};
+use common::{AttemptInFlight, MS, Response, SECOND, Simulation, ends_after, ok_after, settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use zincstand_policy::{
@@ -12,10 +12,10 @@
     ServerEntry, ServerState, Settings,
 };
 
-/// Number of steps of a sequence.
+/// Number of steps in a sequence.
 const STEPS: u64 = 400;
 /// Duration of a step.
-const STEP: Micros = 10 * MS;
+const STEP_DURATION: Micros = 10 * MS;
 
 fn any_idempotency() -> impl Strategy<Value = Idempotency> {
     let window = (50 * MS)..(3 * SECOND);
@@ -30,14 +30,14 @@
 prop_compose! {
     fn any_class()(
         idempotency in any_idempotency(),
-        objective in 50_u64..1_000,
+        objective_ms in 50_u64..1_000,
         deadline_in_objectives in 1_u64..4,
         streaming in any::<bool>(),
         weight in 0.0..1.0_f64,
     ) -> Class {
         Class {
-            latency_objective: objective * MS,
-            deadline: objective * deadline_in_objectives * MS,
+            latency_objective: objective_ms * MS,
+            deadline: objective_ms * deadline_in_objectives * MS,
             streaming,
             late_weight: if weight > 0.7 { weight } else { 0.0 },
             priority_weight: 1.0 + 10.0 * weight,
@@ -96,12 +96,12 @@
 
 /// A random sequence of events for one balancer.
 struct Sequence {
-    world: World,
+    simulation: Simulation,
     rng: fastrand::Rng,
     /// Number of servers at the start.
     servers: u32,
-    /// One server in four fails: those whose id has this remainder.
-    faulty: u32,
+    /// One server in four is faulty: those whose id modulo 4 is this number.
+    faulty_remainder: u32,
     /// Longest latency of a successful response, in milliseconds.
     max_latency_ms: u64,
 }
@@ -110,40 +110,43 @@
     fn new(settings: Settings, servers: u32, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let entries = (0..servers).map(|id| random_entry(id, &mut rng)).collect();
-        let world = World::new(settings, entries, seed);
-        let faulty = rng.u32(..4);
+        let simulation = Simulation::new(settings, entries, seed);
+        let faulty_remainder = rng.u32(..4);
         let max_latency_ms = 10 + rng.u64(..200);
-        Sequence { world, rng, servers, faulty, max_latency_ms }
+        Sequence { simulation, rng, servers, faulty_remainder, max_latency_ms }
     }
 
-    /// Returns true once in `n` times on average.
+    /// Returns true with a probability of one in `n`.
     fn one_in(&mut self, n: u32) -> bool {
         self.rng.u32(..n) == 0
     }
 
     fn run(mut self) {
-        let start = self.world.now;
+        let start = self.simulation.now;
         for step in 0..STEPS {
             self.send_requests();
             self.change_endpoints();
             self.disconnect_client();
-            self.send_unknown_events();
-            self.begin_stream();
-            self.run_until(start + step * STEP);
+            self.send_events_of_unknown_ids();
+            self.begin_response();
+            self.run_until(start + step * STEP_DURATION);
         }
-        let end = self.world.now + 10 * SECOND;
-        self.world.run(end, |_| Response::Never);
-        assert!(self.world.open_requests().is_empty(), "requests are open after all deadlines have passed");
+        let end = self.simulation.now + 10 * SECOND;
+        self.simulation.run(end, |_| Response::Never);
+        assert!(
+            self.simulation.open_requests().is_empty(),
+            "requests are open after all deadlines have passed"
+        );
     }
 
     fn send_requests(&mut self) {
         for _ in 0..self.rng.u32(..4) {
-            let class = self.rng.usize(..self.world.settings.classes.len());
-            let deadline = self.world.settings.classes[class].deadline;
-            let propagates_deadline = self.world.settings.propagates_deadline;
+            let class = self.rng.usize(..self.simulation.settings.classes.len());
+            let deadline = self.simulation.settings.classes[class].deadline;
+            let propagates_deadline = self.simulation.settings.propagates_deadline;
             let time_left = if propagates_deadline { self.rng.u64(..=deadline) } else { deadline };
             let work = self.one_in(2).then(|| self.rng.u64(..300) * MS);
-            self.world.request_hinted(class, time_left, work);
+            self.simulation.request_hinted(class, time_left, work);
         }
     }
 
@@ -153,32 +156,32 @@
             let mut entry = random_entry(id, &mut self.rng);
             let states = [ServerState::Ready, ServerState::Draining, ServerState::Removed];
             entry.state = states[self.rng.usize(..states.len())];
-            entry.started = self.one_in(2).then_some(self.world.now);
-            self.world.list(ListKind::Delta, vec![entry]);
+            entry.started = self.one_in(2).then_some(self.simulation.now);
+            self.simulation.list(ListKind::Delta, vec![entry]);
         }
         if self.one_in(60) {
             let ids: Vec<u32> = (0..self.servers).filter(|_| self.rng.u32(..4) > 0).collect();
             let entries = ids.into_iter().map(|id| random_entry(id, &mut self.rng)).collect();
-            self.world.list(ListKind::Snapshot, entries);
+            self.simulation.list(ListKind::Snapshot, entries);
         }
         if self.one_in(40) {
-            self.world.list(ListKind::Failed, Vec::new());
+            self.simulation.list(ListKind::Failed, Vec::new());
         }
     }
 
     fn disconnect_client(&mut self) {
         if self.one_in(15)
-            && let Some(&id) = self.world.open_requests().first()
+            && let Some(&id) = self.simulation.open_requests().first()
         {
-            self.world.disconnect(id);
+            self.simulation.disconnect(id);
         }
     }
 
-    fn send_unknown_events(&mut self) {
+    fn send_events_of_unknown_ids(&mut self) {
         if self.one_in(10) {
-            self.world.handle(Event::Timer { token: self.rng.u64(..) });
-            self.world.handle(Event::ClientDisconnected { request: u64::MAX });
-            self.world.handle(Event::HealthChecked {
+            self.simulation.handle(Event::Timer { token: self.rng.u64(..) });
+            self.simulation.handle(Event::ClientDisconnected { request: u64::MAX });
+            self.simulation.handle(Event::HealthChecked {
                 server: self.rng.u32(..500),
                 outcome: Outcome::Ok,
                 latency: MS,
@@ -187,26 +190,26 @@
         }
     }
 
-    /// Begins the response of the oldest attempt, if all classes stream their responses.
-    fn begin_stream(&mut self) {
-        let all_stream = self.world.settings.classes.iter().all(|class| class.streaming);
-        if let Some(attempt) = self.world.in_flight.first().cloned()
-            && all_stream
-            && self.world.is_open(attempt.request)
+    /// Begins the response to the oldest attempt if all classes have streamed responses.
+    fn begin_response(&mut self) {
+        let all_streaming = self.simulation.settings.classes.iter().all(|class| class.streaming);
+        if let Some(attempt) = self.simulation.in_flight.first().cloned()
+            && all_streaming
+            && self.simulation.is_open(attempt.request)
         {
-            self.world.first_byte(&attempt);
+            self.simulation.first_byte(&attempt);
         }
     }
 
-    /// Runs until the given time. The responses depend on the attempt and on one random number only, since
-    /// they are asked for more than once.
+    /// Runs until the given time. The simulation asks for the response to an attempt more than once, so a
+    /// response depends only on the attempt and on one random number per run.
     fn run_until(&mut self, until: Micros) {
         let seed = self.rng.u64(..);
-        let faulty = self.faulty;
+        let faulty_remainder = self.faulty_remainder;
         let max_latency_ms = self.max_latency_ms;
-        self.world.run(until, |attempt| {
+        self.simulation.run(until, |attempt| {
             let mut rng = attempt_rng(seed, attempt);
-            if attempt.server % 4 == faulty && rng.u32(..3) > 0 {
+            if attempt.server % 4 == faulty_remainder && rng.u32(..3) > 0 {
                 let outcomes = [Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
                 if rng.u32(..2) > 0 {
                     return Response::Never;
@@ -219,6 +222,7 @@
     }
 }
 
+/// Returns a generator that gives the same random numbers for the same attempt.
 fn attempt_rng(seed: u64, attempt: &AttemptInFlight) -> fastrand::Rng {
     fastrand::Rng::with_seed(seed ^ attempt.request ^ u64::from(attempt.attempt) << 32)
 }
@@ -244,15 +248,15 @@
 fn same_events_give_the_same_actions() {
     let run = || {
         let settings = settings(&[Idempotency::Idempotent, Idempotency::NotIdempotent]);
-        let mut world = World::new(settings, (0..9).map(ServerEntry::new).collect(), 3);
+        let mut simulation = Simulation::new(settings, (0..9).map(ServerEntry::new).collect(), 3);
         for number in 0..300_usize {
-            world.request(number % 2);
-            world.run_for(
+            simulation.request(number % 2);
+            simulation.run_for(
                 5 * MS,
                 |attempt| if attempt.server == 4 { Response::Never } else { ok_after(40 * MS) },
             );
         }
-        world.trace
+        simulation.trace
     };
     assert_eq!(run(), run());
 }
--- a/crates/proxy/src/downstream/connection_permits.rs
+++ b/crates/proxy/src/downstream/connection_permits.rs
@@ -125,7 +125,7 @@
     /// permit is free, returns a permit of the given kind that exceeds the limit.
     pub fn acquire_or_exceed_limit(&self, permit_kind_over_limit: PermitKind) -> ConnectionPermit {
         self.try_acquire_regular().unwrap_or_else(|| {
-            ConnectionPermit::new(permit_kind_over_limit, self.regular.acquire_over_limit(1))
+            ConnectionPermit::new(permit_kind_over_limit, self.regular.acquire_ignoring_limit(1))
         })
     }
 
--- /dev/null
+++ b/crates/proxy/src/downstream/progress/downstream_client_impl.rs
@@ -0,0 +1,14 @@
+//! Implements [`DownstreamClient`] for the progress of a client connection.
+
+use crate::downstream::progress::ConnectionProgress;
+use crate::upstream::downstream_client::DownstreamClient;
+
+impl DownstreamClient for ConnectionProgress {
+    fn is_disconnected(&self) -> bool {
+        self.client_disconnected()
+    }
+
+    fn set_waiting_for_body(&self, waiting: bool) {
+        self.body_pace().set_wanted(waiting);
+    }
+}
