--- a/crates/cli/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -6,9 +6,9 @@
 use anyhow::{Context, Result, anyhow};
 use tokio::sync::oneshot;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
-use zincstand_testbed::callers::{Outcome, Target, open_loop};
+use zincstand_testbed::clients::{Outcome, Target, run_open_loop};
 use zincstand_testbed::discovery::Discovery;
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
@@ -65,7 +65,7 @@
 
 impl Variant {
     fn settings(self, upstreams: &Upstreams, discovery: &Discovery) -> Settings {
-        let mut settings = Settings::alone(discovery.address());
+        let mut settings = Settings::for_single_balancer(discovery.address());
         if self.shared {
             settings.balancers = upstreams.addresses.len() as u32;
         }
@@ -115,7 +115,7 @@
         highest_rate * (1 + processes) as f64,
         seconds_per_size * bench.upstreams.len() as f64,
     );
-    let needs = Needs {
+    let needs = ResourceNeeds {
         processes,
         // Per upstream: a listener and one or two connections in this process, and its entry in a balancer.
         memory_mb: (processes * 40 + processes * upstreams / 25 + 50) as u64,
@@ -164,7 +164,7 @@
     slopes.push(slope("processor", "us a call", &|measured| measured.processor_us));
     slopes.push(slope("new-connections", "a call", &|measured| measured.new_connections));
     let failed = slope("not-200", "of all calls", &|measured| measured.outcome.failed() as f64);
-    let calls = joined(measurements, |measured| measured.outcome.calls.to_string());
+    let calls = joined(measurements, |measured| measured.outcome.requests.to_string());
     slopes.push(failed.remark(format!("{calls} calls; {}", failures(measurements))));
     slopes
 }
@@ -216,7 +216,7 @@
 
     fn measurement(&self, outcome: Outcome, direct: Quantiles, before: &Usage) -> Result<Measurement> {
         let after = self.usage()?;
-        let calls = outcome.calls.max(1) as f64;
+        let calls = outcome.requests.max(1) as f64;
         let processor = after.processor.saturating_sub(before.processor);
         Ok(Measurement {
             upstreams: self.upstreams.addresses.len() as f64,
@@ -259,7 +259,7 @@
         // the process.
         std::thread::Builder::new().name("callers".into()).spawn(move || {
             // The receiver is gone after an interrupt.
-            let _ = sender.send(open_loop("c", &targets, load.rate, duration));
+            let _ = sender.send(run_open_loop("c", &targets, load.rate, duration));
         })?;
         Ok(receiver.await.map_err(|_| anyhow!("the callers have ended early"))??)
     }
--- a/crates/cli/src/scale/control/mod.rs
+++ b/crates/cli/src/scale/control/mod.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
 use zincstand_testbed::discovery::{Discovery, Entry, Mode};
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 
@@ -76,7 +76,7 @@
     let seconds = (SETTLING + idle + 2 * down + all_events * PAUSE).as_secs();
     let description =
         format!("control: {processes} balancers and as many discoveries at once, no calls, {seconds} s");
-    let needs = Needs {
+    let needs = ResourceNeeds {
         processes,
         memory_mb: (processes * 32 + bench.most_upstreams() / 50 + 50) as u64,
         descriptors: 1000,
@@ -194,7 +194,8 @@
         let entries: Vec<Entry> = (0..known).map(entry).collect();
         let discovery = Discovery::start()?;
         discovery.replace(entries.clone())?;
-        let settings = Settings { balancers: known as u32, ..Settings::alone(discovery.address()) };
+        let settings =
+            Settings { balancers: known as u32, ..Settings::for_single_balancer(discovery.address()) };
         let process = Balancer::start(&bench.balancer, &settings).await?;
         Ok(MeasuredBalancer { process, settings, discovery, entries })
     }
--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -6,9 +6,9 @@
 use anyhow::{Context, Result, bail};
 use tokio::time::{Instant, sleep};
 use zincstand_testbed::balancer::{Balancer, Settings};
-use zincstand_testbed::callers::OpenConnections;
+use zincstand_testbed::clients::OpenConnections;
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle};
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
@@ -46,7 +46,7 @@
         upstreams.max(KNOWN),
         CONNECTIONS[CONNECTIONS.len() - 1]
     );
-    let needs = Needs {
+    let needs = ResourceNeeds {
         processes: 1,
         memory_mb: (100 + upstreams / 10) as u64,
         descriptors: (upstreams + 2000) as u64,
@@ -98,7 +98,7 @@
     for calls in CONNECTIONS {
         let long_deadline = |settings: &mut Settings| settings.deadline_ms = SLOW_DEADLINE_MS;
         let testbed = Testbed::start(bench, KNOWN, long_deadline).await?;
-        testbed.upstreams()?.respond_after(SLOW_RESPONSE);
+        testbed.upstreams()?.set_response_delay(SLOW_RESPONSE);
         let mut open_connections = OpenConnections::connect(testbed.balancer.address, calls)?;
         open_connections.send()?;
         points.push(testbed.resident_memory(calls).await?);
@@ -197,7 +197,7 @@
         let upstreams = Upstreams::start(known)?;
         let discovery = Discovery::start()?;
         discovery.replace(upstreams.entries())?;
-        let mut settings = Settings::alone(discovery.address());
+        let mut settings = Settings::for_single_balancer(discovery.address());
         adjust(&mut settings);
         let balancer = Balancer::start(&bench.balancer, &settings).await?;
         Ok(Testbed { balancer, discovery, upstreams: Some(upstreams) })
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -15,7 +15,7 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use tokio::signal::unix::{SignalKind, signal};
-use zincstand_testbed::machine::{Machine, Needs, raise_descriptor_limit};
+use zincstand_testbed::machine::{Machine, ResourceNeeds, raise_descriptor_limit};
 use zincstand_testbed::report::{Report, Slope};
 
 use crate::model::fleet_size;
@@ -108,7 +108,7 @@
     /// One line with the processes it starts and how long it takes.
     description: String,
     /// Resources of the machine that it needs.
-    needs: Needs,
+    needs: ResourceNeeds,
 }
 
 /// Parameters of every measurement.
@@ -168,7 +168,7 @@
 pub fn run(Scale { options, part }: Scale) -> Result<()> {
     let bench = Bench::new(&options)?;
     let parts = part.map_or(Part::ALL.to_vec(), |part| vec![part]);
-    let machine = Machine::here();
+    let machine = Machine::detect();
     check_needs(&parts, &bench, &machine)?;
     if part.is_none() {
         // The model does not handle Ctrl-C, so it has to run before the runtime starts, which takes over that signal.
@@ -181,7 +181,7 @@
         revision: report::revision(),
         seed: bench.seed,
         quick: bench.quick,
-        took_s: began.elapsed().as_secs_f64(),
+        duration_s: began.elapsed().as_secs_f64(),
         slopes,
     };
     if let Some(path) = &options.out {
@@ -195,11 +195,11 @@
 /// # Errors
 /// The machine is too small.
 fn check_needs(parts: &[Part], bench: &Bench, machine: &Machine) -> Result<()> {
-    let mut needs = Needs::default();
+    let mut needs = ResourceNeeds::default();
     for part in parts {
         let plan = part.plan(bench);
         eprintln!("{}", plan.description);
-        needs = needs.or(plan.needs);
+        needs = needs.max(plan.needs);
     }
     needs.check(machine, raise_descriptor_limit())?;
     eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
--- a/crates/cli/src/scale/report.rs
+++ b/crates/cli/src/scale/report.rs
@@ -44,7 +44,7 @@
         report.revision,
         report.seed,
         if report.quick { ", quick: no figures for documents" } else { "" },
-        report.took_s
+        report.duration_s
     )
 }
 
--- a/crates/cli/src/scale/updates/mod.rs
+++ b/crates/cli/src/scale/updates/mod.rs
@@ -8,7 +8,7 @@
 use anyhow::Result;
 use tokio::time::sleep;
 use zincstand_testbed::hollow::UpdateMode;
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 use zincstand_testbed::quiet_stderr::QuietStderr;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
@@ -56,11 +56,11 @@
 }
 
 /// Returns the resources that the largest fleet of hollow balancers needs.
-pub fn fleet_needs(bench: &Bench) -> Needs {
+pub fn fleet_needs(bench: &Bench) -> ResourceNeeds {
     let Effort { balancers, upstreams, .. } = Effort::new(bench);
     let most = f64::from(balancers.iter().copied().max().unwrap_or(0));
     let memory_mb = PROGRAM_MB + (most * upstreams as f64 * HOLLOW_KB / 1024.0) as u64;
-    Needs { processes: 0, memory_mb, descriptors: 0 }
+    ResourceNeeds { processes: 0, memory_mb, descriptors: 0 }
 }
 
 /// Returns what the measurement starts and which resources it needs.
@@ -70,7 +70,7 @@
     let description = format!(
         "updates: {balancers:?} hollow balancers in turn, then {processes:?} processes, with {upstreams} upstreams"
     );
-    MeasurementPlan { description, needs: fleet_needs(bench).or(processes::needs(bench)) }
+    MeasurementPlan { description, needs: fleet_needs(bench).max(processes::needs(bench)) }
 }
 
 /// Measures hollow balancers, then processes.
@@ -118,7 +118,7 @@
         let with_slow = format!(
             "{hollow}; one in twenty stalls for {} of every {} ms",
             SLOW.stall.as_millis(),
-            SLOW.every.as_millis()
+            SLOW.interval.as_millis()
         );
         let responses = Slope::new(
             "updates: burst of 200, answers a balancer",
@@ -212,5 +212,5 @@
 /// Returns the pause before a round. The round before ended with a stall, and each round has to begin at a different
 /// phase of the next one.
 fn pause_before(round: u32, rounds: u32) -> Duration {
-    SLOW.every + SLOW.every * round / rounds
+    SLOW.interval + SLOW.interval * round / rounds
 }
--- a/crates/cli/src/scale/updates/processes.rs
+++ b/crates/cli/src/scale/updates/processes.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
 use zincstand_testbed::discovery::{Discovery, Lifecycle, VersionChange};
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 
 use super::PROGRAM_MB;
 use super::lag_slopes::LagSlopes;
@@ -31,10 +31,10 @@
 }
 
 /// Returns the resources that the largest number of processes needs.
-pub fn needs(bench: &Bench) -> Needs {
+pub fn needs(bench: &Bench) -> ResourceNeeds {
     let processes = sizes(bench).iter().copied().max().unwrap_or(0);
     let memory_mb = PROGRAM_MB + u64::from(PROCESS_MB) * processes as u64;
-    Needs { processes, memory_mb, descriptors: 0 }
+    ResourceNeeds { processes, memory_mb, descriptors: 0 }
 }
 
 /// Measures the lag of single changes, for each number of processes.
@@ -45,7 +45,7 @@
     let mut slopes = LagSlopes::default();
     let mut changes = 0;
     for &processes in sizes(bench) {
-        let mut settings = Settings::alone(discovery.address());
+        let mut settings = Settings::for_single_balancer(discovery.address());
         settings.balancers = processes as u32;
         settings.memory_mb = PROCESS_MB;
         settings.drain_grace_ms = DRAIN_GRACE.as_millis() as u32;
--- a/crates/cli/src/scale/watched_discovery.rs
+++ b/crates/cli/src/scale/watched_discovery.rs
@@ -24,7 +24,7 @@
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// One balancer in twenty stalls for four fifths of its time.
 pub const SLOW: SlowBalancers =
-    SlowBalancers { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
+    SlowBalancers { one_in: 20, stall: Duration::from_millis(200), interval: Duration::from_millis(250) };
 /// Number of descriptors beyond those of the connections.
 const RESERVED_DESCRIPTORS: u64 = 256;
 /// Twice the number of threads of the fleet if the number of cores is unknown.
--- a/crates/cli/tests/stored_formats.rs
+++ b/crates/cli/tests/stored_formats.rs
@@ -213,7 +213,7 @@
     let slope = Slope::new("memory by upstreams", "upstreams", "MB", points).remark("one sample a point");
     let machine = Machine { cores: 8, processor: "some processor".to_owned(), memory_mb: 24_000 };
     let revision = "0123456789ab".to_owned();
-    let report = Report { machine, revision, seed: 1, quick: true, took_s: 1.5, slopes: vec![slope] };
+    let report = Report { machine, revision, seed: 1, quick: true, duration_s: 1.5, slopes: vec![slope] };
     let written = serde_json::to_string(&report).unwrap();
     assert_eq!(keys_of_document(&written), keys_of_document(&stored("scale.json")));
 }
--- a/crates/proxy/tests/scale.rs
+++ b/crates/proxy/tests/scale.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use zincstand_testbed::balancer::{Balancer, Settings, Usage};
-use zincstand_testbed::callers::OpenConnections;
+use zincstand_testbed::clients::OpenConnections;
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle, Traffic};
 use zincstand_testbed::upstreams::Upstreams;
 
@@ -20,7 +20,7 @@
         deadline_ms: 30_000,
         drain_grace_ms: 90_000,
         idle_close_ms: 600_000,
-        ..Settings::alone(discovery.address())
+        ..Settings::for_single_balancer(discovery.address())
     };
     Balancer::start(Path::new(env!("CARGO_BIN_EXE_zincstand-proxy")), &settings)
         .await
@@ -97,7 +97,7 @@
 async fn a_balancer_exits_with_its_owner() {
     let discovery = Discovery::start().expect("discovery");
     let balancer = start_balancer(&discovery, vec![Entry::serving(0, 1, ([127, 0, 0, 1], 1).into())]).await;
-    let id = balancer.id();
+    let id = balancer.process_id();
     Usage::of(id).expect("the balancer runs");
     drop(balancer);
     let has_exited = || {
--- a/crates/testbed/src/balancer/mod.rs
+++ b/crates/testbed/src/balancer/mod.rs
@@ -84,7 +84,7 @@
     /// The address that callers connect to.
     pub address: SocketAddr,
     child: Child,
-    id: u32,
+    process_id: u32,
     config: NamedTempFile,
     /// The task that reads and discards the log, so that the process is never blocked by a full pipe.
     _log: tokio::task::JoinHandle<()>,
@@ -100,12 +100,12 @@
         let config = write_config(settings).map_err(BalancerError::Config)?;
         let mut child = spawn(program, config.path())?;
         let ended = || BalancerError::Ended { log: String::new() };
-        let id = child.id().ok_or_else(ended)?;
+        let process_id = child.id().ok_or_else(ended)?;
         let mut log = BufReader::new(child.stderr.take().ok_or_else(ended)?).lines();
         let address = timeout(START_TIMEOUT, read_address(&mut log)).await;
         let address = address.map_err(|_| BalancerError::NotListening)??;
         let log = tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
-        let balancer = Balancer { address, child, id, config, _log: log };
+        let balancer = Balancer { address, child, process_id, config, _log: log };
         balancer.wait_until_ready().await?;
         Ok(balancer)
     }
@@ -139,16 +139,16 @@
     ///
     /// A [`UsageError`] if the process has ended.
     pub fn usage(&self) -> Result<Usage, UsageError> {
-        Usage::of(self.id)
+        Usage::of(self.process_id)
     }
 
     /// Returns the process id.
-    pub fn id(&self) -> u32 {
-        self.id
+    pub fn process_id(&self) -> u32 {
+        self.process_id
     }
 
     /// Returns the path of the configuration file.
-    pub fn config(&self) -> PathBuf {
+    pub fn config_path(&self) -> PathBuf {
         self.config.path().to_owned()
     }
 
--- a/crates/testbed/src/balancer/settings.rs
+++ b/crates/testbed/src/balancer/settings.rs
@@ -32,7 +32,7 @@
 
 impl Settings {
     /// Returns the settings of a single balancer, with the memory limit that the proxy is designed for.
-    pub fn alone(discovery: SocketAddr) -> Settings {
+    pub fn for_single_balancer(discovery: SocketAddr) -> Settings {
         Settings {
             discovery,
             zones: 1,
--- a/crates/testbed/src/callers/http.rs
+++ b/crates/testbed/src/clients/http.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 
-use super::CallerError;
+use super::ClientError;
 
 /// Maximum number of header lines of a response.
 const MAX_HEADERS: usize = 32;
@@ -11,26 +11,26 @@
 const READ_SIZE: usize = 4096;
 
 /// A connection, split so that one thread can read while others write.
-pub struct CallerConnection {
+pub struct ClientConnection {
     /// Reads responses.
     pub reader: TcpStream,
     /// Writes requests.
     pub writer: TcpStream,
 }
 
-impl CallerConnection {
+impl ClientConnection {
     /// Connects to an address.
     ///
     /// # Errors
     ///
-    /// [`CallerError::Connect`] if the connection cannot be established or there is no descriptor for its second handle.
-    pub fn connect(address: SocketAddr) -> Result<CallerConnection, CallerError> {
+    /// [`ClientError::Connect`] if the connection cannot be established or there is no descriptor for its second handle.
+    pub fn connect(address: SocketAddr) -> Result<ClientConnection, ClientError> {
         let connect = || {
             let stream = TcpStream::connect(address)?;
             stream.set_nodelay(true)?;
-            Ok(CallerConnection { reader: stream.try_clone()?, writer: stream })
+            Ok(ClientConnection { reader: stream.try_clone()?, writer: stream })
         };
-        connect().map_err(|source| CallerError::Connect { address, source })
+        connect().map_err(|source| ClientError::Connect { address, source })
     }
 }
 
--- a/crates/testbed/src/callers/mod.rs
+++ b/crates/testbed/src/clients/mod.rs
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 
 pub use open_connections::OpenConnections;
-pub use open_loop::{Schedule, ScheduledCall, Target, open_loop};
+pub use open_loop::{Schedule, ScheduledRequest, Target, run_open_loop};
 pub use outcome::Outcome;
 
 /// An error of making calls.
 #[derive(Debug, thiserror::Error)]
-pub enum CallerError {
+pub enum ClientError {
     /// A connection cannot be established.
     #[error("a caller cannot connect to {address}; if descriptors are missing, see `ulimit -n`")]
     Connect {
--- a/crates/testbed/src/callers/open_connections.rs
+++ b/crates/testbed/src/clients/open_connections.rs
@@ -4,8 +4,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use super::CallerError;
-use super::http::{CallerConnection, read_response, request_text};
+use super::ClientError;
+use super::http::{ClientConnection, read_response, request_text};
 
 /// Open connections. Dropping this value closes them.
 pub struct OpenConnections {
@@ -17,9 +17,9 @@
     ///
     /// # Errors
     ///
-    /// [`CallerError::Connect`] if a connection cannot be established.
-    pub fn connect(address: SocketAddr, number: usize) -> Result<OpenConnections, CallerError> {
-        let connect = |_| CallerConnection::connect(address).map(|connection| connection.reader);
+    /// [`ClientError::Connect`] if a connection cannot be established.
+    pub fn connect(address: SocketAddr, number: usize) -> Result<OpenConnections, ClientError> {
+        let connect = |_| ClientConnection::connect(address).map(|connection| connection.reader);
         Ok(OpenConnections { streams: (0..number).map(connect).collect::<Result<_, _>>()? })
     }
 
@@ -27,10 +27,10 @@
     ///
     /// # Errors
     ///
-    /// [`CallerError::Send`] if a connection was closed.
-    pub fn send(&mut self) -> Result<(), CallerError> {
+    /// [`ClientError::Send`] if a connection was closed.
+    pub fn send(&mut self) -> Result<(), ClientError> {
         for (number, stream) in self.streams.iter_mut().enumerate() {
-            stream.write_all(request_text("held", number as u64).as_bytes()).map_err(CallerError::Send)?;
+            stream.write_all(request_text("held", number as u64).as_bytes()).map_err(ClientError::Send)?;
         }
         Ok(())
     }
@@ -39,12 +39,12 @@
     ///
     /// # Errors
     ///
-    /// [`CallerError::NoResponse`] if a connection receives nothing for `time` or its response is incomplete,
-    /// [`CallerError::Receive`] if the read timeout cannot be set.
-    pub fn receive(&mut self, time: Duration) -> Result<Vec<u16>, CallerError> {
+    /// [`ClientError::NoResponse`] if a connection receives nothing for `time` or its response is incomplete,
+    /// [`ClientError::Receive`] if the read timeout cannot be set.
+    pub fn receive(&mut self, time: Duration) -> Result<Vec<u16>, ClientError> {
         let receive = |stream: &mut TcpStream| {
-            stream.set_read_timeout(Some(time)).map_err(CallerError::Receive)?;
-            let response = read_response(stream, &mut Vec::new()).ok_or(CallerError::NoResponse)?;
+            stream.set_read_timeout(Some(time)).map_err(ClientError::Receive)?;
+            let response = read_response(stream, &mut Vec::new()).ok_or(ClientError::NoResponse)?;
             Ok(response.status)
         };
         self.streams.iter_mut().map(receive).collect()
--- a/crates/testbed/src/callers/open_loop.rs
+++ b/crates/testbed/src/clients/open_loop.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::target_load::{StartedLoad, TargetLoad};
-use super::{CallerError, Outcome};
+use super::{ClientError, Outcome};
 
 /// How long before a call's intended time the sender spins instead of sleeping, since a sleep ends about 60 us late.
 const SPIN_TIME: Duration = Duration::from_micros(150);
@@ -37,19 +37,19 @@
 
 /// One call of a [`Schedule`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ScheduledCall {
+pub struct ScheduledRequest {
     /// The target's index.
     pub target: usize,
     /// The intended time, counted from the start of the run.
-    pub after: Duration,
+    pub offset: Duration,
 }
 
 impl Schedule {
     /// Returns a call by its number, counted from 0. It does not depend on the results of earlier calls.
-    pub fn call(&self, number: u64) -> ScheduledCall {
+    pub fn request(&self, number: u64) -> ScheduledRequest {
         let target = (number % self.targets as u64) as usize;
-        let after = Duration::from_secs_f64(number as f64 / (self.rate * self.targets as f64));
-        ScheduledCall { target, after }
+        let offset = Duration::from_secs_f64(number as f64 / (self.rate * self.targets as f64));
+        ScheduledRequest { target, offset }
     }
 }
 
@@ -58,13 +58,13 @@
 ///
 /// # Errors
 ///
-/// A [`CallerError`] if a target cannot be connected to or a thread cannot be started.
-pub fn open_loop(
+/// A [`ClientError`] if a target cannot be connected to or a thread cannot be started.
+pub fn run_open_loop(
     name: &str,
     targets: &[Target],
     rate: f64,
     time: Duration,
-) -> Result<Vec<Outcome>, CallerError> {
+) -> Result<Vec<Outcome>, ClientError> {
     let mut loads = Vec::new();
     let mut readers = Vec::new();
     for (index, target) in targets.iter().enumerate() {
@@ -87,13 +87,13 @@
 fn send_on_schedule(loads: &[Arc<TargetLoad>], schedule: Schedule, time: Duration) {
     let start = Instant::now() + LEAD_TIME;
     for number in 0.. {
-        let call = schedule.call(number);
-        if call.after >= time {
+        let request = schedule.request(number);
+        if request.offset >= time {
             return;
         }
-        let intended = start + call.after;
+        let intended = start + request.offset;
         wait_until(intended);
-        loads[call.target].call(intended);
+        loads[request.target].call(intended);
     }
 }
 
--- a/crates/testbed/src/callers/outcome.rs
+++ b/crates/testbed/src/clients/outcome.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::CallerError;
+use super::ClientError;
 use super::http::ReceivedResponse;
 
 /// Status of a successful response.
@@ -18,8 +18,8 @@
 /// The result of the calls to one target.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Number of calls whose intended time was reached.
-    pub calls: u64,
+    /// Number of requests whose intended time was reached.
+    pub requests: u64,
     /// Latencies of calls with status 200, in nanoseconds from the intended time to the last byte of the response.
     pub latency: Histogram<u64>,
     /// Number of responses by status.
@@ -35,11 +35,11 @@
     ///
     /// # Errors
     ///
-    /// [`CallerError::Histogram`] if this platform cannot represent the range of latencies.
-    pub(super) fn new() -> Result<Outcome, CallerError> {
+    /// [`ClientError::Histogram`] if this platform cannot represent the range of latencies.
+    pub(super) fn new() -> Result<Outcome, ClientError> {
         let latency = Histogram::new_with_bounds(1, MAX_LATENCY_NS, LATENCY_DIGITS);
-        let latency = latency.map_err(CallerError::Histogram)?;
-        Ok(Outcome { calls: 0, latency, responses: BTreeMap::new(), lost: 0, reconnects: 0 })
+        let latency = latency.map_err(ClientError::Histogram)?;
+        Ok(Outcome { requests: 0, latency, responses: BTreeMap::new(), lost: 0, reconnects: 0 })
     }
 
     /// Records the response to a call with this intended time.
--- a/crates/testbed/src/callers/target_load.rs
+++ b/crates/testbed/src/clients/target_load.rs
@@ -7,8 +7,8 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-use super::http::{CallerConnection, ReceivedResponse, read_response, request_text};
-use super::{CallerError, Outcome, Target};
+use super::http::{ClientConnection, ReceivedResponse, read_response, request_text};
+use super::{ClientError, Outcome, Target};
 
 /// Stack size of a reader thread in bytes.
 const READER_STACK: usize = 128 * 1024;
@@ -50,7 +50,7 @@
 }
 
 impl LoadState {
-    fn new(connections: Vec<CallSlot>) -> Result<LoadState, CallerError> {
+    fn new(connections: Vec<CallSlot>) -> Result<LoadState, ClientError> {
         Ok(LoadState {
             idle: (0..connections.len()).collect(),
             waiting: VecDeque::new(),
@@ -106,14 +106,14 @@
     ///
     /// # Errors
     ///
-    /// A [`CallerError`] if a connection or thread cannot be created.
-    pub(super) fn start(name: String, target: &Target) -> Result<StartedLoad, CallerError> {
+    /// A [`ClientError`] if a connection or thread cannot be created.
+    pub(super) fn start(name: String, target: &Target) -> Result<StartedLoad, ClientError> {
         let connect =
-            |index: usize| CallerConnection::connect(target.addresses[index % target.addresses.len()]);
+            |index: usize| ClientConnection::connect(target.addresses[index % target.addresses.len()]);
         let connections = (0..target.connections).map(connect).collect::<Result<Vec<_>, _>>()?;
         let mut streams = Vec::new();
         let mut slots = Vec::new();
-        for CallerConnection { reader, writer } in connections {
+        for ClientConnection { reader, writer } in connections {
             streams.push(reader);
             slots.push(CallSlot { writer, intended: None });
         }
@@ -121,7 +121,7 @@
         let start_reader = |(connection, stream)| {
             let load = load.clone();
             let reader = std::thread::Builder::new().stack_size(READER_STACK);
-            reader.spawn(move || load.read_responses(connection, stream)).map_err(CallerError::Thread)
+            reader.spawn(move || load.read_responses(connection, stream)).map_err(ClientError::Thread)
         };
         let readers = streams.into_iter().enumerate().map(start_reader).collect::<Result<_, _>>()?;
         Ok(StartedLoad { load, readers })
@@ -130,7 +130,7 @@
     /// Sends a call whose intended time was reached, or queues it for the next connection that becomes free.
     pub(super) fn call(&self, intended: Instant) {
         let mut state = self.lock();
-        state.outcome.calls += 1;
+        state.outcome.requests += 1;
         match state.idle.pop_front() {
             Some(connection) => state.send(connection, intended, &self.name),
             None => state.waiting.push_back(intended),
@@ -177,7 +177,7 @@
                 state.idle.retain(|idle| *idle != connection);
                 // If the target cannot be connected to again, later calls use its other connections.
                 let Ok(peer) = stream.peer_addr() else { return };
-                let Ok(reconnected) = CallerConnection::connect(peer) else { return };
+                let Ok(reconnected) = ClientConnection::connect(peer) else { return };
                 stream = reconnected.reader;
                 state.replace_connection(connection, reconnected.writer);
                 buffer.clear();
--- a/crates/testbed/src/hollow/group.rs
+++ b/crates/testbed/src/hollow/group.rs
@@ -92,7 +92,7 @@
         if control.is_stalling.load(Relaxed) {
             std::thread::sleep(slow.stall);
         }
-        tokio::time::sleep(slow.every.saturating_sub(slow.stall)).await;
+        tokio::time::sleep(slow.interval.saturating_sub(slow.stall)).await;
     }
 }
 
--- a/crates/testbed/src/hollow/mod.rs
+++ b/crates/testbed/src/hollow/mod.rs
@@ -34,10 +34,10 @@
 pub struct SlowBalancers {
     /// One balancer in this many is slow.
     pub one_in: u32,
-    /// The duration for which the thread is blocked each time.
+    /// The duration of each stall, for which the thread is blocked.
     pub stall: Duration,
     /// The time from the start of one stall to the start of the next.
-    pub every: Duration,
+    pub interval: Duration,
 }
 
 impl SlowBalancers {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,7 +5,7 @@
 
 mod accept;
 pub mod balancer;
-pub mod callers;
+pub mod clients;
 pub mod discovery;
 pub mod hollow;
 pub mod machine;
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -23,7 +23,7 @@
 
 impl Machine {
     /// Returns the properties of this machine. A property that cannot be read is 0 or empty.
-    pub fn here() -> Machine {
+    pub fn detect() -> Machine {
         let memory = value_in_file("/proc/meminfo", "MemTotal");
         let memory_kb = memory.and_then(|memory| memory.split(' ').next()?.parse::<u64>().ok());
         Machine {
@@ -92,7 +92,7 @@
 
 /// The maximum resources that a measurement uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Needs {
+pub struct ResourceNeeds {
     /// The number of processes at once.
     pub processes: usize,
     /// The memory of these processes and of this one in MB.
@@ -132,10 +132,10 @@
     },
 }
 
-impl Needs {
+impl ResourceNeeds {
     /// Returns the resources for two measurements that run one after the other.
-    pub fn or(self, other: Needs) -> Needs {
-        Needs {
+    pub fn max(self, other: ResourceNeeds) -> ResourceNeeds {
+        ResourceNeeds {
             processes: self.processes.max(other.processes),
             memory_mb: self.memory_mb.max(other.memory_mb),
             descriptors: self.descriptors.max(other.descriptors),
@@ -148,7 +148,7 @@
     ///
     /// A [`TooLargeError`] for the first resource that is exceeded. Its message says what to do.
     pub fn check(self, machine: &Machine, descriptor_limit: u64) -> Result<(), TooLargeError> {
-        let Needs { processes, memory_mb, descriptors } = self;
+        let ResourceNeeds { processes, memory_mb, descriptors } = self;
         if processes > MAX_PROCESSES {
             return Err(TooLargeError::Processes { processes });
         }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -56,7 +56,8 @@
     /// Whether the run was shortened, with fewer points. Figures of such a run must not be quoted.
     pub quick: bool,
     /// The duration of the run in seconds.
-    pub took_s: f64,
+    #[serde(rename = "took_s")]
+    pub duration_s: f64,
     /// The measurements.
     pub slopes: Vec<Slope>,
 }
--- a/crates/testbed/src/slope.rs
+++ b/crates/testbed/src/slope.rs
@@ -54,7 +54,7 @@
 }
 
 /// Fits a line by least squares. Returns `None` for fewer than two points or if x does not vary.
-pub fn line(points: &[Point]) -> Option<Line> {
+pub fn fit_line(points: &[Point]) -> Option<Line> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
@@ -74,7 +74,7 @@
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let mut sorted = points.to_vec();
     sorted.sort_by(|left, right| left.x.total_cmp(&right.x));
-    Some(Fit { line: line(&sorted)?, bend: bend(&sorted) })
+    Some(Fit { line: fit_line(&sorted)?, bend: bend(&sorted) })
 }
 
 /// Returns the slopes of the two halves of sorted points if they differ by more than [`BEND_THRESHOLD`].
@@ -83,8 +83,8 @@
         return None;
     }
     let half = sorted.len().div_ceil(2);
-    let lower = line(&sorted[..half])?.slope;
-    let upper = line(&sorted[sorted.len() - half..])?.slope;
+    let lower = fit_line(&sorted[..half])?.slope;
+    let upper = fit_line(&sorted[sorted.len() - half..])?.slope;
     let larger = lower.abs().max(upper.abs());
     ((lower - upper).abs() > BEND_THRESHOLD * larger).then_some(Bend { lower, upper })
 }
--- a/crates/testbed/src/upstreams.rs
+++ b/crates/testbed/src/upstreams.rs
@@ -98,7 +98,7 @@
     }
 
     /// Sets the delay from each later request to its response.
-    pub fn respond_after(&self, delay: Duration) {
+    pub fn set_response_delay(&self, delay: Duration) {
         self.shared.delay.store(delay.as_micros() as u64, Relaxed);
     }
 
--- a/crates/testbed/tests/callers.rs
+++ b/crates/testbed/tests/callers.rs
@@ -2,26 +2,26 @@
 
 use std::time::Duration;
 
-use zincstand_testbed::callers::{Schedule, ScheduledCall, Target, open_loop};
+use zincstand_testbed::clients::{Schedule, ScheduledRequest, Target, run_open_loop};
 use zincstand_testbed::upstreams::Upstreams;
 
 #[test]
 fn requests_go_to_the_targets_in_turn_and_at_even_intervals() {
     let schedule = Schedule { rate: 250.0, targets: 2 };
-    let scheduled: Vec<_> = (0..4).map(|number| schedule.call(number)).collect();
-    let call = |target, ms| ScheduledCall { target, after: Duration::from_millis(ms) };
-    assert_eq!(scheduled, [call(0, 0), call(1, 2), call(0, 4), call(1, 6)]);
+    let scheduled: Vec<_> = (0..4).map(|number| schedule.request(number)).collect();
+    let request = |target, ms| ScheduledRequest { target, offset: Duration::from_millis(ms) };
+    assert_eq!(scheduled, [request(0, 0), request(1, 2), request(0, 4), request(1, 6)]);
 }
 
 #[test]
 fn a_slow_response_delays_no_scheduled_request_and_counts_in_the_latency_of_those_that_wait() {
     let upstreams = Upstreams::start(1).expect("an upstream");
-    upstreams.respond_after(Duration::from_millis(20));
+    upstreams.set_response_delay(Duration::from_millis(20));
     let target = Target { addresses: upstreams.addresses.clone(), connections: 1 };
     // Twenty requests are scheduled within 95 ms, on one connection that takes 400 ms for them.
     let time = Duration::from_millis(99);
-    let outcome = open_loop("t", &[target], 200.0, time).expect("the load runs").remove(0);
-    assert_eq!((outcome.calls, upstreams.requests()[0]), (20, 20));
+    let outcome = run_open_loop("t", &[target], 200.0, time).expect("the load runs").remove(0);
+    assert_eq!((outcome.requests, upstreams.requests()[0]), (20, 20));
     assert_eq!((outcome.responses.get(&200), outcome.failed()), (Some(&20), 0));
     assert!(outcome.latency.max() > 300_000_000, "the last request took only {} ns", outcome.latency.max());
     assert_eq!(upstreams.connections(), 1);
--- a/crates/testbed/tests/machine.rs
+++ b/crates/testbed/tests/machine.rs
@@ -1,25 +1,26 @@
 //! The resources of the machine that a measurement may use.
 
-use zincstand_testbed::machine::{MAX_PROCESSES, Machine, Needs};
+use zincstand_testbed::machine::{MAX_PROCESSES, Machine, ResourceNeeds};
 
 #[test]
 fn needs_beyond_the_machine_are_rejected_with_advice() {
     let machine = Machine { cores: 1, processor: String::new(), memory_mb: 1000 };
-    let fits = Needs { processes: MAX_PROCESSES, memory_mb: 500, descriptors: 64 };
+    let fits = ResourceNeeds { processes: MAX_PROCESSES, memory_mb: 500, descriptors: 64 };
     fits.check(&machine, 64).expect("needs that just fit");
-    let error = |needs: Needs| needs.check(&machine, 64).expect_err("needs that do not fit").to_string();
+    let error =
+        |needs: ResourceNeeds| needs.check(&machine, 64).expect_err("needs that do not fit").to_string();
     for needs in [
-        Needs { processes: MAX_PROCESSES + 1, ..fits },
-        Needs { memory_mb: 501, ..fits },
-        Needs { descriptors: 65, ..fits },
+        ResourceNeeds { processes: MAX_PROCESSES + 1, ..fits },
+        ResourceNeeds { memory_mb: 501, ..fits },
+        ResourceNeeds { descriptors: 65, ..fits },
     ] {
-        let error = error(fits.or(needs));
+        let error = error(fits.max(needs));
         assert!(error.contains("ask for smaller sizes"), "{error}");
     }
 }
 
 #[test]
 fn this_machine_has_cores_and_memory() {
-    let machine = Machine::here();
+    let machine = Machine::detect();
     assert!(machine.cores > 0 && machine.memory_mb > 0, "{machine:?}");
 }
--- a/crates/testbed/tests/slope.rs
+++ b/crates/testbed/tests/slope.rs
@@ -1,6 +1,6 @@
 //! Fitted slopes.
 
-use zincstand_testbed::slope::{Bend, Point, fit, line};
+use zincstand_testbed::slope::{Bend, Point, fit, fit_line};
 
 /// Points of a function at five values of x.
 fn points(of: impl Fn(f64) -> f64) -> Vec<Point> {
@@ -15,7 +15,7 @@
     let bent = fit(&points(|x| if x <= 200.0 { 1.0 } else { x - 199.0 })).expect("five points");
     let bend = bent.bend.expect("a bend at 200");
     assert!(bend.lower.abs() < 1e-9 && bend.upper > 0.9);
-    assert_eq!(line(&[Point { x: 1.0, y: 1.0 }, Point { x: 1.0, y: 2.0 }]), None);
+    assert_eq!(fit_line(&[Point { x: 1.0, y: 1.0 }, Point { x: 1.0, y: 2.0 }]), None);
 }
 
 #[test]
