--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,11 +1,12 @@
-//! Injects faults into system calls of one process, of kinds that Linux documents for these calls. The library is
-//! preloaded into the program under test with `LD_PRELOAD` and replaces some functions of the C library. A replaced
-//! function fails or transfers fewer bytes as the fault plan in [`PLAN_VARIABLE`] says; otherwise it makes the system
-//! call.
+//! Injects faults into system calls of one process. The faults are errors and short transfers that Linux documents for
+//! these calls, and an offset of the wall clock. The library is preloaded into the program under test with `LD_PRELOAD`
+//! and replaces some functions of the C library. If the fault plan in [`PLAN_VARIABLE`] has a fault for a call, the
+//! replaced function fails or transfers fewer bytes; otherwise it makes the system call.
 //!
 //! The library is for tests only. No deployed program depends on it.
 
-// Functions of the C library take raw pointers. Each replacement passes on pointers for which its caller is responsible.
+// Functions of the C library take raw pointers. Each replacement passes on pointers for which its caller is
+// responsible.
 #![allow(unsafe_code)]
 
 mod hooks;
@@ -21,16 +22,16 @@
 /// without the variable it is always active.
 pub const SWITCH_VARIABLE: &str = "ZINCSTAND_FAULT_SWITCH";
 
-/// Returns the path of the library to preload. Cargo builds it into the same folder as the test programs.
+/// Returns the path of the library to preload. Cargo builds it into the same directory as the test programs.
 ///
 /// # Panics
 ///
 /// Panics if the path of the running program cannot be determined.
 pub fn library_path() -> PathBuf {
     let program = std::env::current_exe().expect("the path of the running program is known");
-    let folder = program.parent().expect("a program is in a folder");
-    let name = "libzincstand_fault_injection.so";
-    let in_same_folder = folder.join(name);
-    // Programs other than tests are built one folder above the libraries.
-    if in_same_folder.exists() { in_same_folder } else { folder.join("deps").join(name) }
+    let directory = program.parent().expect("the path of a program has a parent directory");
+    let file_name = "libzincstand_fault_injection.so";
+    let in_same_directory = directory.join(file_name);
+    // Programs other than tests are built one directory above the libraries.
+    if in_same_directory.exists() { in_same_directory } else { directory.join("deps").join(file_name) }
 }
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,4 +1,4 @@
-//! The fault plan: which calls are faulty, in which way and how often.
+//! The fault plan: which calls fail, in which way and how often.
 
 use std::ffi::CString;
 use std::sync::OnceLock;
@@ -8,19 +8,19 @@
 
 use crate::{PLAN_VARIABLE, SWITCH_VARIABLE};
 
-/// A fault of one kind of call.
+/// A fault in calls of one kind.
 enum Fault {
-    /// Every `period`-th call fails with the error `number`. `calls` counts the calls so far.
-    Fail { number: c_int, period: u64, calls: AtomicU64 },
+    /// Every `period`-th call fails with the error number `errno`. `calls` counts the calls so far.
+    Fail { errno: c_int, period: u64, calls: AtomicU64 },
     /// Each call transfers at most `max_bytes`.
-    Short { max_bytes: usize },
+    ShortTransfer { max_bytes: usize },
     /// The wall clock is ahead by this many milliseconds, or behind if negative.
     ClockOffset { milliseconds: i64 },
 }
 
 /// One entry of the plan.
 struct PlannedFault {
-    /// The name of the call in the plan, as the replaced functions pass it.
+    /// The name of the call in the plan, as the replaced functions pass it to [`FaultPlan`].
     call: String,
     fault: Fault,
 }
@@ -32,7 +32,7 @@
     switch_file: Option<CString>,
 }
 
-/// Returns the plan of this process, which is read from the environment at the first call.
+/// Returns the plan of this process, which the first call reads from the environment.
 ///
 /// # Panics
 ///
@@ -48,30 +48,30 @@
 }
 
 impl FaultPlan {
-    /// Counts a call and returns the error number that it must fail with; `None` if it must not fail.
-    pub(crate) fn failure(&self, call: &str) -> Option<c_int> {
+    /// Counts a call and returns the error number with which it must fail; `None` if it must not fail.
+    pub(crate) fn errno_for_call(&self, call: &str) -> Option<c_int> {
         self.faults(call).find_map(|fault| match fault {
-            Fault::Fail { number, period, calls } => {
-                (calls.fetch_add(1, Ordering::Relaxed) % period == period - 1).then_some(*number)
+            Fault::Fail { errno, period, calls } => {
+                (calls.fetch_add(1, Ordering::Relaxed) % period == period - 1).then_some(*errno)
             }
-            Fault::Short { .. } | Fault::ClockOffset { .. } => None,
+            Fault::ShortTransfer { .. } | Fault::ClockOffset { .. } => None,
         })
     }
 
     /// Returns how many of `length` bytes this call may transfer.
-    pub(crate) fn transfer(&self, call: &str, length: usize) -> usize {
+    pub(crate) fn limit_transfer(&self, call: &str, length: usize) -> usize {
         let max_bytes = self.faults(call).find_map(|fault| match fault {
-            Fault::Short { max_bytes } => Some(*max_bytes),
+            Fault::ShortTransfer { max_bytes } => Some(*max_bytes),
             Fault::Fail { .. } | Fault::ClockOffset { .. } => None,
         });
         max_bytes.map_or(length, |max_bytes| length.min(max_bytes))
     }
 
     /// Returns by how many milliseconds the wall clock is ahead; negative if it is behind.
-    pub(crate) fn clock_offset(&self) -> i64 {
+    pub(crate) fn clock_offset_ms(&self) -> i64 {
         let offset = self.faults("clock").find_map(|fault| match fault {
             Fault::ClockOffset { milliseconds } => Some(*milliseconds),
-            Fault::Fail { .. } | Fault::Short { .. } => None,
+            Fault::Fail { .. } | Fault::ShortTransfer { .. } => None,
         });
         offset.unwrap_or(0)
     }
@@ -84,7 +84,7 @@
 
     fn is_active(&self) -> bool {
         let Some(switch_file) = &self.switch_file else { return true };
-        // SAFETY: the path is a string that ends with a zero byte.
+        // SAFETY: the path is a valid pointer to a string that ends with a zero byte.
         unsafe { libc::syscall(libc::SYS_access, switch_file.as_ptr(), libc::F_OK) == 0 }
     }
 }
@@ -93,10 +93,11 @@
 ///
 /// # Panics
 ///
-/// Panics if the entry is invalid. Tests write the plan, and an ignored entry would let them pass without the fault.
+/// Panics if the entry is invalid. If it were ignored, a test with a wrong plan would pass without the fault.
 fn parse_or_panic(text: &str) -> PlannedFault {
-    parse_fault(text)
-        .unwrap_or_else(|| panic!("{PLAN_VARIABLE}: {text:?} is no fault; see the documentation of the plan"))
+    parse_fault(text).unwrap_or_else(|| {
+        panic!("{PLAN_VARIABLE}: {text:?} is not a valid fault; see the documentation of PLAN_VARIABLE")
+    })
 }
 
 /// Parses one entry of the plan; returns `None` if it is invalid.
@@ -105,16 +106,16 @@
     let fault = if call == "clock" {
         Fault::ClockOffset { milliseconds: fault.parse().ok()? }
     } else if let Some(max_bytes) = fault.strip_prefix("short=") {
-        Fault::Short { max_bytes: max_bytes.parse().ok()? }
+        Fault::ShortTransfer { max_bytes: max_bytes.parse().ok()? }
     } else {
-        let (error, period) = fault.split_once('/').unwrap_or((fault, "1"));
+        let (error_name, period) = fault.split_once('/').unwrap_or((fault, "1"));
         let period: u64 = period.parse().ok()?;
-        Fault::Fail { number: error_number(error)?, period: period.max(1), calls: AtomicU64::new(0) }
+        Fault::Fail { errno: error_number(error_name)?, period: period.max(1), calls: AtomicU64::new(0) }
     };
     Some(PlannedFault { call: call.to_owned(), fault })
 }
 
-/// Returns the number of an error by its name; `None` for names that plans cannot contain.
+/// Returns the number of an error by its name; `None` for names that are not supported in plans.
 fn error_number(name: &str) -> Option<c_int> {
     let number = match name {
         "EADDRNOTAVAIL" => libc::EADDRNOTAVAIL,
--- a/crates/testbed/src/balancer/mod.rs
+++ b/crates/testbed/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! Real balancers as child processes, each with its own configuration.
+//! Real balancers that run as child processes, each with its own configuration.
 
 mod settings;
 mod usage;
@@ -19,14 +19,14 @@
 pub use settings::Settings;
 pub use usage::{Usage, UsageError};
 
-/// Time limit for a balancer to listen, to become ready, and to respond to a readiness check.
+/// Time limit of each step of a start: listening, becoming ready, and responding to a readiness check.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time limit for balancers to end after SIGTERM, after which they are killed.
+/// Time limit for balancers to exit after SIGTERM, after which they are killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Interval between two readiness checks.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Environment variables that a balancer must not inherit, since they would change its configuration.
-const CLEARED_VARIABLES: [&str; 6] =
+const REMOVED_VARIABLES: [&str; 6] =
     ["EDGE_FD", "EDGE_MANAGEMENT", "EDGE_LISTEN", "EDGE_NAME", "EDGE_DISCOVERY", "TMPDIR"];
 
 /// An error of starting or controlling a balancer.
@@ -41,32 +41,32 @@
         #[source]
         source: io::Error,
     },
-    /// The configuration cannot be written.
-    #[error("the configuration of a balancer cannot be written")]
+    /// The configuration file cannot be written.
+    #[error("the balancer's configuration file cannot be written")]
     Config(#[source] io::Error),
     /// The log cannot be read.
     #[error("the balancer's log cannot be read")]
     Log(#[source] io::Error),
-    /// The process ended before it listened.
-    #[error("the balancer has ended: {log}")]
-    Ended {
-        /// The log up to the end of the process.
+    /// The process exited before it listened.
+    #[error("the balancer exited before it listened; its log: {log}")]
+    Exited {
+        /// The log up to the exit of the process.
         log: String,
     },
-    /// The line of the log that reports listening contains no valid address.
-    #[error("no address in the balancer's log: {line}")]
+    /// The log line that reports listening contains no valid address.
+    #[error("the balancer's log line that reports listening contains no valid address: {line}")]
     NoAddress {
         /// The line of the log.
         line: String,
     },
-    /// The process does not listen within the time limit.
-    #[error("the balancer does not listen within {START_TIMEOUT:?}: run fewer processes at once")]
+    /// The process did not listen within the time limit.
+    #[error("the balancer did not listen within {START_TIMEOUT:?}: run fewer processes at once")]
     NotListening,
-    /// The process is not ready within the time limit.
-    #[error("the balancer is not ready within {START_TIMEOUT:?}: check that its discovery responds")]
+    /// The process did not become ready within the time limit.
+    #[error("the balancer did not become ready within {START_TIMEOUT:?}: check that its discovery responds")]
     NotReady,
-    /// The process cannot be sent a signal.
-    #[error("the balancer cannot be sent {signal:?}: it may have ended")]
+    /// A signal cannot be sent to the process.
+    #[error("the balancer cannot be sent {signal:?}: it may have exited")]
     Signal {
         /// The signal.
         signal: Signal,
@@ -81,11 +81,11 @@
 
 /// A running balancer. Dropping it kills the process.
 pub struct Balancer {
-    /// The address that callers connect to.
+    /// The address that clients connect to.
     pub address: SocketAddr,
     child: Child,
     process_id: u32,
-    config: NamedTempFile,
+    config_file: NamedTempFile,
     /// The task that reads and discards the log, so that the process is never blocked by a full pipe.
     _log: tokio::task::JoinHandle<()>,
 }
@@ -97,15 +97,15 @@
     ///
     /// A [`BalancerError`] if the program does not start or is not ready within the time limit.
     pub async fn start(program: &Path, settings: &Settings) -> Result<Balancer, BalancerError> {
-        let config = write_config(settings).map_err(BalancerError::Config)?;
-        let mut child = spawn(program, config.path())?;
-        let ended = || BalancerError::Ended { log: String::new() };
-        let process_id = child.id().ok_or_else(ended)?;
-        let mut log = BufReader::new(child.stderr.take().ok_or_else(ended)?).lines();
+        let config_file = write_config(settings).map_err(BalancerError::Config)?;
+        let mut child = spawn(program, config_file.path())?;
+        let exited = || BalancerError::Exited { log: String::new() };
+        let process_id = child.id().ok_or_else(exited)?;
+        let mut log = BufReader::new(child.stderr.take().ok_or_else(exited)?).lines();
         let address = timeout(START_TIMEOUT, read_address(&mut log)).await;
         let address = address.map_err(|_| BalancerError::NotListening)??;
         let log = tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
-        let balancer = Balancer { address, child, process_id, config, _log: log };
+        let balancer = Balancer { address, child, process_id, config_file, _log: log };
         balancer.wait_until_ready().await?;
         Ok(balancer)
     }
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// A [`UsageError`] if the process has ended.
+    /// A [`UsageError`] if the process has exited.
     pub fn usage(&self) -> Result<Usage, UsageError> {
         Usage::of(self.process_id)
     }
@@ -149,32 +149,33 @@
 
     /// Returns the path of the configuration file.
     pub fn config_path(&self) -> PathBuf {
-        self.config.path().to_owned()
+        self.config_file.path().to_owned()
     }
 
     /// Replaces the configuration and makes the balancer reload it.
     ///
     /// # Errors
     ///
-    /// [`BalancerError::Config`] if the file cannot be written, [`BalancerError::Signal`] if the process has ended.
+    /// [`BalancerError::Config`] if the file cannot be written, [`BalancerError::Signal`] if the process has exited.
     pub fn reload(&self, settings: &Settings) -> Result<(), BalancerError> {
-        std::fs::write(self.config.path(), settings.config().to_string()).map_err(BalancerError::Config)?;
+        std::fs::write(self.config_file.path(), settings.config().to_string())
+            .map_err(BalancerError::Config)?;
         self.signal(Signal::HUP)
     }
 
     fn signal(&self, signal: Signal) -> Result<(), BalancerError> {
-        // The child has an id only until it was waited for, so the kernel cannot have reused the id.
+        // The child has an id only until its exit status is read, so the kernel cannot have reused the id.
         let id = self.child.id().and_then(|id| Pid::from_raw(id as i32));
         let sent = id.ok_or(rustix::io::Errno::SRCH).and_then(|id| kill_process(id, signal));
         sent.map_err(|error| BalancerError::Signal { signal, source: error.into() })
     }
 }
 
-/// Ends all balancers at the same time by SIGTERM, and kills those that do not end within the time limit.
+/// Sends SIGTERM to all balancers at the same time, and kills those that do not exit within the time limit.
 ///
 /// # Errors
 ///
-/// [`BalancerError::Signal`] if a balancer had already ended, [`BalancerError::Kill`] if one cannot be killed.
+/// [`BalancerError::Signal`] if a balancer had already exited, [`BalancerError::Kill`] if one cannot be killed.
 pub async fn stop(balancers: impl IntoIterator<Item = Balancer>) -> Result<(), BalancerError> {
     let mut balancers: Vec<Balancer> = balancers.into_iter().collect();
     for balancer in &balancers {
@@ -190,18 +191,18 @@
 }
 
 fn write_config(settings: &Settings) -> io::Result<NamedTempFile> {
-    let mut config = NamedTempFile::with_prefix("zincstand-testbed-")?;
-    config.write_all(settings.config().to_string().as_bytes())?;
-    Ok(config)
+    let mut file = NamedTempFile::with_prefix("zincstand-testbed-")?;
+    file.write_all(settings.config().to_string().as_bytes())?;
+    Ok(file)
 }
 
-fn spawn(program: &Path, config: &Path) -> Result<Child, BalancerError> {
+fn spawn(program: &Path, config_path: &Path) -> Result<Child, BalancerError> {
     let mut command = Command::new(program);
-    for name in CLEARED_VARIABLES {
+    for name in REMOVED_VARIABLES {
         command.env_remove(name);
     }
     command
-        .env("EDGE_CONFIG", config)
+        .env("EDGE_CONFIG", config_path)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
@@ -222,5 +223,5 @@
         }
         earlier_lines += &line;
     }
-    Err(BalancerError::Ended { log: earlier_lines })
+    Err(BalancerError::Exited { log: earlier_lines })
 }
--- a/crates/testbed/src/balancer/settings.rs
+++ b/crates/testbed/src/balancer/settings.rs
@@ -4,16 +4,16 @@
 
 use serde_json::{Value, json};
 
-/// The part of a balancer's configuration that differs between measurements.
+/// The values of a balancer's configuration that differ between measurements.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The number of zones in the settings.
+    /// The number of zones.
     pub zones: usize,
     /// The number of balancers that share the upstreams.
     pub balancers: u32,
-    /// The number of request classes. The first is `look`, which callers use.
+    /// The number of request classes. The first is `look`, which the clients use.
     pub classes: usize,
     /// The number of tenants, which have no quotas.
     pub tenants: usize,
--- a/crates/testbed/src/balancer/usage.rs
+++ b/crates/testbed/src/balancer/usage.rs
@@ -5,9 +5,9 @@
 /// An error of reading the resource usage of a process.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// A file of the process in `/proc` cannot be read, since the process has ended.
-    #[error("process {id} has ended: /proc/{id}/{file} cannot be read")]
-    Ended {
+    /// A file of the process in `/proc` cannot be read, since the process has exited.
+    #[error("/proc/{id}/{file} cannot be read: process {id} has exited")]
+    Exited {
         /// The id of the process.
         id: u32,
         /// The name of the file.
@@ -17,7 +17,9 @@
         source: std::io::Error,
     },
     /// The file `schedstat` does not begin with a number.
-    #[error("/proc/{id}/schedstat begins with no processor time: the kernel must have scheduler statistics")]
+    #[error(
+        "/proc/{id}/schedstat does not begin with a processor time: use a kernel with scheduler statistics"
+    )]
     NoProcessorTime {
         /// The id of the process.
         id: u32,
@@ -29,7 +31,7 @@
 pub struct Usage {
     /// The processor time of the main thread, on which a balancer does its work.
     pub processor_time: Duration,
-    /// The present resident memory in KB.
+    /// The current resident memory in KB.
     pub resident_kb: u64,
     /// The peak resident memory in KB.
     pub max_resident_kb: u64,
@@ -42,17 +44,17 @@
     ///
     /// # Errors
     ///
-    /// A [`UsageError`] if the process has ended or the kernel has no scheduler statistics.
+    /// A [`UsageError`] if the process has exited or the kernel has no scheduler statistics.
     pub fn of(id: u32) -> Result<Usage, UsageError> {
         let read = |file: &'static str| {
-            std::fs::read_to_string(format!("/proc/{id}/{file}")).map_err(|source| UsageError::Ended {
+            std::fs::read_to_string(format!("/proc/{id}/{file}")).map_err(|source| UsageError::Exited {
                 id,
                 file,
                 source,
             })
         };
         let status = read("status")?;
-        let value = |key: &str| -> u64 {
+        let status_value = |key: &str| -> u64 {
             let line = status.lines().find_map(|line| line.strip_prefix(key));
             let number = line.and_then(|line| line.split_whitespace().next());
             number.and_then(|number| number.parse().ok()).unwrap_or(0)
@@ -62,9 +64,10 @@
         let processor_time = schedstat.split(' ').next().and_then(|nanoseconds| nanoseconds.parse().ok());
         Ok(Usage {
             processor_time: Duration::from_nanos(processor_time.ok_or(UsageError::NoProcessorTime { id })?),
-            resident_kb: value("VmRSS:"),
-            max_resident_kb: value("VmHWM:"),
-            context_switches: value("voluntary_ctxt_switches:") + value("nonvoluntary_ctxt_switches:"),
+            resident_kb: status_value("VmRSS:"),
+            max_resident_kb: status_value("VmHWM:"),
+            context_switches: status_value("voluntary_ctxt_switches:")
+                + status_value("nonvoluntary_ctxt_switches:"),
         })
     }
 }
--- a/crates/testbed/src/clients/http.rs
+++ b/crates/testbed/src/clients/http.rs
@@ -1,4 +1,4 @@
-//! The subset of HTTP/1.1 that callers use: one kind of request, and responses with `Content-Length`.
+//! The subset of HTTP/1.1 that the clients use: one kind of request, and responses with `Content-Length`.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
@@ -7,8 +7,8 @@
 
 /// Maximum number of header lines of a response.
 const MAX_HEADERS: usize = 32;
-/// Maximum number of bytes that one call reads.
-const READ_SIZE: usize = 4096;
+/// Maximum number of bytes that one call of `read` returns.
+const READ_CHUNK_BYTES: usize = 4096;
 
 /// A connection, split so that one thread can read while others write.
 pub struct ClientConnection {
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError::Connect`] if the connection cannot be established or there is no descriptor for its second handle.
+    /// [`ClientError::Connect`] if the connection cannot be established or no descriptor is left for its second handle.
     pub fn connect(address: SocketAddr) -> Result<ClientConnection, ClientError> {
         let connect = || {
             let stream = TcpStream::connect(address)?;
@@ -43,25 +43,25 @@
     pub closes_connection: bool,
 }
 
-/// Returns the text of an idempotent request with the id `name-number`. The id must be unique among open requests.
+/// Returns an idempotent request with the id `name-number`, which must be unique among open requests.
 pub fn request_text(name: &str, number: u64) -> String {
     format!(
         "GET /api?key=k HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {name}-{number}\r\nReq-Kind: look\r\n\r\n"
     )
 }
 
-/// Reads the next response. Returns `None` if the response does not arrive completely. Bytes that follow the response stay in
-/// the buffer.
+/// Reads the next response. Returns `None` if the response does not arrive completely. Bytes that follow the response
+/// stay in the buffer.
 pub fn read_response(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedResponse> {
     loop {
         if let Some(parsed) = ParsedHead::parse(buffer).ok()? {
-            let length = parsed.head_length + parsed.body_length?;
-            if buffer.len() >= length {
-                buffer.drain(..length);
+            let total_length = parsed.head_length + parsed.body_length?;
+            if buffer.len() >= total_length {
+                buffer.drain(..total_length);
                 return Some(parsed.response);
             }
         }
-        let mut chunk = [0; READ_SIZE];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         match stream.read(&mut chunk) {
             Ok(length) if length > 0 => buffer.extend_from_slice(&chunk[..length]),
             _ => return None,
--- a/crates/testbed/src/clients/mod.rs
+++ b/crates/testbed/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Callers: clients that send requests to balancers, or directly to upstreams.
+//! Clients that send requests to balancers, or directly to upstreams.
 
 mod http;
 mod open_connections;
@@ -13,11 +13,13 @@
 pub use open_loop::{Schedule, ScheduledRequest, Target, run_open_loop};
 pub use outcome::Outcome;
 
-/// An error of making calls.
+/// An error of sending requests or receiving responses.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// A connection cannot be established.
-    #[error("a caller cannot connect to {address}; if descriptors are missing, see `ulimit -n`")]
+    #[error(
+        "a client cannot connect to {address}: if the limit on descriptors is reached, raise `ulimit -n`"
+    )]
     Connect {
         /// The address of the target.
         address: SocketAddr,
@@ -26,18 +28,18 @@
         source: io::Error,
     },
     /// A thread that reads responses cannot be started.
-    #[error("a caller has no thread: ask for fewer connections")]
+    #[error("a thread that reads responses cannot be started: ask for fewer connections")]
     Thread(#[source] io::Error),
     /// A request cannot be written.
-    #[error("a caller's connection was closed before its request")]
+    #[error("a request cannot be written: the connection was closed")]
     Send(#[source] io::Error),
     /// A connection's read timeout cannot be set.
-    #[error("a caller's connection cannot be read from")]
+    #[error("the read timeout of a client's connection cannot be set")]
     Receive(#[source] io::Error),
     /// The histogram of latencies cannot be created.
-    #[error("a caller cannot create its histogram of latencies")]
+    #[error("the histogram of latencies cannot be created")]
     Histogram(#[source] hdrhistogram::CreationError),
     /// A response did not arrive completely in time.
-    #[error("a caller's response does not come in time or is broken off")]
+    #[error("a response was not received completely within the timeout")]
     NoResponse,
 }
--- a/crates/testbed/src/clients/open_connections.rs
+++ b/crates/testbed/src/clients/open_connections.rs
@@ -13,14 +13,14 @@
 }
 
 impl OpenConnections {
-    /// Opens `number` connections.
+    /// Opens `count` connections.
     ///
     /// # Errors
     ///
     /// [`ClientError::Connect`] if a connection cannot be established.
-    pub fn connect(address: SocketAddr, number: usize) -> Result<OpenConnections, ClientError> {
+    pub fn connect(address: SocketAddr, count: usize) -> Result<OpenConnections, ClientError> {
         let connect = |_| ClientConnection::connect(address).map(|connection| connection.reader);
-        Ok(OpenConnections { streams: (0..number).map(connect).collect::<Result<_, _>>()? })
+        Ok(OpenConnections { streams: (0..count).map(connect).collect::<Result<_, _>>()? })
     }
 
     /// Sends a request on each connection.
@@ -39,11 +39,11 @@
     ///
     /// # Errors
     ///
-    /// [`ClientError::NoResponse`] if a connection receives nothing for `time` or its response is incomplete,
+    /// [`ClientError::NoResponse`] if a connection receives nothing for `timeout` or its response is incomplete,
     /// [`ClientError::Receive`] if the read timeout cannot be set.
-    pub fn receive(&mut self, time: Duration) -> Result<Vec<u16>, ClientError> {
+    pub fn receive(&mut self, timeout: Duration) -> Result<Vec<u16>, ClientError> {
         let receive = |stream: &mut TcpStream| {
-            stream.set_read_timeout(Some(time)).map_err(ClientError::Receive)?;
+            stream.set_read_timeout(Some(timeout)).map_err(ClientError::Receive)?;
             let response = read_response(stream, &mut Vec::new()).ok_or(ClientError::NoResponse)?;
             Ok(response.status)
         };
--- a/crates/testbed/src/clients/outcome.rs
+++ b/crates/testbed/src/clients/outcome.rs
@@ -1,4 +1,4 @@
-//! The result of the calls to one target.
+//! The outcome of the requests to one target.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -15,23 +15,23 @@
 /// Significant decimal digits of a recorded latency.
 const LATENCY_DIGITS: u8 = 3;
 
-/// The result of the calls to one target.
+/// The outcome of the requests to one target.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Number of requests whose intended time was reached.
     pub requests: u64,
-    /// Latencies of calls with status 200, in nanoseconds from the intended time to the last byte of the response.
+    /// Latencies of requests with status 200, in nanoseconds from the intended time to the last byte of the response.
     pub latency: Histogram<u64>,
     /// Number of responses by status.
     pub responses: BTreeMap<u16, u64>,
-    /// Number of calls without a response: the connection failed, or the run ended first.
+    /// Number of requests without a response: the connection failed, or the run ended first.
     pub lost: u64,
     /// Number of connections that were opened to replace closed ones.
     pub reconnects: u64,
 }
 
 impl Outcome {
-    /// Creates the outcome of no calls.
+    /// Creates the outcome of no requests.
     ///
     /// # Errors
     ///
@@ -42,7 +42,7 @@
         Ok(Outcome { requests: 0, latency, responses: BTreeMap::new(), lost: 0, reconnects: 0 })
     }
 
-    /// Records the response to a call with this intended time.
+    /// Records the response to a request with this intended time.
     pub(super) fn record_response(&mut self, response: ReceivedResponse, intended: Instant, now: Instant) {
         if response.status == STATUS_OK {
             let latency = now.saturating_duration_since(intended).as_nanos() as u64;
@@ -51,7 +51,7 @@
         *self.responses.entry(response.status).or_default() += 1;
     }
 
-    /// Returns the number of failed calls: responses with a status other than 200, and lost calls.
+    /// Returns the number of failed requests: those with a status other than 200, and lost requests.
     pub fn failed(&self) -> u64 {
         let errors = self.responses.iter().filter(|(status, _)| **status != STATUS_OK);
         self.lost + errors.map(|(_, count)| count).sum::<u64>()
--- a/crates/testbed/src/clients/target_load.rs
+++ b/crates/testbed/src/clients/target_load.rs
@@ -1,4 +1,4 @@
-//! The calls to one target, shared by the sender thread and by the reader threads, one for each connection.
+//! The requests to one target, shared by the sender thread and by the reader threads, one for each connection.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -10,14 +10,14 @@
 use super::http::{ClientConnection, ReceivedResponse, read_response, request_text};
 use super::{ClientError, Outcome, Target};
 
-/// Stack size of a reader thread in bytes.
-const READER_STACK: usize = 128 * 1024;
-/// Initial size in bytes of a reader's buffer.
-const READ_BUFFER: usize = 1024;
+/// Stack size of a reader thread.
+const READER_STACK_BYTES: usize = 128 * 1024;
+/// Initial size of a reader's buffer.
+const READ_BUFFER_BYTES: usize = 1024;
 
-/// The calls to one target.
+/// The requests to one target.
 pub(super) struct TargetLoad {
-    /// The beginning of the calls' request ids.
+    /// The beginning of the request ids.
     name: String,
     state: Mutex<LoadState>,
 }
@@ -31,46 +31,46 @@
 }
 
 struct LoadState {
-    /// Indices of connections without a call, longest idle first.
+    /// Indices of connections without a request, longest idle first.
     idle: VecDeque<usize>,
-    /// Intended times of calls that wait for a connection.
+    /// Intended times of requests that wait for a connection.
     waiting: VecDeque<Instant>,
-    connections: Vec<CallSlot>,
-    calls_sent: u64,
+    connections: Vec<ConnectionSlot>,
+    requests_sent: u64,
     /// Whether the run is over, after which readers end.
     is_over: bool,
     outcome: Outcome,
 }
 
-/// A connection, and the call in flight on it.
-struct CallSlot {
+/// A connection, and the request in flight on it.
+struct ConnectionSlot {
     writer: TcpStream,
-    /// The intended time of the call; `None` while the connection is idle.
+    /// The intended time of the request; `None` while the connection is idle.
     intended: Option<Instant>,
 }
 
 impl LoadState {
-    fn new(connections: Vec<CallSlot>) -> Result<LoadState, ClientError> {
+    fn new(connections: Vec<ConnectionSlot>) -> Result<LoadState, ClientError> {
         Ok(LoadState {
             idle: (0..connections.len()).collect(),
             waiting: VecDeque::new(),
             connections,
-            calls_sent: 0,
+            requests_sent: 0,
             is_over: false,
             outcome: Outcome::new()?,
         })
     }
 
     fn send(&mut self, connection: usize, intended: Instant, name: &str) {
-        self.calls_sent += 1;
-        let request = request_text(name, self.calls_sent);
+        self.requests_sent += 1;
+        let request = request_text(name, self.requests_sent);
         let slot = &mut self.connections[connection];
         slot.intended = Some(intended);
-        // The reader notices a failed connection and records its call as lost.
+        // The reader notices a failed connection and records its request as lost.
         let _ = slot.writer.write_all(request.as_bytes());
     }
 
-    /// Sends the next waiting call on a connection without a call, or marks the connection idle.
+    /// Sends the next waiting request on a connection without a request, or marks the connection idle.
     fn use_free_connection(&mut self, connection: usize, name: &str) {
         match self.waiting.pop_front() {
             Some(intended) => self.send(connection, intended, name),
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Records the response to the call on a connection, `None` if it was lost. Returns whether the connection can
-    /// carry another call.
+    /// Records the response to the request on a connection; `None` if the request was lost. Returns whether the
+    /// connection can carry another request.
     fn record(&mut self, connection: usize, response: Option<ReceivedResponse>, now: Instant) -> bool {
         let Some(intended) = self.connections[connection].intended.take() else { return false };
         let Some(response) = response else {
@@ -90,19 +90,19 @@
         !response.closes_connection
     }
 
-    /// Replaces a connection that ended. The new connection is neither idle nor has a call until its reader passes it to
-    /// [`use_free_connection`](Self::use_free_connection).
+    /// Replaces a connection that ended. The new connection is neither idle nor has a request until its reader passes
+    /// it to [`use_free_connection`](Self::use_free_connection).
     fn replace_connection(&mut self, connection: usize, writer: TcpStream) {
         self.connections[connection].writer = writer;
     }
 
-    fn has_open_calls(&self) -> bool {
+    fn has_open_requests(&self) -> bool {
         !self.waiting.is_empty() || self.connections.iter().any(|slot| slot.intended.is_some())
     }
 }
 
 impl TargetLoad {
-    /// Connects to a target and starts a reader for each connection. `name` begins the request ids of the calls.
+    /// Connects to a target and starts a reader for each connection. The request ids begin with `name`.
     ///
     /// # Errors
     ///
@@ -115,20 +115,20 @@
         let mut slots = Vec::new();
         for ClientConnection { reader, writer } in connections {
             streams.push(reader);
-            slots.push(CallSlot { writer, intended: None });
+            slots.push(ConnectionSlot { writer, intended: None });
         }
         let load = Arc::new(TargetLoad { name, state: Mutex::new(LoadState::new(slots)?) });
         let start_reader = |(connection, stream)| {
             let load = load.clone();
-            let reader = std::thread::Builder::new().stack_size(READER_STACK);
+            let reader = std::thread::Builder::new().stack_size(READER_STACK_BYTES);
             reader.spawn(move || load.read_responses(connection, stream)).map_err(ClientError::Thread)
         };
         let readers = streams.into_iter().enumerate().map(start_reader).collect::<Result<_, _>>()?;
         Ok(StartedLoad { load, readers })
     }
 
-    /// Sends a call whose intended time was reached, or queues it for the next connection that becomes free.
-    pub(super) fn call(&self, intended: Instant) {
+    /// Sends a request whose intended time was reached, or queues it for the next connection that becomes free.
+    pub(super) fn send_or_queue(&self, intended: Instant) {
         let mut state = self.lock();
         state.outcome.requests += 1;
         match state.idle.pop_front() {
@@ -137,12 +137,12 @@
         }
     }
 
-    /// Returns whether calls wait for a connection or a response.
-    pub(super) fn has_open_calls(&self) -> bool {
-        self.lock().has_open_calls()
+    /// Returns whether requests wait for a connection or a response.
+    pub(super) fn has_open_requests(&self) -> bool {
+        self.lock().has_open_requests()
     }
 
-    /// Ends the run: counts waiting calls as lost, and shuts the connections down, which ends their readers.
+    /// Ends the run: counts waiting requests as lost, and shuts the connections down, which ends their readers.
     pub(super) fn close(&self) {
         let mut state = self.lock();
         state.is_over = true;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns the result of the calls so far.
+    /// Returns the outcome of the requests so far.
     pub(super) fn outcome(&self) -> Outcome {
         self.lock().outcome.clone()
     }
@@ -161,9 +161,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the responses of one connection until the run is over. Opens a new connection if the present one ends.
+    /// Reads the responses of one connection until the run is over. Opens a new connection if the current one ends.
     fn read_responses(&self, connection: usize, mut stream: TcpStream) {
-        let mut buffer = Vec::with_capacity(READ_BUFFER);
+        let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
         loop {
             let response = read_response(&mut stream, &mut buffer);
             let now = Instant::now();
@@ -175,7 +175,7 @@
             if !is_reusable {
                 state.outcome.reconnects += 1;
                 state.idle.retain(|idle| *idle != connection);
-                // If the target cannot be connected to again, later calls use its other connections.
+                // If the target cannot be connected to again, later requests use its other connections.
                 let Ok(peer) = stream.peer_addr() else { return };
                 let Ok(reconnected) = ClientConnection::connect(peer) else { return };
                 stream = reconnected.reader;
--- a/crates/testbed/src/discovery/entry.rs
+++ b/crates/testbed/src/discovery/entry.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-/// Number of cells that entries are spread over.
-const CELLS: u32 = 8;
+/// Number of cells over which entries are spread.
+const CELL_COUNT: u32 = 8;
 
 /// The state of an upstream in its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -13,13 +13,13 @@
 pub enum Lifecycle {
     /// The upstream accepts requests.
     Serving,
-    /// The upstream finishes its present requests and accepts no more.
+    /// The upstream finishes its current requests and accepts no new ones.
     Draining,
-    /// The upstream was removed from the list; in deltas only.
+    /// The upstream was removed from the list. Appears only in deltas.
     Deleted,
 }
 
-/// An entry of the endpoint list. The field names on the wire are the protocol's.
+/// An entry of the endpoint list. Its fields are serialized under the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Entry {
@@ -51,7 +51,7 @@
             host_port,
             zone: format!("zone-{:02}", number % zones),
             machine_type: "m1".to_owned(),
-            cell: (number / zones) as u32 % CELLS,
+            cell: (number / zones) as u32 % CELL_COUNT,
             lifecycle: Lifecycle::Serving,
             weight: 1.0,
             started_at_ms: 0,
--- a/crates/testbed/src/discovery/mod.rs
+++ b/crates/testbed/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! A stand-in for discovery. It implements the complete list and the watch of the protocol for many watchers on one
-//! thread, and counts requests and responses.
+//! A stand-in for discovery. It implements the requests of the protocol, for the complete list and for watches. One
+//! thread serves all watchers, and counts requests and responses.
 //!
-//! The processor time of its thread shows the work that the protocol requires. A production discovery service does more.
+//! The processor time of this thread shows the work that the protocol requires. A production discovery service does
+//! more work.
 
 mod entry;
 mod request;
@@ -38,10 +39,12 @@
         source: io::Error,
     },
     /// The thread or its runtime cannot be started.
-    #[error("the stand-in discovery has no thread or descriptors: start fewer at once")]
+    #[error(
+        "the thread of the stand-in discovery cannot be started: start fewer at once, or raise `ulimit -n`"
+    )]
     Start(#[source] io::Error),
-    /// The thread has ended, which only a panic causes.
-    #[error("the stand-in discovery has ended: standard error has its panic")]
+    /// The thread has ended, which happens only after a panic.
+    #[error("the thread of the stand-in discovery has ended: see its panic message on standard error")]
     Ended,
 }
 
@@ -50,9 +53,9 @@
 pub enum Mode {
     /// Discovery responds immediately.
     Up,
-    /// Discovery closes all connections and does not listen, as if its process had ended.
+    /// Discovery closes all connections and does not listen, as if its process had exited.
     Down,
-    /// Discovery reads requests, and does not respond until the mode changes.
+    /// Discovery reads requests, but does not respond until the mode changes.
     Silent,
     /// Discovery delays the responses on some connections.
     Slow {
@@ -63,16 +66,16 @@
     },
 }
 
-/// A version of the list, and when it became the present one.
+/// A version of the list, and when it became the current one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VersionChange {
     /// The version.
     pub version: u64,
-    /// When the list got this version. For a command that leaves the list unchanged, when the command was executed.
+    /// When the list got this version; after a command that leaves the list unchanged, when the command was executed.
     pub at: Instant,
 }
 
-/// Discovery on a thread of its own. Dropping it ends the thread.
+/// Discovery that runs on a separate thread. Dropping it ends the thread.
 pub struct Discovery {
     address: SocketAddr,
     commands: Option<UnboundedSender<Command>>,
@@ -84,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// A [`DiscoveryError`] if there is no port, thread or descriptor left.
+    /// A [`DiscoveryError`] if no port, thread or descriptor is left.
     pub fn start() -> Result<Discovery, DiscoveryError> {
         Discovery::start_at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
@@ -93,23 +96,23 @@
     ///
     /// # Errors
     ///
-    /// A [`DiscoveryError`] if the address is in use, or there is no thread or descriptor left.
+    /// A [`DiscoveryError`] if the address is in use, or no thread or descriptor is left.
     pub fn start_at(address: SocketAddr) -> Result<Discovery, DiscoveryError> {
         let (commands, receiver) = unbounded_channel();
-        let (started, listening) = mpsc::channel();
+        let (bound_sender, bound_receiver) = mpsc::channel();
         // The runtime is created on the new thread, since the caller may run within another runtime.
-        let run = move || match Started::new(address) {
+        let run_server = move || match BoundServer::bind(address) {
             Ok(server) => {
-                let _ = started.send(Ok(server.address));
+                let _ = bound_sender.send(Ok(server.address));
                 server.run(receiver);
             }
             Err(error) => {
-                let _ = started.send(Err(error));
+                let _ = bound_sender.send(Err(error));
             }
         };
-        let thread = std::thread::Builder::new().name("discovery".to_owned()).spawn(run);
+        let thread = std::thread::Builder::new().name("discovery".to_owned()).spawn(run_server);
         let thread = thread.map_err(DiscoveryError::Start)?;
-        let address = listening.recv().map_err(|_| DiscoveryError::Ended)??;
+        let address = bound_receiver.recv().map_err(|_| DiscoveryError::Ended)??;
         Ok(Discovery { address, commands: Some(commands), thread: Some(thread) })
     }
 
@@ -126,21 +129,20 @@
         reply.recv().map_err(|_| DiscoveryError::Ended)
     }
 
-    /// Replaces the list in a new version, of which all watchers are notified by a snapshot.
+    /// Replaces the list in a new version, and notifies all watchers by a snapshot.
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Ended`] if its thread has ended.
+    /// [`DiscoveryError::Ended`] if the thread has ended.
     pub fn replace(&self, entries: Vec<Entry>) -> Result<VersionChange, DiscoveryError> {
         self.execute(|reply| Command::Replace(entries, reply))
     }
 
-    /// Changes entries in one new version, of which watchers are notified by a delta. Deleted entries are removed from
-    /// the list.
+    /// Changes entries in one new version, and notifies watchers by a delta. Deleted entries are removed from the list.
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Ended`] if its thread has ended.
+    /// [`DiscoveryError::Ended`] if the thread has ended.
     pub fn change(&self, entries: Vec<Entry>) -> Result<VersionChange, DiscoveryError> {
         self.execute(|reply| Command::Change(entries, reply))
     }
@@ -149,18 +151,18 @@
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Listen`] if discovery was down and cannot listen again, [`DiscoveryError::Ended`] if its thread
-    /// has ended.
+    /// [`DiscoveryError::Listen`] if discovery was down and cannot listen again, [`DiscoveryError::Ended`] if the
+    /// thread has ended.
     pub fn set_mode(&self, mode: Mode) -> Result<VersionChange, DiscoveryError> {
         let change = self.execute(|reply| Command::SetMode(mode, reply))?;
         change.map_err(|source| DiscoveryError::Listen { address: self.address, source })
     }
 
-    /// Closes all connections and continues to listen.
+    /// Closes all connections, and continues to listen.
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Ended`] if its thread has ended.
+    /// [`DiscoveryError::Ended`] if the thread has ended.
     pub fn close_connections(&self) -> Result<VersionChange, DiscoveryError> {
         self.execute(Command::CloseConnections)
     }
@@ -169,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Ended`] if its thread has ended.
+    /// [`DiscoveryError::Ended`] if the thread has ended.
     pub fn counters(&self) -> Result<Counters, DiscoveryError> {
         self.execute(Command::Counters)
     }
@@ -178,7 +180,7 @@
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Ended`] if its thread has ended.
+    /// [`DiscoveryError::Ended`] if the thread has ended.
     pub fn take_acknowledgements(&self) -> Result<Vec<Acknowledgement>, DiscoveryError> {
         self.execute(Command::TakeAcknowledgements)
     }
@@ -194,22 +196,22 @@
     }
 }
 
-/// The runtime and listener of the stand-in's thread before it serves.
-struct Started {
+/// The runtime and the listener of the stand-in's thread, which does not serve yet.
+struct BoundServer {
     runtime: Runtime,
     listener: tokio::net::TcpListener,
     address: SocketAddr,
 }
 
-impl Started {
+impl BoundServer {
     /// Listens on an address.
-    fn new(address: SocketAddr) -> Result<Started, DiscoveryError> {
+    fn bind(address: SocketAddr) -> Result<BoundServer, DiscoveryError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(DiscoveryError::Start)?;
         let listener = runtime.block_on(async { server::listen(address) });
         let listener = listener.map_err(|source| DiscoveryError::Listen { address, source })?;
         let address = listener.local_addr().map_err(|source| DiscoveryError::Listen { address, source })?;
-        Ok(Started { runtime, listener, address })
+        Ok(BoundServer { runtime, listener, address })
     }
 
     /// Serves until the sender of commands is dropped.
--- a/crates/testbed/src/discovery/request.rs
+++ b/crates/testbed/src/discovery/request.rs
@@ -6,8 +6,8 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Maximum length in bytes of a request head.
-pub const MAX_HEAD: usize = 16 << 10;
+/// Maximum length of a request head.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Upper limit on the wait that a watch may request.
 const MAX_WAIT: Duration = Duration::from_mins(1);
 /// Maximum number of header lines of a request.
@@ -18,7 +18,7 @@
 pub enum DiscoveryRequest {
     /// The complete list.
     Snapshot,
-    /// The changes since a version, as soon as there are any.
+    /// The changes since a version. The response is sent as soon as the version changes, or after the wait.
     Watch {
         /// The version that the watcher has applied.
         version: u64,
@@ -30,7 +30,7 @@
 }
 
 impl DiscoveryRequest {
-    /// Interprets a request line.
+    /// Parses the method and the target of a request.
     fn parse(method: Option<&str>, target: &str) -> DiscoveryRequest {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if method != Some("GET") || path != "/registry/instances" {
@@ -54,7 +54,7 @@
 pub struct ReceivedRequest {
     /// The request.
     pub request: DiscoveryRequest,
-    /// The length in bytes.
+    /// The length of its head in bytes.
     pub length: usize,
 }
 
@@ -69,7 +69,7 @@
                 let _ = buffer.split_to(length);
                 return Some(ReceivedRequest { request, length });
             }
-            Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD => {}
+            Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => {}
             _ => return None,
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
--- a/crates/testbed/src/discovery/server.rs
+++ b/crates/testbed/src/discovery/server.rs
@@ -1,5 +1,5 @@
-//! The server of the stand-in: a task for commands, a task that accepts connections and a task for each connection, all on
-//! one thread.
+//! The server of the stand-in. One thread runs a task for commands, a task that accepts connections, and a task for
+//! each connection.
 
 use std::cell::RefCell;
 use std::io::{self, IoSlice};
@@ -16,17 +16,17 @@
 use tokio::task::{AbortHandle, spawn_local};
 
 use super::entry::Entry;
-use super::request::{DiscoveryRequest, MAX_HEAD, read_request};
+use super::request::{DiscoveryRequest, MAX_HEAD_BYTES, read_request};
 use super::traffic::{Acknowledgement, Counters, TrafficRecorder};
 use super::versions::{ListResponse, ResponseKind, VersionedList};
 use super::{Mode, VersionChange};
 use crate::accept::accept;
 
 /// Length of the accept queue, in connections. All watchers may connect at the same time.
-const BACKLOG: u32 = 4096;
+const ACCEPT_BACKLOG: u32 = 4096;
 
-/// Initial size in bytes of a connection's read buffer, which grows for longer requests.
-const READ_BUFFER: usize = 512;
+/// Initial size of a connection's read buffer, which grows for longer requests.
+const READ_BUFFER_BYTES: usize = 512;
 
 /// A command from the owner of the stand-in to its thread, with the channel for the reply.
 pub enum Command {
@@ -45,22 +45,22 @@
 }
 
 /// State that the tasks of all connections share.
-struct Shared {
+struct SharedState {
     list: RefCell<VersionedList>,
     traffic: RefCell<TrafficRecorder>,
     version: watch::Sender<u64>,
     mode: watch::Sender<Mode>,
-    /// Incremented to close all connections.
+    /// Incremented to make all connections close.
     close_count: watch::Sender<u64>,
 }
 
-impl Shared {
-    /// Returns the present version with the present time.
+impl SharedState {
+    /// Returns the current version and the current time.
     fn version_change(&self) -> VersionChange {
         VersionChange { version: self.list.borrow().version(), at: Instant::now() }
     }
 
-    /// Changes the list and notifies the watches. The returned time precedes all notifications.
+    /// Changes the list and then notifies the watches. The returned time is before any notification.
     fn update_list(&self, update: impl FnOnce(&mut VersionedList)) -> VersionChange {
         update(&mut self.list.borrow_mut());
         let change = self.version_change();
@@ -78,12 +78,12 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// The running server.
 pub struct Server {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     address: SocketAddr,
     /// The task that accepts connections; `None` while the stand-in is down.
     acceptor: Option<AbortHandle>,
@@ -92,7 +92,7 @@
 impl Server {
     /// Starts to accept connections, with an empty list of version 1. Must be called within a `LocalSet`.
     pub fn start(address: SocketAddr, listener: TcpListener) -> Server {
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(SharedState {
             list: RefCell::new(VersionedList::new()),
             traffic: RefCell::new(TrafficRecorder::new()),
             version: watch::Sender::new(1),
@@ -152,11 +152,11 @@
     }
 }
 
-/// Accepts connections, and serves each in a task of its own.
-async fn serve_listener(shared: Rc<Shared>, listener: TcpListener) {
+/// Accepts connections, and serves each in a separate task.
+async fn serve_listener(shared: Rc<SharedState>, listener: TcpListener) {
     loop {
         let stream = accept(&listener).await;
-        let number = shared.traffic.borrow_mut().connection_opened();
+        let connection = shared.traffic.borrow_mut().connection_opened();
         let mut closed = shared.close_count.subscribe();
         let shared = shared.clone();
         spawn_local(async move {
@@ -164,18 +164,18 @@
                 // The signal to close is polled first, so that nothing is sent on the connection after it.
                 biased;
                 _ = closed.changed() => {}
-                _ = serve(&shared, stream, number) => {}
+                _ = serve_connection(&shared, stream, connection) => {}
             }
             shared.traffic.borrow_mut().open_connections -= 1;
         });
     }
 }
 
-/// Serves one connection until it ends, and then returns `None`. The connection's number decides whether its responses are
-/// delayed in [`Mode::Slow`].
-async fn serve(shared: &Shared, mut stream: TcpStream, number: u64) -> Option<()> {
-    let mut buffer = BytesMut::with_capacity(READ_BUFFER);
-    let mut acknowledged = 0;
+/// Serves the connection with this number until it ends, and then returns `None`. The number decides whether its
+/// responses are delayed in [`Mode::Slow`].
+async fn serve_connection(shared: &SharedState, mut stream: TcpStream, connection: u64) -> Option<()> {
+    let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
+    let mut acknowledged_version = 0;
     loop {
         let received = read_request(&mut stream, &mut buffer).await?;
         shared.traffic.borrow_mut().count(|traffic| {
@@ -183,48 +183,48 @@
             traffic.bytes_in += received.length as u64;
         });
         if let DiscoveryRequest::Watch { version, wait } = received.request {
-            if version > acknowledged {
-                acknowledged = version;
-                shared.traffic.borrow_mut().acknowledge(number, version);
+            if version > acknowledged_version {
+                acknowledged_version = version;
+                shared.traffic.borrow_mut().acknowledge(connection, version);
             }
             let _waiting = WaitingWatch::begin(shared);
             wait_for_change(shared, &mut stream, &mut buffer, version, wait).await?;
         }
-        delay_response(shared, number).await?;
+        delay_response(shared, connection).await?;
         respond(shared, &mut stream, received.request).await.ok()?;
     }
 }
 
-/// Delays a response according to the mode: until the mode is no longer [`Mode::Silent`], and on a slow connection by the
-/// delay of [`Mode::Slow`]. Returns `None` if the stand-in ends.
-async fn delay_response(shared: &Shared, number: u64) -> Option<()> {
+/// Waits while the mode is [`Mode::Silent`], and then, if the connection is slow, for the delay of [`Mode::Slow`].
+/// Returns `None` if the stand-in ends.
+async fn delay_response(shared: &SharedState, connection: u64) -> Option<()> {
     let mut mode = shared.mode.subscribe();
     let mode = *mode.wait_for(|mode| *mode != Mode::Silent).await.ok()?;
     if let Mode::Slow { one_in, delay } = mode
-        && number.is_multiple_of(one_in.max(1))
+        && connection.is_multiple_of(one_in.max(1))
     {
         tokio::time::sleep(delay).await;
     }
     Some(())
 }
 
-/// Waits for a version other than `applied`, for at most `wait`. Returns `None` if the peer closes the connection or sends
-/// more than a request meanwhile.
+/// Waits until the list has a version other than `applied_version`, but at most for `max_wait`. Returns `None` if the
+/// peer closes the connection, or sends more data than a request may have.
 async fn wait_for_change(
-    shared: &Shared,
+    shared: &SharedState,
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
-    applied: u64,
-    wait: Duration,
+    applied_version: u64,
+    max_wait: Duration,
 ) -> Option<()> {
     let mut version = shared.version.subscribe();
-    let wait_over = tokio::time::sleep(wait);
+    let wait_over = tokio::time::sleep(max_wait);
     tokio::pin!(wait_over);
     loop {
         tokio::select! {
-            _ = version.wait_for(|version| *version != applied) => return Some(()),
+            _ = version.wait_for(|version| *version != applied_version) => return Some(()),
             () = &mut wait_over => return Some(()),
-            read = stream.read_buf(buffer) => if read.ok()? == 0 || buffer.len() > MAX_HEAD {
+            read = stream.read_buf(buffer) => if read.ok()? == 0 || buffer.len() > MAX_HEAD_BYTES {
                 return None;
             },
         }
@@ -232,14 +232,14 @@
 }
 
 /// Sends the response to a request and counts it.
-async fn respond(shared: &Shared, stream: &mut TcpStream, request: DiscoveryRequest) -> io::Result<()> {
+async fn respond(shared: &SharedState, stream: &mut TcpStream, request: DiscoveryRequest) -> io::Result<()> {
     let status = match request {
         DiscoveryRequest::Snapshot | DiscoveryRequest::Watch { .. } => "200 OK",
         DiscoveryRequest::Unknown => "404 Not Found",
     };
     let ListResponse { kind, body } = match request {
         DiscoveryRequest::Snapshot => shared.list.borrow_mut().snapshot(),
-        DiscoveryRequest::Watch { version, .. } => shared.list.borrow_mut().since(version),
+        DiscoveryRequest::Watch { version, .. } => shared.list.borrow_mut().update_since(version),
         DiscoveryRequest::Unknown => ListResponse { kind: ResponseKind::Empty, body: Bytes::new() },
     };
     let head = format!(
@@ -254,11 +254,11 @@
             ResponseKind::Empty => traffic.empty += 1,
         }
     });
-    write(stream, head.as_bytes(), &body).await
+    write_response(stream, head.as_bytes(), &body).await
 }
 
-/// Writes head and body, with one call if the socket accepts both.
-async fn write(stream: &mut TcpStream, head: &[u8], body: &[u8]) -> io::Result<()> {
+/// Writes head and body, in one system call if the socket accepts both.
+async fn write_response(stream: &mut TcpStream, head: &[u8], body: &[u8]) -> io::Result<()> {
     let written = stream.write_vectored(&[IoSlice::new(head), IoSlice::new(body)]).await?;
     stream.write_all(head.get(written..).unwrap_or_default()).await?;
     stream.write_all(body.get(written.saturating_sub(head.len())..).unwrap_or_default()).await
@@ -266,11 +266,11 @@
 
 /// Counts a watch as waiting until it is dropped.
 struct WaitingWatch<'a> {
-    shared: &'a Shared,
+    shared: &'a SharedState,
 }
 
 impl WaitingWatch<'_> {
-    fn begin(shared: &Shared) -> WaitingWatch<'_> {
+    fn begin(shared: &SharedState) -> WaitingWatch<'_> {
         shared.traffic.borrow_mut().waiting_watches += 1;
         WaitingWatch { shared }
     }
--- a/crates/testbed/src/discovery/traffic.rs
+++ b/crates/testbed/src/discovery/traffic.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// The first request on a connection that names a newer version, which its watcher has applied.
+/// The first request on a connection that names a newer version, which shows that the watcher has applied it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Acknowledgement {
     /// The number of the connection, counted from 0 in the order of acceptance.
@@ -61,21 +61,21 @@
 pub struct Counters {
     /// The traffic since the start.
     pub total: Traffic,
-    /// Number of connections open at present.
+    /// Number of currently open connections.
     pub open_connections: u64,
-    /// Number of watches that wait at present.
+    /// Number of currently waiting watches.
     pub waiting_watches: u64,
     /// The processor time of the stand-in's thread.
     pub processor_time: Duration,
     /// The start of the first bucket.
     pub start: Instant,
-    /// The traffic of each [`TRAFFIC_BUCKET`] from the start, for at most one hour. Buckets after the last traffic are
-    /// missing.
+    /// The traffic of each [`TRAFFIC_BUCKET`] from the start, for at most one hour. The last bucket is the last one
+    /// with traffic.
     pub buckets: Vec<Traffic>,
 }
 
 impl Counters {
-    /// Returns the buckets from the one that contains `from`.
+    /// Returns the buckets, beginning with the one that contains the time `from`.
     pub fn buckets_from(&self, from: Instant) -> &[Traffic] {
         let first = from.saturating_duration_since(self.start).as_micros() / TRAFFIC_BUCKET.as_micros();
         self.buckets.get(first as usize..).unwrap_or_default()
@@ -85,9 +85,9 @@
 /// Counts the traffic of the stand-in.
 pub(super) struct TrafficRecorder {
     total: Traffic,
-    /// Number of connections open at present.
+    /// Number of currently open connections.
     pub open_connections: u64,
-    /// Number of watches that wait at present.
+    /// Number of currently waiting watches.
     pub waiting_watches: u64,
     start: Instant,
     buckets: Vec<Traffic>,
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Adds to the total and to the present bucket.
-    pub fn count(&mut self, add: impl Fn(&mut Traffic)) {
-        add(&mut self.total);
+    /// Applies an update to the total and to the current bucket.
+    pub fn count(&mut self, update: impl Fn(&mut Traffic)) {
+        update(&mut self.total);
         let bucket = (self.start.elapsed().as_micros() / TRAFFIC_BUCKET.as_micros()) as usize;
         if bucket >= MAX_BUCKETS {
             return;
@@ -117,7 +117,7 @@
         if bucket >= self.buckets.len() {
             self.buckets.resize(bucket + 1, Traffic::default());
         }
-        add(&mut self.buckets[bucket]);
+        update(&mut self.buckets[bucket]);
     }
 
     /// Counts a connection and returns its number.
--- a/crates/testbed/src/discovery/versions.rs
+++ b/crates/testbed/src/discovery/versions.rs
@@ -39,9 +39,9 @@
     changed_by_version: VecDeque<Vec<String>>,
     /// The oldest version from which a delta can be computed.
     oldest: u64,
-    /// The body of the present snapshot; `None` until it was requested.
+    /// The body of the current snapshot; `None` until it is requested.
     snapshot: Option<Bytes>,
-    /// The bodies of the deltas to the present version, by the version from which they start. Each is serialized once
+    /// The bodies of the deltas to the current version, by the version from which they start. Each is serialized once
     /// for all watchers.
     deltas: HashMap<u64, Bytes>,
 }
@@ -51,7 +51,7 @@
 struct Body<'a> {
     /// The version of the list.
     generation: u64,
-    /// Whether `instances` is the complete list, which replaces the watcher's.
+    /// Whether `instances` is the complete list, which replaces the list of the watcher.
     reset: bool,
     instances: Vec<&'a Entry>,
 }
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Returns the present version.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Replaces the list in a new version, of which all watchers are notified by a snapshot.
+    /// Replaces the list in a new version. The response to a watch from any earlier version is then a snapshot.
     pub fn replace(&mut self, entries: Vec<Entry>) {
         self.version += 1;
         self.entries = entries.into_iter().map(|entry| (entry.instance_id.clone(), entry)).collect();
@@ -92,12 +92,12 @@
         self.changed_by_version.push_back(entries.iter().map(|entry| entry.instance_id.clone()).collect());
         self.entries.extend(entries.into_iter().map(|entry| (entry.instance_id.clone(), entry)));
         if self.changed_by_version.len() > RETAINED_VERSIONS {
-            self.forget_oldest_version();
+            self.drop_oldest_version();
         }
     }
 
     /// Drops the changes of the oldest retained version, and deleted entries that no later version changed.
-    fn forget_oldest_version(&mut self) {
+    fn drop_oldest_version(&mut self) {
         let Some(instances) = self.changed_by_version.pop_front() else { return };
         self.oldest += 1;
         for instance in instances {
@@ -122,9 +122,9 @@
         ListResponse { kind: ResponseKind::Snapshot, body }
     }
 
-    /// Returns the notification for a watcher that has applied `version`: a delta, or a snapshot if the changes since
-    /// that version are not retained.
-    pub fn since(&mut self, version: u64) -> ListResponse {
+    /// Returns the response to a watcher that has applied `version`: a delta, or a snapshot if the changes since that
+    /// version are not retained.
+    pub fn update_since(&mut self, version: u64) -> ListResponse {
         if version < self.oldest || version > self.version {
             return self.snapshot();
         }
--- a/crates/testbed/src/hollow/control.rs
+++ b/crates/testbed/src/hollow/control.rs
@@ -5,7 +5,7 @@
 
 use zincstand_policy::ServerState;
 
-/// An entry that lists are searched for.
+/// An entry that applied lists are searched for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MarkedEntry {
     /// The name of the instance.
@@ -17,7 +17,7 @@
 /// State that the owner of a fleet shares with its threads.
 #[derive(Default)]
 pub struct FleetControl {
-    /// Lists that contain this entry are marked; `None` marks no list.
+    /// Lists that contain this entry are reported as marked; `None` to mark no lists.
     pub mark: RwLock<Option<MarkedEntry>>,
     /// Whether the threads of slow balancers are blocked repeatedly.
     pub is_stalling: AtomicBool,
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -23,7 +23,7 @@
     slow: Option<SlowBalancers>,
 }
 
-/// A thread that runs a part of the balancers. Dropping it ends the thread.
+/// A thread that runs some of the balancers. Dropping it ends the thread.
 struct Worker {
     commands: Option<UnboundedSender<GroupCommand>>,
     thread: Option<JoinHandle<()>>,
@@ -33,8 +33,8 @@
     fn start(group: BalancerGroup) -> Result<Worker, FleetError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (commands, receiver) = unbounded_channel();
-        let run = move || LocalSet::new().block_on(&runtime, group.run(receiver));
-        let thread = std::thread::Builder::new().name("hollow".to_owned()).spawn(run)?;
+        let run_group = move || LocalSet::new().block_on(&runtime, group.run(receiver));
+        let thread = std::thread::Builder::new().name("hollow".to_owned()).spawn(run_group)?;
         Ok(Worker { commands: Some(commands), thread: Some(thread) })
     }
 }
@@ -49,31 +49,31 @@
     }
 }
 
-/// The balancers of one thread.
-struct ThreadShare {
+/// The balancers that one thread runs.
+struct ThreadAssignment {
     balancers: Vec<u32>,
     slow: Option<SlowBalancers>,
 }
 
-/// Divides the balancers among threads. Slow balancers share a thread of their own.
-fn divide(options: &FleetOptions) -> Vec<ThreadShare> {
+/// Assigns the balancers to threads. All slow balancers run on one additional thread.
+fn assign_to_threads(options: &FleetOptions) -> Vec<ThreadAssignment> {
     let threads = options.threads.max(1);
-    let share = |thread: u32| {
+    let assign = |thread: u32| {
         let balancers = (0..options.balancers)
             .filter(|balancer| !options.is_slow(*balancer) && balancer % threads == thread)
             .collect();
-        ThreadShare { balancers, slow: None }
+        ThreadAssignment { balancers, slow: None }
     };
-    let mut shares: Vec<_> = (0..threads).map(share).collect();
+    let mut assignments: Vec<_> = (0..threads).map(assign).collect();
     if let Some(slow) = options.slow {
         let balancers = (0..options.balancers).filter(|balancer| options.is_slow(*balancer)).collect();
-        shares.push(ThreadShare { balancers, slow: Some(slow) });
+        assignments.push(ThreadAssignment { balancers, slow: Some(slow) });
     }
-    shares
+    assignments
 }
 
 impl HollowFleet {
-    /// Starts the balancers. Each requests its list immediately, or when its policy polls, depending on the update mode.
+    /// Starts the balancers. Depending on the update mode, each requests its list immediately or when its policy polls.
     ///
     /// # Errors
     ///
@@ -84,19 +84,19 @@
         let settings = setup.to_policy_settings(&mut names)?;
         let names = Arc::new(names);
         let control = Arc::new(FleetControl::default());
-        let (sender, applied) = mpsc::channel();
-        let start = |share: ThreadShare| {
+        let (applied_sender, applied) = mpsc::channel();
+        let start = |assignment: ThreadAssignment| {
             Worker::start(BalancerGroup {
-                balancers: share.balancers,
-                slow: share.slow,
+                balancers: assignment.balancers,
+                slow: assignment.slow,
                 settings: settings.clone(),
                 names: names.clone(),
                 options: options.clone(),
-                applied: sender.clone(),
+                applied: applied_sender.clone(),
                 control: control.clone(),
             })
         };
-        let workers = divide(options).into_iter().map(start).collect::<Result<Vec<_>, _>>()?;
+        let workers = assign_to_threads(options).into_iter().map(start).collect::<Result<Vec<_>, _>>()?;
         Ok(HollowFleet { workers, applied, control, slow: options.slow })
     }
 
@@ -105,7 +105,7 @@
         self.control.is_stalling.store(is_stalling, Relaxed);
     }
 
-    /// Marks later lists that contain this entry.
+    /// Reports later lists as marked if they contain an entry of this instance with this state.
     pub fn mark(&self, instance: &str, state: ServerState) {
         if let Ok(mut mark) = self.control.mark.write() {
             *mark = Some(MarkedEntry { instance: instance.to_owned(), state });
@@ -129,13 +129,13 @@
 
     /// Returns the total processor time of the balancers' threads.
     pub fn processor_time(&self) -> Duration {
-        let request = |worker: &Worker| {
+        let request_time = |worker: &Worker| {
             let (sender, time) = mpsc::channel();
             worker.commands.as_ref()?.send(GroupCommand::ProcessorTime(sender)).ok()?;
             Some(time)
         };
-        // All threads are sent the command before the first reply is awaited.
-        let replies: Vec<_> = self.workers.iter().filter_map(request).collect();
+        // The command is sent to all threads before the first reply is awaited.
+        let replies: Vec<_> = self.workers.iter().filter_map(request_time).collect();
         replies.iter().filter_map(|time| time.recv().ok()).sum()
     }
 }
--- a/crates/testbed/src/hollow/group.rs
+++ b/crates/testbed/src/hollow/group.rs
@@ -1,4 +1,5 @@
-//! The hollow balancers of one thread. Each has its own dispatcher and the real discovery client, and no upstreams.
+//! The hollow balancers of one thread. Each has a dispatcher and a real discovery client, but sends nothing to
+//! upstreams.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -23,7 +24,7 @@
     ProcessorTime(mpsc::Sender<Duration>),
 }
 
-/// The balancers of one thread.
+/// The balancers that one thread runs.
 pub struct BalancerGroup {
     /// The numbers of the balancers.
     pub balancers: Vec<u32>,
@@ -46,9 +47,9 @@
     pub async fn run(self, mut commands: UnboundedReceiver<GroupCommand>) {
         for &balancer in &self.balancers {
             if let Err(error) = self.start(balancer) {
-                eprintln!("hollow balancer {balancer}: {error}");
+                eprintln!("hollow balancer {balancer} cannot be started: {error}");
             }
-            // Lets the balancers that are already started run.
+            // Gives the balancers that are already started time to run.
             tokio::task::yield_now().await;
         }
         if let Some(slow) = self.slow {
@@ -73,20 +74,21 @@
         let observer =
             ListObserver { balancer, applied: self.applied.clone(), control: self.control.clone() };
         let transport = HollowTransport { discovery, observer: Rc::new(observer) };
-        let watching = transport.clone();
+        let watch_transport = transport.clone();
         let seed = self.options.seed.wrapping_add(u64::from(balancer));
         let dispatcher = Dispatcher::new(settings, &self.names, seed, Rc::default(), transport)?;
         dispatcher.start_without_list();
         if is_pushed {
-            let updated = dispatcher.clone();
-            watching.watch(move |kind, endpoints| updated.update_endpoints(kind, endpoints));
+            let updated_dispatcher = dispatcher.clone();
+            watch_transport
+                .watch(move |kind, endpoints| updated_dispatcher.update_endpoints(kind, endpoints));
         }
         spawn_local(dispatcher.run_timers());
         Ok(())
     }
 }
 
-/// Blocks the thread repeatedly while the owner has set this, to simulate balancers whose core has other work.
+/// Blocks the thread repeatedly while stalling is set, to simulate balancers whose core has other work.
 async fn stall(slow: SlowBalancers, control: Arc<FleetControl>) {
     loop {
         if control.is_stalling.load(Relaxed) {
@@ -104,7 +106,7 @@
 }
 
 impl ListObserver {
-    /// Gives a list to the dispatcher, as a real balancer does, and reports that it was applied.
+    /// Passes a list to the dispatcher, as a real balancer does, and reports that the list was applied.
     fn apply(&self, on_list: &impl Fn(ListKind, Vec<Endpoint>), kind: ListKind, endpoints: Vec<Endpoint>) {
         let mark = self.control.mark.read().map(|mark| mark.clone()).unwrap_or_default();
         let is_marked = mark.is_some_and(|mark| {
@@ -119,7 +121,7 @@
     }
 }
 
-/// The transport of a balancer without clients. Its discovery client is real; it never sends to upstreams.
+/// The transport of a hollow balancer. Its discovery client is real, but it never sends to upstreams.
 #[derive(Clone)]
 struct HollowTransport {
     discovery: Rc<Discovery>,
@@ -132,7 +134,7 @@
     type Attempt = ();
 
     fn send(&self, _: Target, _: Rc<()>, _: Micros, _: AttemptCompletion<()>) {
-        // Never called, since there are no requests. Dropping the completion would report a reset.
+        // Never called, since there are no requests. Dropping the completion here would report a reset.
     }
 
     fn body_consumed((): &()) -> bool {
--- a/crates/testbed/src/hollow/mod.rs
+++ b/crates/testbed/src/hollow/mod.rs
@@ -1,5 +1,5 @@
-//! Hollow balancers: many balancers in one process, each with the real discovery client, dispatcher and policy, but without
-//! requests. A notification of discovery reaches the policy as in a real balancer.
+//! Hollow balancers: many balancers in one process, each with the real discovery client, dispatcher and policy, but
+//! without traffic. A notification from discovery reaches the policy as in a real balancer.
 
 mod control;
 mod fleet;
@@ -15,7 +15,7 @@
 
 pub use fleet::HollowFleet;
 
-/// An error of starting hollow balancers.
+/// The hollow balancers cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The settings do not have the form that a balancer reads.
@@ -25,11 +25,13 @@
     #[error("the hollow balancers' settings are invalid")]
     Settings(#[from] SettingsError),
     /// A thread or its runtime cannot be started.
-    #[error("the hollow balancers have no thread or descriptors: ask for fewer threads")]
+    #[error(
+        "a thread of the hollow balancers cannot be started: ask for fewer threads, or raise `ulimit -n`"
+    )]
     Thread(#[from] io::Error),
 }
 
-/// Balancers whose thread is blocked for a part of the time, as if its core had other work.
+/// Balancers whose thread is blocked periodically, as if its core had other work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowBalancers {
     /// One balancer in this many is slow.
@@ -61,7 +63,7 @@
 pub struct FleetOptions {
     /// The number of balancers.
     pub balancers: u32,
-    /// The number of threads that run the balancers. Slow balancers have another thread.
+    /// The number of threads that run the balancers, without the additional thread of slow balancers.
     pub threads: u32,
     /// The address of discovery.
     pub discovery: SocketAddr,
@@ -73,7 +75,8 @@
     pub poll_within: Duration,
     /// The number of zones in the settings.
     pub zones: u32,
-    /// The balancers that are slow while [`HollowFleet::set_stalling`] is on; `None` if all are equal.
+    /// The balancers that are slow while stalling is set by [`HollowFleet::set_stalling`]; `None` if no balancer is
+    /// slow.
     pub slow: Option<SlowBalancers>,
     /// The seed of all random choices.
     pub seed: u64,
@@ -86,7 +89,7 @@
     }
 }
 
-/// Notice that the policy of a balancer has applied a list and decides by it from then on.
+/// Reports that the policy of a balancer has applied a list, on which its later decisions are based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListApplied {
     /// The number of the balancer, counted from 0.
@@ -95,7 +98,7 @@
     pub kind: ListKind,
     /// The number of entries in the list.
     pub entries: usize,
-    /// Whether the list contains the entry that was last given to [`HollowFleet::mark`].
+    /// Whether the list contains the entry that was last passed to [`HollowFleet::mark`].
     pub is_marked: bool,
     /// When the policy had applied the list.
     pub at: Instant,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for upstreams, discovery and callers on loopback sockets around real balancers, and the measurements made
-//! with them.
+//! Stand-ins for upstreams, discovery and clients of real balancers, which communicate over loopback sockets, and the
+//! measurements made with them.
 
 #![forbid(unsafe_code)]
 
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -22,7 +22,7 @@
 }
 
 impl Machine {
-    /// Returns the properties of this machine. A property that cannot be read is 0 or empty.
+    /// Reads the properties of this machine. A property that cannot be read is 0 or empty.
     pub fn detect() -> Machine {
         let memory = value_in_file("/proc/meminfo", "MemTotal");
         let memory_kb = memory.and_then(|memory| memory.split(' ').next()?.parse::<u64>().ok());
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the value of the first line `key: value` of a file whose key starts with `key`; `None` if there is none.
+/// Returns the value in the first line of the form `key: value` whose key starts with `key`; `None` if there is none.
 fn value_in_file(file: &str, key: &str) -> Option<String> {
     let text = read_to_string(file).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with(key))?;
@@ -53,7 +53,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DescriptorLimitError {
     /// The hard limit is too low.
-    #[error("{needed} descriptors are needed and the hard limit is {maximum}: ask for fewer balancers")]
+    #[error("{needed} open descriptors are needed, but the hard limit is {maximum}: ask for fewer balancers")]
     HardLimit {
         /// The number of descriptors needed.
         needed: u64,
@@ -61,7 +61,7 @@
         maximum: u64,
     },
     /// The operating system rejected the change.
-    #[error("the limit on descriptors cannot be raised to {needed}: see `ulimit -n`")]
+    #[error("the limit on open descriptors cannot be raised to {needed}: raise it with `ulimit -n`")]
     SystemLimit {
         /// The number of descriptors needed.
         needed: u64,
@@ -105,7 +105,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum TooLargeError {
     /// The measurement needs more than [`MAX_PROCESSES`] processes.
-    #[error("this would start {processes} processes, over {MAX_PROCESSES}: ask for smaller sizes")]
+    #[error(
+        "this would start {processes} processes, over the limit of {MAX_PROCESSES}: ask for smaller sizes"
+    )]
     Processes {
         /// The number of processes needed.
         processes: usize,
@@ -122,7 +124,7 @@
     },
     /// The measurement needs more descriptors than this process may open.
     #[error(
-        "this would hold {needed} descriptors, over the limit of {limit}: ask for smaller sizes, or raise `ulimit -n`"
+        "this would open {needed} descriptors, over the limit of {limit}: ask for smaller sizes, or raise `ulimit -n`"
     )]
     Descriptors {
         /// The number of descriptors needed.
@@ -133,7 +135,7 @@
 }
 
 impl ResourceNeeds {
-    /// Returns the resources for two measurements that run one after the other.
+    /// Returns the larger need of each resource, which suffices for two measurements that run one after the other.
     pub fn max(self, other: ResourceNeeds) -> ResourceNeeds {
         ResourceNeeds {
             processes: self.processes.max(other.processes),
@@ -142,11 +144,12 @@
         }
     }
 
-    /// Checks that the machine has these resources. `descriptor_limit` is the limit on open descriptors of this process.
+    /// Checks that the machine has these resources. `descriptor_limit` is the limit on open descriptors of this
+    /// process.
     ///
     /// # Errors
     ///
-    /// A [`TooLargeError`] for the first resource that is exceeded. Its message says what to do.
+    /// A [`TooLargeError`] for the first resource that does not suffice. Its message says what to do.
     pub fn check(self, machine: &Machine, descriptor_limit: u64) -> Result<(), TooLargeError> {
         let ResourceNeeds { processes, memory_mb, descriptors } = self;
         if processes > MAX_PROCESSES {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,5 +1,5 @@
-//! The report of a measurement: slopes with their points, the machine and the revision. Its JSON form is stored with the
-//! documents that quote its figures.
+//! The report of a measurement: slopes with their points, the machine and the revision. Its JSON form is stored with
+//! the documents that quote its figures.
 
 use serde::Serialize;
 
@@ -17,7 +17,7 @@
     pub y: String,
     /// The measured points.
     pub points: Vec<Point>,
-    /// The fitted line; `None` if the points determine none.
+    /// The fitted line; `None` if the points do not determine a line.
     pub fit: Option<Fit>,
     /// A note for readers, such as the number of samples or failures; empty if there is none.
     #[serde(skip_serializing_if = "String::is_empty")]
@@ -49,7 +49,7 @@
 pub struct Report {
     /// The machine on which the run took place.
     pub machine: Machine,
-    /// The revision of the repository, followed by `+` if files differ from it.
+    /// The revision of the repository, followed by `+` if the working tree differs from it.
     pub revision: String,
     /// The seed of all random choices.
     pub seed: u64,
--- a/crates/testbed/src/slope.rs
+++ b/crates/testbed/src/slope.rs
@@ -27,7 +27,7 @@
     pub r2: f64,
 }
 
-/// A fitted line, with the slopes of both halves of the points if they differ.
+/// A line fitted to points, and its bend if the slopes of the two halves of the points differ.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// The line through all points.
@@ -69,22 +69,23 @@
     Some(Line { slope, intercept: mean_y - slope * mean_x, r2 })
 }
 
-/// Fits a line to points in any order, and compares the slopes of their halves if there are at least four. Returns `None`
-/// if there is no line.
+/// Fits a line to points in any order, and compares the slopes of their halves if there are at least four. Returns
+/// `None` if no line can be fitted.
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let mut sorted = points.to_vec();
     sorted.sort_by(|left, right| left.x.total_cmp(&right.x));
-    Some(Fit { line: fit_line(&sorted)?, bend: bend(&sorted) })
+    Some(Fit { line: fit_line(&sorted)?, bend: find_bend(&sorted) })
 }
 
-/// Returns the slopes of the two halves of sorted points if they differ by more than [`BEND_THRESHOLD`].
-fn bend(sorted: &[Point]) -> Option<Bend> {
+/// Returns the slopes of the two halves of sorted points if they differ by more than [`BEND_THRESHOLD`] of the larger
+/// one.
+fn find_bend(sorted: &[Point]) -> Option<Bend> {
     if sorted.len() < MIN_POINTS_FOR_BEND {
         return None;
     }
     let half = sorted.len().div_ceil(2);
     let lower = fit_line(&sorted[..half])?.slope;
     let upper = fit_line(&sorted[sorted.len() - half..])?.slope;
-    let larger = lower.abs().max(upper.abs());
-    ((lower - upper).abs() > BEND_THRESHOLD * larger).then_some(Bend { lower, upper })
+    let larger_slope = lower.abs().max(upper.abs());
+    ((lower - upper).abs() > BEND_THRESHOLD * larger_slope).then_some(Bend { lower, upper })
 }
--- a/crates/testbed/src/upstreams.rs
+++ b/crates/testbed/src/upstreams.rs
@@ -20,15 +20,17 @@
 use crate::discovery::Entry;
 
 /// The body of each response.
-const BODY: [u8; 64] = [b'.'; 64];
+const RESPONSE_BODY: [u8; 64] = [b'.'; 64];
 /// Number of upstreams in one subnet `127.0.x.0/24`.
 const UPSTREAMS_PER_SUBNET: usize = 250;
 
-/// An error of starting stand-in upstreams.
+/// The stand-in upstreams cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum UpstreamsError {
     /// An address cannot be listened on.
-    #[error("an upstream cannot listen on {address}; if descriptors are missing, see `ulimit -n`")]
+    #[error(
+        "a stand-in upstream cannot listen on {address}: if the limit on descriptors is reached, raise `ulimit -n`"
+    )]
     Listen {
         /// The address.
         address: Ipv4Addr,
@@ -37,69 +39,71 @@
         source: io::Error,
     },
     /// The thread or its runtime cannot be started.
-    #[error("the stand-in upstreams have no thread or descriptors: ask for fewer")]
+    #[error(
+        "the thread of the stand-in upstreams cannot be started: ask for fewer upstreams, or raise `ulimit -n`"
+    )]
     Start(#[source] io::Error),
 }
 
 /// State that the thread of the upstreams shares with their owner.
 #[derive(Default)]
-struct Shared {
+struct SharedState {
     /// Number of connections accepted so far.
     connections: AtomicU64,
-    /// Number of requests so far, by upstream.
+    /// Number of requests received so far, by upstream.
     requests: Vec<AtomicU64>,
-    /// Delay from each request to its response, in microseconds.
-    delay: AtomicU64,
+    /// Delay between a request and its response, in microseconds.
+    delay_us: AtomicU64,
 }
 
-/// Running upstreams. Dropping this value ends their thread.
+/// Running upstreams, all served by one thread. Dropping this value ends the thread.
 pub struct Upstreams {
     /// The address of each upstream, of the form `127.0.x.y`.
     pub addresses: Vec<SocketAddr>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     /// Dropped to end the thread; `None` afterwards.
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Upstreams {
-    /// Starts `number` upstreams on loopback, at most 60,000, in a thread of their own.
+    /// Starts `count` upstreams on loopback addresses, at most 60,000, in a separate thread.
     ///
     /// # Errors
     ///
     /// An [`UpstreamsError`] if an address cannot be listened on or the thread cannot be started.
-    pub fn start(number: usize) -> Result<Upstreams, UpstreamsError> {
-        let listeners = (0..number).map(listen).collect::<Result<Vec<_>, _>>()?;
+    pub fn start(count: usize) -> Result<Upstreams, UpstreamsError> {
+        let listeners = (0..count).map(listen).collect::<Result<Vec<_>, _>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>();
         let addresses = addresses.map_err(UpstreamsError::Start)?;
-        let requests = (0..number).map(|_| AtomicU64::default()).collect();
-        let shared = Arc::new(Shared { requests, ..Shared::default() });
+        let requests = (0..count).map(|_| AtomicU64::default()).collect();
+        let shared = Arc::new(SharedState { requests, ..SharedState::default() });
         let (stop, stopped) = oneshot::channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(UpstreamsError::Start)?;
         let thread_shared = shared.clone();
-        let run = move || {
+        let run_upstreams = move || {
             let local = LocalSet::new();
             for (number, listener) in listeners.into_iter().enumerate() {
                 local.spawn_local(serve_listener(listener, number, thread_shared.clone()));
             }
-            // The result is always the error of a dropped sender, since dropping it is how the owner ends the thread.
+            // The owner ends the thread by dropping the sender, so the result is always the error of a dropped sender.
             let _ = local.block_on(&runtime, stopped);
         };
-        let thread = std::thread::Builder::new().name("upstreams".into()).spawn(run);
+        let thread = std::thread::Builder::new().name("upstreams".into()).spawn(run_upstreams);
         let thread = thread.map_err(UpstreamsError::Start)?;
         Ok(Upstreams { addresses, shared, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Returns the entries of the upstreams in the endpoint list, all serving in one zone.
+    /// Returns the entries of the upstreams in the endpoint list. All are serving and in one zone.
     pub fn entries(&self) -> Vec<Entry> {
         let entry = |(number, address): (usize, &SocketAddr)| Entry::serving(number, 1, *address);
         self.addresses.iter().enumerate().map(entry).collect()
     }
 
-    /// Sets the delay from each later request to its response.
+    /// Sets the delay between a request and its response, for later requests.
     pub fn set_response_delay(&self, delay: Duration) {
-        self.shared.delay.store(delay.as_micros() as u64, Relaxed);
+        self.shared.delay_us.store(delay.as_micros() as u64, Relaxed);
     }
 
     /// Returns the number of connections accepted so far.
@@ -107,7 +111,7 @@
         self.shared.connections.load(Relaxed)
     }
 
-    /// Returns the number of requests so far, by upstream.
+    /// Returns the number of requests received so far, by upstream.
     pub fn requests(&self) -> Vec<u64> {
         self.shared.requests.iter().map(|requests| requests.load(Relaxed)).collect()
     }
@@ -126,33 +130,33 @@
     let subnet = (1 + number / UPSTREAMS_PER_SUBNET) as u8;
     let host = (1 + number % UPSTREAMS_PER_SUBNET) as u8;
     let address = Ipv4Addr::new(127, 0, subnet, host);
-    let bind = || {
+    let try_listen = || {
         let listener = TcpListener::bind((address, 0))?;
         listener.set_nonblocking(true)?;
         Ok(listener)
     };
-    bind().map_err(|source| UpstreamsError::Listen { address, source })
+    try_listen().map_err(|source| UpstreamsError::Listen { address, source })
 }
 
-/// Accepts the connections of one upstream, and serves each in a task of its own.
-async fn serve_listener(listener: TcpListener, number: usize, shared: Arc<Shared>) {
+/// Accepts the connections of one upstream, and serves each in a separate task.
+async fn serve_listener(listener: TcpListener, number: usize, shared: Arc<SharedState>) {
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
     loop {
         let stream = accept(&listener).await;
         shared.connections.fetch_add(1, Relaxed);
-        spawn_local(serve(stream, number, shared.clone()));
+        spawn_local(serve_connection(stream, number, shared.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, number: usize, shared: Arc<Shared>) {
+async fn serve_connection(stream: TcpStream, number: usize, shared: Arc<SharedState>) {
     let respond = |_: Request<Incoming>| {
         shared.requests[number].fetch_add(1, Relaxed);
-        let delay = shared.delay.load(Relaxed);
+        let delay_us = shared.delay_us.load(Relaxed);
         async move {
-            if delay > 0 {
-                tokio::time::sleep(Duration::from_micros(delay)).await;
+            if delay_us > 0 {
+                tokio::time::sleep(Duration::from_micros(delay_us)).await;
             }
-            Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(&BODY))))
+            Ok::<_, Infallible>(Response::new(Full::new(Bytes::from_static(&RESPONSE_BODY))))
         }
     };
     // An error means that the client has disconnected.
--- a/crates/testbed/tests/discovery.rs
+++ b/crates/testbed/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service of the testbed: its protocol and its failures.
+//! The stand-in for discovery: its protocol and its failure modes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -28,7 +28,7 @@
         Client { stream }
     }
 
-    /// Sends a request for the endpoint list; without a query it asks for a snapshot.
+    /// Sends a request for the endpoint list, which without a query is a request for a snapshot.
     fn send(&mut self, query: &str) {
         let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: d\r\n\r\n");
         self.stream.write_all(request.as_bytes()).expect("the request is written");
@@ -39,17 +39,18 @@
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
-            self.stream.read_exact(&mut byte).expect("a complete head");
+            self.stream.read_exact(&mut byte).expect("a complete response head is received");
             head.push(byte[0]);
         }
-        let head = String::from_utf8(head).expect("a head in UTF-8");
+        let head = String::from_utf8(head).expect("the head is in UTF-8");
         let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
-        let mut body = vec![0; length.expect("a length").parse().expect("a length in bytes")];
-        self.stream.read_exact(&mut body).expect("a complete body");
-        serde_json::from_slice(&body).expect("a body in JSON")
+        let mut body =
+            vec![0; length.expect("the head has a Content-Length").parse().expect("the length is a number")];
+        self.stream.read_exact(&mut body).expect("a complete body is received");
+        serde_json::from_slice(&body).expect("the body is in JSON")
     }
 
-    /// Sends a request for the endpoint list and returns the list.
+    /// Sends a request for the endpoint list and returns the body of the response.
     fn exchange(&mut self, query: &str) -> Value {
         self.send(query);
         self.receive()
@@ -68,38 +69,38 @@
     assert_eq!((list["generation"].as_u64(), list["reset"].as_bool()), (Some(version), Some(is_snapshot)));
 }
 
-fn endpoint_count(list: &Value) -> Option<usize> {
+fn entry_count(list: &Value) -> Option<usize> {
     list["instances"].as_array().map(Vec::len)
 }
 
-/// Changes endpoints and returns the version of the list.
+/// Changes entries and returns the new version of the list.
 fn change(discovery: &Discovery, entries: Vec<Entry>) -> u64 {
     discovery.change(entries).expect("the list is changed").version
 }
 
-/// Asserts the counts of one client that has sent six requests: three were answered by a snapshot, two by an
-/// incremental update, and one by an empty list.
+/// Asserts the counts of one client that has sent six requests: three were answered by a snapshot, two by a
+/// delta, and one by an empty list.
 #[track_caller]
 fn assert_counts_of_six_requests(discovery: &Discovery) {
-    let counters = discovery.counters().expect("the counters");
+    let counters = discovery.counters().expect("the counters are read");
     let total = &counters.total;
     assert_eq!((total.connections, total.requests, counters.open_connections), (1, 6, 1));
     assert_eq!((total.snapshots, total.deltas, total.empty), (3, 2, 1));
 }
 
 #[test]
-fn a_watch_gets_the_changes_since_its_version_and_a_snapshot_where_that_is_too_old() {
+fn a_watch_gets_the_changes_since_its_version_or_a_snapshot_if_the_version_is_too_old() {
     let discovery = Discovery::start().expect("discovery starts");
     let first = discovery.replace((0..3).map(entry).collect()).expect("the list is replaced").version;
     let mut client = Client::connect(&discovery);
     let snapshot = client.exchange("");
     assert_list(&snapshot, first, true);
     assert_eq!(snapshot["instances"][1]["instanceId"], "s-00000001");
-    assert_eq!(endpoint_count(&snapshot), Some(3));
-    // Nothing changes before the wait ends.
+    assert_eq!(entry_count(&snapshot), Some(3));
+    // The list does not change before the wait ends.
     let unchanged = client.exchange(&format!("?index={first}&wait=1"));
     assert_eq!(unchanged, serde_json::json!({"generation": first, "reset": false, "instances": []}));
-    // A watch that waits is notified.
+    // A waiting watch is notified of a change.
     client.send(&watch_from(first));
     let second = change(&discovery, vec![entry(1).with_lifecycle(Lifecycle::Draining)]);
     let delta = client.receive();
@@ -109,24 +110,24 @@
     let deleted = entry(1).with_lifecycle(Lifecycle::Deleted);
     change(&discovery, vec![deleted, entry(2).with_lifecycle(Lifecycle::Draining)]);
     let both = client.exchange(&watch_from(first));
-    let entries = both["instances"].as_array().expect("a list of entries");
+    let entries = both["instances"].as_array().expect("the instances are an array");
     let lifecycles: Vec<_> = entries.iter().map(|entry| &entry["lifecycle"]).collect();
     assert_eq!(lifecycles, ["DELETED", "DRAINING"]);
-    assert_eq!(endpoint_count(&client.exchange("")), Some(2));
+    assert_eq!(entry_count(&client.exchange("")), Some(2));
     for _ in 0..RETAINED_VERSIONS {
         change(&discovery, vec![entry(0)]);
     }
     assert_eq!(client.exchange(&watch_from(first))["reset"], true);
     assert_counts_of_six_requests(&discovery);
-    let acknowledgements = discovery.take_acknowledgements().expect("the acknowledgements");
+    let acknowledgements = discovery.take_acknowledgements().expect("the acknowledgements are read");
     let versions: Vec<_> = acknowledgements.iter().map(|acknowledgement| acknowledgement.version).collect();
     assert_eq!(versions, [first]);
 }
 
 #[test]
-fn discovery_rejects_connections_while_down_and_is_silent_on_request_and_recovers_at_its_address() {
+fn discovery_refuses_connections_while_down_does_not_respond_while_silent_and_recovers() {
     let discovery = Discovery::start().expect("discovery starts");
-    let total = || discovery.counters().expect("the counters").total;
+    let total = || discovery.counters().expect("the counters are read").total;
     let mut client = Client::connect(&discovery);
     client.exchange("");
     discovery.set_mode(Mode::Down).expect("discovery is down");
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! The cost of the discovery protocol with many watchers, as counts and bytes. Times are not measured.
+//! The cost of the discovery protocol with many watchers, in requests, responses and bytes. Times are not measured.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,7 +8,8 @@
 use zincstand_testbed::discovery::{Counters, Discovery, Entry, Lifecycle};
 use zincstand_testbed::hollow::{FleetOptions, HollowFleet, ListApplied, UpdateMode};
 
-/// Upper bound on the wait for any single event. Watches wait for as long.
+/// Maximum wait for any single event. It is also the drain grace of the fleet, from which the wait of its watches is
+/// derived.
 const EVENT_TIMEOUT: Duration = Duration::from_mins(1);
 /// Number of balancers that watch.
 const BALANCERS: u32 = 50;
@@ -17,17 +18,17 @@
     Entry::serving(number, 14, SocketAddr::from(([127, 0, 0, 1], 9)))
 }
 
-/// Discovery, and balancers that have all applied its list and watch for the next version. Their watches wait longer than
-/// the test takes, so that every response is a notification.
+/// Discovery, and balancers that have all applied its list and watch for the next version. Their watches wait longer
+/// than the test takes, so that every response is a notification.
 struct WatchingFleet {
     discovery: Discovery,
     balancers: HollowFleet,
 }
 
-/// Starts discovery with a list of this length and waits until all balancers watch.
+/// Starts discovery with a list of this many upstreams, and waits until all balancers watch.
 fn start_watching(upstreams: usize) -> WatchingFleet {
-    let discovery = Discovery::start().expect("discovery");
-    discovery.replace((0..upstreams).map(entry).collect()).expect("the list is published");
+    let discovery = Discovery::start().expect("discovery starts");
+    discovery.replace((0..upstreams).map(entry).collect()).expect("the list is replaced");
     let options = FleetOptions {
         balancers: BALANCERS,
         threads: 2,
@@ -47,20 +48,20 @@
     WatchingFleet { discovery, balancers }
 }
 
-/// Waits until each balancer has applied one list, and checks each of these events.
+/// Waits until each balancer has applied one list, and calls `check` for each of these events.
 fn wait_until_each_applied(balancers: &HollowFleet, check: impl Fn(ListApplied)) {
-    let mut notified = BTreeSet::new();
-    while notified.len() < BALANCERS as usize {
+    let mut applied_by = BTreeSet::new();
+    while applied_by.len() < BALANCERS as usize {
         let applied = balancers.next_applied(EVENT_TIMEOUT).expect("a balancer applies a list");
         check(applied);
-        assert!(notified.insert(applied.balancer), "notified twice");
+        assert!(applied_by.insert(applied.balancer), "balancer {} applied two lists", applied.balancer);
     }
 }
 
-/// Waits until a watch of each balancer waits, and returns the counters.
+/// Waits until the watches of all balancers are waiting, and returns the counters.
 fn wait_until_all_watch(discovery: &Discovery) -> Counters {
     loop {
-        let counters = discovery.counters().expect("the counters");
+        let counters = discovery.counters().expect("the counters are read");
         if counters.waiting_watches == u64::from(BALANCERS) {
             return counters;
         }
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_change_costs_each_balancer_one_small_response_however_long_the_list_is() {
+fn a_change_costs_each_balancer_one_small_response_regardless_of_the_length_of_the_list() {
     let costs = [20, 500].map(|upstreams| {
         let WatchingFleet { discovery, balancers } = start_watching(upstreams);
         let before = wait_until_all_watch(&discovery).total;
@@ -93,12 +94,12 @@
     let WatchingFleet { discovery, balancers } = start_watching(500);
     let before = wait_until_all_watch(&discovery).total;
     discovery.close_connections().expect("the connections are closed");
-    while discovery.counters().expect("the counters").total.connections < 100 {
+    while discovery.counters().expect("the counters are read").total.connections < 100 {
         std::thread::yield_now();
     }
     let after = wait_until_all_watch(&discovery).total.since(&before);
     assert_eq!((after.connections, after.requests, after.snapshots, after.bytes_out), (50, 50, 0, 0));
-    // The new watches are notified.
+    // The new watches are notified of a change.
     discovery.change(vec![entry(3).with_lifecycle(Lifecycle::Draining)]).expect("the list is changed");
     wait_until_each_applied(&balancers, |applied| {
         assert_eq!((applied.kind, applied.entries), (ListKind::Delta, 1));
--- a/crates/testbed/tests/machine.rs
+++ b/crates/testbed/tests/machine.rs
@@ -3,7 +3,7 @@
 use zincstand_testbed::machine::{MAX_PROCESSES, Machine, ResourceNeeds};
 
 #[test]
-fn needs_beyond_the_machine_are_rejected_with_advice() {
+fn needs_that_exceed_the_machine_are_rejected_with_advice() {
     let machine = Machine { cores: 1, processor: String::new(), memory_mb: 1000 };
     let fits = ResourceNeeds { processes: MAX_PROCESSES, memory_mb: 500, descriptors: 64 };
     fits.check(&machine, 64).expect("needs that just fit");
