--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,11 @@
-//! Stand-ins for upstreams, discovery and callers on loopback sockets around real balancers, and the measurements made
-//! with them.
+//! Stand-ins for upstreams, discovery and clients of real balancers, which communicate over loopback sockets, and the
+//! measurements made with them.
 
 #![forbid(unsafe_code)]
 
 mod accept;
 pub mod balancer;
-pub mod callers;
+pub mod clients;
 pub mod discovery;
 pub mod hollow;
 pub mod machine;
