--- a/crates/fleet-model/src/scenario/fault.rs
+++ b/crates/fleet-model/src/scenario/fault.rs
@@ -12,15 +12,15 @@
     pub kind: FaultKind,
     /// Time at which the fault begins, since the start of the scenario.
     pub at: Span,
-    /// Duration of the fault, or of the steps that its targets take one after the other.
+    /// Duration of the fault, or of the time in which its targets are affected one after the other.
     #[serde(default)]
     pub length: Span,
     /// Index of the affected tier.
     #[serde(default)]
     pub tier: usize,
     /// Indexes of the affected servers of the tier, or of the affected balancers. All are affected if empty.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub which: Vec<usize>,
+    #[serde(rename = "which", default, skip_serializing_if = "Vec::is_empty")]
+    pub targets: Vec<usize>,
     /// Name of the affected zone. Required by faults of a zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -35,14 +35,14 @@
     #[serde(default = "one")]
     pub factor: f64,
     /// Whether the new process of a balancer restores the learned state of the old one.
-    #[serde(default)]
-    pub learned: bool,
-    /// Whether excluded servers restart during the fault. They warm up when they are allowed again.
+    #[serde(rename = "learned", default)]
+    pub restores_learned_state: bool,
+    /// Whether excluded servers restart during the fault. They warm up when they are included again.
     #[serde(default)]
     pub restarts: bool,
     /// Time for which servers drain before they restart.
-    #[serde(default)]
-    pub drain: Span,
+    #[serde(rename = "drain", default)]
+    pub drain_time: Span,
 }
 
 /// Default of shares and factors.
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Servers fail a share of their requests immediately.
+    /// Servers immediately fail a share of their requests.
     FastErrors,
     /// A share of the requests of a class needs `factor` times the work.
     HeavyTail,
@@ -68,11 +68,13 @@
     Resets,
     /// A zone's servers vanish without deregistering, return and warm up.
     ZoneLost,
-    /// Single servers, such as those of a rack, vanish without deregistering. The balancers of the first tier
-    /// beside them keep running.
+    /// Some servers, such as those of a rack, vanish without deregistering. The balancers of the first tier keep
+    /// running.
     Vanished,
-    /// A network partition separates zones from the others. Zones that are cut off at the same time reach each other.
-    ZoneCut,
+    /// A network partition separates zones from the others. Zones that are cut off at the same time can reach each
+    /// other.
+    #[serde(rename = "zone_cut")]
+    ZonePartition,
     /// Servers stop, and servers with new ids start at the same addresses and warm up.
     Replaced,
     /// Balancers are killed and start again after `length`.
@@ -81,7 +83,7 @@
     BalancerRestart,
     /// Hot restart: each balancer's process is replaced by a new one, which serves while the old one drains.
     ProcessReplaced,
-    /// Operators exclude servers at every balancer of the servers' tier, and allow them again.
+    /// Operators exclude servers at every balancer that sends to them, and include them again.
     #[serde(rename = "out_by_hand")]
     ExcludedByOperators,
     /// Balancers send their clients to other balancers.
--- a/crates/fleet-model/src/scoring/result.rs
+++ b/crates/fleet-model/src/scoring/result.rs
@@ -12,7 +12,7 @@
     pub served: u32,
     /// Requests answered after the latency objective.
     pub late: u32,
-    /// Requests rejected.
+    /// Requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u32,
     /// Requests that failed.
@@ -46,7 +46,8 @@
     /// Share of utility of the worst ten seconds.
     pub worst_window: f64,
     /// Second in which the worst ten seconds began.
-    pub worst_at: usize,
+    #[serde(rename = "worst_at")]
+    pub worst_window_start: usize,
     /// Share of utility of the worst-served class.
     pub worst_class: f64,
     /// Share of utility of the worst-served tenant, of its requests within the quota.
@@ -61,18 +62,20 @@
     pub attempts: u64,
     /// Number of retries of clients.
     pub client_retries: u64,
-    /// Share of the work that contributed to no answer.
-    pub waste: f64,
+    /// Share of the work that contributed to no response.
+    #[serde(rename = "waste")]
+    pub wasted_share: f64,
     /// Number of servers that choked at least once.
     pub choked: usize,
     /// Number of servers that collapsed while warming up.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
-    /// Number of broken rules.
-    pub broken: u64,
-    /// Number of events of the world.
+    /// Number of breaches of the rules.
+    #[serde(rename = "broken")]
+    pub breach_count: u64,
+    /// Number of simulated events.
     pub events: u64,
-    /// Reports of the first broken rules.
+    /// Reports of the first breaches.
     pub breaches: Vec<Breach>,
 }
 
@@ -105,12 +108,15 @@
     pub up: bool,
     /// Whether the server is choked.
     pub choked: bool,
-    /// Current capacity as a share of the full capacity.
-    pub share: f64,
+    /// Capacity of the server as a share of its full capacity.
+    #[serde(rename = "share")]
+    pub capacity_share: f64,
     /// Number of balancers whose circuit breaker for the server is open.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub open_breakers: u32,
     /// Concurrency limit of the server's zone in slots for each server, summed over the balancers.
-    pub window: f64,
-    /// Mean latency of the attempts answered since the previous sample, in microseconds. 0 without answers.
+    #[serde(rename = "window")]
+    pub concurrency_limit: f64,
+    /// Mean latency of the attempts answered since the previous sample, in microseconds. 0 without such attempts.
     pub latency: f64,
 }
