--- a/crates/cli/src/model/depth.rs
+++ b/crates/cli/src/model/depth.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Result, bail};
 use clap::Args;
-use zincstand_fleet_model::depth::{self, Depth, Fit, Mean, Row, Sizes, Slope};
+use zincstand_fleet_model::depth::{self, ConditionFits, DepthResult, Fit, Mean, Parameters, Row};
 
 use crate::model::columns::{Column, format_table};
 use crate::model::output::print;
@@ -42,9 +42,9 @@
 /// # Errors
 /// Fails if the depths give no slope, if a scenario is invalid, or if the result cannot be written.
 pub fn run(args: &DepthArgs) -> Result<()> {
-    let sizes = sizes(args)?;
-    let scenarios = (sizes.tiers.len() * sizes.conditions.len()) as u64 * sizes.seeds;
-    let measured = Measured::run(scenarios, |bar| depth::run(args.seed, &sizes, || bar.inc(1)))?;
+    let parameters = parameters(args)?;
+    let scenarios = (parameters.tiers.len() * parameters.conditions.len()) as u64 * parameters.seeds;
+    let measured = Measured::run(scenarios, |bar| depth::run(args.seed, &parameters, || bar.inc(1)))?;
     if let Some(path) = &args.out {
         measured.write(path, "depth")?;
     }
@@ -54,17 +54,17 @@
     Ok(())
 }
 
-/// Returns the sizes to run, from the arguments and the defaults of the model.
-fn sizes(args: &DepthArgs) -> Result<Sizes> {
+/// Returns the parameters to run, from the arguments and the defaults of the model.
+fn parameters(args: &DepthArgs) -> Result<Parameters> {
     let mut tiers = args.tiers.clone();
     tiers.sort_unstable();
     tiers.dedup();
     if tiers.len() < MIN_DEPTHS || tiers[0] < MIN_TIERS {
         bail!("--tiers needs at least four different depths of at least two tiers");
     }
-    let standard = if args.quick { Sizes::quick() } else { Sizes::default() };
+    let standard = if args.quick { Parameters::quick() } else { Parameters::default() };
     let seeds = args.seeds.unwrap_or(standard.seeds).clamp(1, MAX_SEEDS);
-    Ok(Sizes { tiers, seeds, ..standard })
+    Ok(Parameters { tiers, seeds, ..standard })
 }
 
 /// Columns of the table of conditions and depths.
@@ -74,44 +74,44 @@
     Column { title: "calls", cell: |row| row.calls.to_string() },
     Column { title: "goodput", cell: |row| with_interval(row.goodput) },
     Column { title: "answered", cell: |row| with_interval(row.answered) },
-    Column { title: "attempts in the last tier", cell: |row| with_interval(row.bottom) },
+    Column { title: "attempts in the last tier", cell: |row| with_interval(row.last_tier_attempts) },
     Column { title: "max in a tier", cell: |row| format!("{:.3}", largest(&row.amplification)) },
     Column { title: "time left in the last tier", cell: |row| or_zero(row.time_left.last()) },
     Column { title: "wasted work", cell: |row| with_interval(row.waste) },
-    Column { title: "wasted in the first tier", cell: |row| or_zero(row.wasted.first()) },
-    Column { title: "wasted in the last tier", cell: |row| or_zero(row.wasted.last()) },
+    Column { title: "wasted in the first tier", cell: |row| or_zero(row.waste_by_tier.first()) },
+    Column { title: "wasted in the last tier", cell: |row| or_zero(row.waste_by_tier.last()) },
     Column { title: "rules broken", cell: |row| row.broken.to_string() },
 ];
 
 /// Columns of the table of slopes over the depths.
-const SLOPE_COLUMNS: [Column<Slope>; 7] = [
-    Column { title: "condition", cell: |slope| slope.condition.name().to_owned() },
+const SLOPE_COLUMNS: [Column<ConditionFits>; 7] = [
+    Column { title: "condition", cell: |fits| fits.condition.name().to_owned() },
     Column {
         title: "ln(attempts in the last tier) per tier",
-        cell: |slope| format!("{:.5}", slope.amplification.slope),
+        cell: |fits| format!("{:.5}", fits.amplification.slope),
     },
-    Column { title: "intercept", cell: |slope| format!("{:.4}", slope.amplification.intercept) },
-    Column { title: "r2", cell: |slope| format!("{:.3}", slope.amplification.r2) },
-    Column { title: "lower, upper half", cell: |slope| halves(&slope.amplification) },
-    Column { title: "goodput per tier", cell: |slope| format!("{:.5}", slope.goodput.slope) },
-    Column { title: "r2", cell: |slope| format!("{:.3}", slope.goodput.r2) },
+    Column { title: "intercept", cell: |fits| format!("{:.4}", fits.amplification.intercept) },
+    Column { title: "r2", cell: |fits| format!("{:.3}", fits.amplification.r2) },
+    Column { title: "lower, upper half", cell: |fits| halves(&fits.amplification) },
+    Column { title: "goodput per tier", cell: |fits| format!("{:.5}", fits.goodput.slope) },
+    Column { title: "r2", cell: |fits| format!("{:.3}", fits.goodput.r2) },
 ];
 
 /// Formats the tables of rows and slopes, and the values by tier of the largest depth.
-fn report(result: &Depth) -> String {
+fn report(result: &DepthResult) -> String {
     let rows = format_table(&ROW_COLUMNS, 1, &result.rows);
-    let slopes = format_table(&SLOPE_COLUMNS, 1, &result.slopes);
+    let slopes = format_table(&SLOPE_COLUMNS, 1, &result.fits);
     let mut by_tier = String::new();
-    for row in result.rows.iter().filter(|row| Some(&row.tiers) == result.sizes.tiers.last()) {
+    for row in result.rows.iter().filter(|row| Some(&row.tiers) == result.parameters.tiers.last()) {
         by_tier.push_str(&tier_lines(row));
     }
     format!(
         "{rows}\n\n{slopes}\n{by_tier}\n(means over {} seeds, ± half of the 95% interval; \
          {} servers per tier, each 45% busy, {} calls per second to each balancer; latency objective 50 ms and \
          deadline 100 ms per tier, or 400 ms and 800 ms in total where fixed)",
-        result.sizes.seeds,
-        depth::SERVERS,
-        depth::RATE
+        result.parameters.seeds,
+        depth::SERVERS_PER_TIER,
+        depth::RATE_PER_BALANCER
     )
 }
 
@@ -124,7 +124,7 @@
         row.tiers,
         joined(&row.amplification),
         joined(&row.time_left),
-        joined(&row.wasted)
+        joined(&row.waste_by_tier)
     )
 }
 
@@ -146,10 +146,10 @@
 
 /// Formats a mean with half of its 95% interval.
 fn with_interval(mean: Mean) -> String {
-    format!("{:.3} ± {:.3}", mean.mean, mean.half)
+    format!("{:.3} ± {:.3}", mean.mean, mean.half_width)
 }
 
 /// Formats the slopes of the lower and the upper half of the points.
 fn halves(fit: &Fit) -> String {
-    format!("{:.5}, {:.5}", fit.lower, fit.upper)
+    format!("{:.5}, {:.5}", fit.lower_half_slope, fit.upper_half_slope)
 }
--- a/crates/cli/src/model/failures.rs
+++ b/crates/cli/src/model/failures.rs
@@ -5,7 +5,7 @@
 use anyhow::{Result, bail};
 use clap::Args;
 use zincstand_fleet_model::depth::Fit;
-use zincstand_fleet_model::failures::{self, Cost, Failures, Row, Sizes};
+use zincstand_fleet_model::failures::{self, Cost, FailuresResult, Parameters, Row};
 
 use crate::model::columns::{Column, format_table};
 use crate::model::output::print;
@@ -47,10 +47,11 @@
 /// # Errors
 /// Fails if the rate is out of range, if a scenario is invalid, or if the result cannot be written.
 pub fn run(args: &FailuresArgs) -> Result<()> {
-    let sizes = sizes(args)?;
+    let parameters = parameters(args)?;
     let known = known_servers(args.quick);
-    let scenarios = (known.len() + sizes.failures.len()) as u64;
-    let measured = Measured::run(scenarios, |bar| failures::run(args.seed, &sizes, &known, || bar.inc(1)))?;
+    let scenarios = (known.len() + parameters.failures.len()) as u64;
+    let measured =
+        Measured::run(scenarios, |bar| failures::run(args.seed, &parameters, &known, || bar.inc(1)))?;
     if let Some(path) = &args.out {
         measured.write(path, "failures")?;
     }
@@ -60,14 +61,14 @@
     Ok(())
 }
 
-/// Returns the sizes to run, from the arguments and the defaults of the model.
-fn sizes(args: &FailuresArgs) -> Result<Sizes> {
-    let standard = if args.quick { Sizes::quick() } else { Sizes::default() };
+/// Returns the parameters to run, from the arguments and the defaults of the model.
+fn parameters(args: &FailuresArgs) -> Result<Parameters> {
+    let standard = if args.quick { Parameters::quick() } else { Parameters::default() };
     let rate = args.rate.unwrap_or(standard.rate);
     if !RATES.contains(&rate) {
         bail!("--rate must be between {} and {} calls per second", RATES.start(), RATES.end());
     }
-    Ok(Sizes { servers: args.servers.unwrap_or(standard.servers), rate, ..standard })
+    Ok(Parameters { servers: args.servers.unwrap_or(standard.servers), rate, ..standard })
 }
 
 /// Returns the numbers of servers at which the cost of an event is measured.
@@ -90,7 +91,7 @@
     Column { title: "s to 90%", cell: |row| seconds(row.recovered) },
     Column { title: "s to 90% after its end", cell: |row| seconds(row.recovered_after_end) },
     Column { title: "collapsed", cell: |row| row.collapsed.to_string() },
-    Column { title: "rules broken", cell: |row| format!("{} {:?}", row.broken, row.rules) },
+    Column { title: "rules broken", cell: |row| format!("{} {:?}", row.broken, row.broken_rules) },
     Column { title: "discovery messages, busiest second", cell: |row| row.messages.to_string() },
     Column { title: "entries", cell: |row| row.entries.to_string() },
     Column { title: "KB", cell: |row| (row.bytes / 1_000).to_string() },
@@ -108,16 +109,16 @@
 ];
 
 /// Formats the tables of failures and costs, and the lines that were fitted to the costs.
-fn report(result: &Failures) -> String {
+fn report(result: &FailuresResult) -> String {
     format!(
         "{}\n\n{}\nmodule: {}\nworld: {}\n\
          ({:.0} times fewer calls than planned, each with {:.0} times the planned work)",
         format_table(&ROW_COLUMNS, 1, &result.rows),
         format_table(&COST_COLUMNS, 0, &result.costs),
-        fit_line(&result.module),
-        fit_line(&result.world),
-        result.scaled,
-        result.scaled
+        fit_line(&result.module_time),
+        fit_line(&result.world_time),
+        result.work_factor,
+        result.work_factor
     )
 }
 
@@ -135,6 +136,6 @@
 fn fit_line(fit: &Fit) -> String {
     format!(
         "{:.2} ns per server, intercept {:.0}, r2 {:.3}, halves {:.2} and {:.2}",
-        fit.slope, fit.intercept, fit.r2, fit.lower, fit.upper
+        fit.slope, fit.intercept, fit.r2, fit.lower_half_slope, fit.upper_half_slope
     )
 }
--- a/crates/cli/src/model/slow_start.rs
+++ b/crates/cli/src/model/slow_start.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use clap::Args;
 use indicatif::ProgressBar;
-use zincstand_fleet_model::slow_start::{self, Line, OverloadCount, RuleOverrides, Shape};
+use zincstand_fleet_model::slow_start::{self, OverloadCount, Row, RuleOverrides, StartCause};
 
 use crate::model::columns::{Column, format_table};
 use crate::model::output::print;
@@ -38,12 +38,12 @@
 pub fn run(args: &SlowStart) -> Result<()> {
     let rules =
         RuleOverrides { overload_factor: args.overload_factor, initial_capacity: args.initial_capacity };
-    let scenarios = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
+    let scenarios = args.balancers.len() as u64 * StartCause::ALL.len() as u64 * args.seeds;
     let bar = ProgressBar::new(scenarios);
     let mut lines = Vec::new();
-    for shape in Shape::ALL {
+    for cause in StartCause::ALL {
         for &balancers in &args.balancers {
-            lines.push(slow_start::run(shape, balancers, args.seeds, rules, || bar.inc(1))?);
+            lines.push(slow_start::run(cause, balancers, args.seeds, rules, || bar.inc(1))?);
         }
     }
     bar.finish_and_clear();
@@ -55,8 +55,8 @@
 }
 
 /// Columns of the table of shapes and numbers of balancers.
-const COLUMNS: [Column<Line>; 20] = [
-    Column { title: "shape", cell: |line| line.shape.name().to_owned() },
+const COLUMNS: [Column<Row>; 20] = [
+    Column { title: "shape", cell: |line| line.cause.name().to_owned() },
     Column { title: "balancers", cell: |line| line.balancers.to_string() },
     Column { title: "starts", cell: |line| line.starts.to_string() },
     Column { title: "excess", cell: |line| two_decimals(line.excess.mean) },
@@ -73,13 +73,13 @@
     Column { title: "share at 0-20%", cell: |line| share_of_fifth(line, 0) },
     Column { title: "40-60%", cell: |line| share_of_fifth(line, 2) },
     Column { title: "80-100%", cell: |line| share_of_fifth(line, 4) },
-    Column { title: "recovery, warm-ups", cell: |line| format!("{:.1}", line.warm.warm_up_times) },
-    Column { title: "recovery, s", cell: |line| format!("{:.1}", line.warm.seconds) },
+    Column { title: "recovery, warm-ups", cell: |line| format!("{:.1}", line.warm_up.warm_up_times) },
+    Column { title: "recovery, s", cell: |line| format!("{:.1}", line.warm_up.seconds) },
     Column { title: "G", cell: |line| format!("{:.3}", line.score) },
 ];
 
 /// Formats the table of the lines with an explanation of its columns.
-fn report(lines: &[Line]) -> String {
+fn report(lines: &[Row]) -> String {
     format!(
         "{}\n(excess: requests, or work in multiples of its mean, beyond the budget of N requests in the worst \
          time window of the most loaded server that is warming up, in multiples of the square root of N; \
@@ -100,7 +100,7 @@
 }
 
 /// Formats the mean traffic during a fifth of the warm-up, counted from 0, as a multiple of an even share.
-fn share_of_fifth(line: &Line, fifth: usize) -> String {
+fn share_of_fifth(line: &Row, fifth: usize) -> String {
     let first_tenth = 2 * fifth;
-    two_decimals(f64::midpoint(line.share[first_tenth], line.share[first_tenth + 1]))
+    two_decimals(f64::midpoint(line.traffic_shares[first_tenth], line.traffic_shares[first_tenth + 1]))
 }
--- a/crates/cli/tests/stored_formats.rs
+++ b/crates/cli/tests/stored_formats.rs
@@ -194,7 +194,7 @@
     assert_eq!(all(conditions.to_vec()), names("depth.json", "trouble"));
     let failures = zincstand_fleet_model::failures::Failure::ALL.map(|failure| serde_json::json!(failure));
     assert_eq!(all(failures.to_vec()), names("failures.json", "failure"));
-    let shapes = zincstand_fleet_model::slow_start::Shape::ALL.map(|shape| serde_json::json!(shape));
+    let shapes = zincstand_fleet_model::slow_start::StartCause::ALL.map(|shape| serde_json::json!(shape));
     assert_eq!(all(shapes.to_vec()), names("ramp.json", "shape"));
 }
 
--- a/crates/fleet-model/src/depth/fit.rs
+++ b/crates/fleet-model/src/depth/fit.rs
@@ -13,7 +13,8 @@
     /// The mean.
     pub mean: f64,
     /// Half the width of the interval; 0 for a single value.
-    pub half: f64,
+    #[serde(rename = "half")]
+    pub half_width: f64,
 }
 
 impl Mean {
@@ -22,11 +23,11 @@
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
         if values.len() < 2 {
-            return Mean { mean, half: 0.0 };
+            return Mean { mean, half_width: 0.0 };
         }
         let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0);
         let quantile = STUDENT_T.get(values.len() - 2).copied().unwrap_or(NORMAL_QUANTILE);
-        Mean { mean, half: quantile * (variance / count).sqrt() }
+        Mean { mean, half_width: quantile * (variance / count).sqrt() }
     }
 }
 
@@ -49,9 +50,11 @@
     /// Share of the variance of y that the line explains; 1 if x or y does not vary.
     pub r2: f64,
     /// Slope of the lower half of the points, the middle one included.
-    pub lower: f64,
+    #[serde(rename = "lower")]
+    pub lower_half_slope: f64,
     /// Slope of the upper half of the points, the middle one included.
-    pub upper: f64,
+    #[serde(rename = "upper")]
+    pub upper_half_slope: f64,
 }
 
 impl Fit {
@@ -65,8 +68,8 @@
             slope: line.slope,
             intercept: line.intercept,
             r2: line.r2,
-            lower: Line::through(lower_half).slope,
-            upper: Line::through(upper_half).slope,
+            lower_half_slope: Line::through(lower_half).slope,
+            upper_half_slope: Line::through(upper_half).slope,
         }
     }
 }
--- a/crates/fleet-model/src/depth/measure.rs
+++ b/crates/fleet-model/src/depth/measure.rs
@@ -99,13 +99,13 @@
     }
 
     /// Returns the share of a tier's work that contributed to no client's answer.
-    pub fn wasted_in_tier(&self, tier: usize) -> f64 {
+    pub fn wasted_share_in_tier(&self, tier: usize) -> f64 {
         let work = self.tiers[tier].work;
         ratio(work - self.answered_work, work).max(0.0)
     }
 
     /// Returns the share of the work of all tiers that contributed to no client's answer.
-    pub fn wasted(&self) -> f64 {
+    pub fn wasted_share(&self) -> f64 {
         let work: f64 = self.tiers.iter().map(|count| count.work).sum();
         ratio(work - self.answered_work * self.tiers.len() as f64, work).max(0.0)
     }
--- a/crates/fleet-model/src/depth/mod.rs
+++ b/crates/fleet-model/src/depth/mod.rs
@@ -15,7 +15,7 @@
 use crate::scenario::ScenarioError;
 
 pub use self::fit::{Fit, Mean, Point};
-pub use self::scenario::{RATE, SERVERS, build_scenario};
+pub use self::scenario::{RATE_PER_BALANCER, SERVERS_PER_TIER, build_scenario};
 
 /// Smallest amplification whose logarithm is taken. No attempt at all in the last tier counts as this.
 const MIN_AMPLIFICATION: f64 = 1e-9;
@@ -68,7 +68,7 @@
 
 /// Depths, conditions and seeds that [`run`] combines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sizes {
+pub struct Parameters {
     /// Depths, in tiers.
     pub tiers: Vec<usize>,
     /// Conditions of the last tier.
@@ -80,9 +80,9 @@
     pub seconds: f64,
 }
 
-impl Default for Sizes {
-    fn default() -> Sizes {
-        Sizes {
+impl Default for Parameters {
+    fn default() -> Parameters {
+        Parameters {
             tiers: vec![2, 4, 8, 16, 30],
             conditions: DepthCondition::ALL.to_vec(),
             seeds: 3,
@@ -91,10 +91,10 @@
     }
 }
 
-impl Sizes {
-    /// Returns sizes that take about a minute: two seeds and shorter scenarios.
-    pub fn quick() -> Sizes {
-        Sizes { seeds: 2, seconds: 3.0, ..Sizes::default() }
+impl Parameters {
+    /// Returns parameters that take about a minute: two seeds and shorter scenarios.
+    pub fn quick() -> Parameters {
+        Parameters { seeds: 2, seconds: 3.0, ..Parameters::default() }
     }
 }
 
@@ -113,7 +113,8 @@
     /// Share of the calls that were answered within the deadline.
     pub answered: Mean,
     /// Attempts in the last tier for each call.
-    pub bottom: Mean,
+    #[serde(rename = "bottom")]
+    pub last_tier_attempts: Mean,
     /// By tier, attempts for each request that reached the tier.
     pub amplification: Vec<f64>,
     /// By tier, requests that reached the tier for each call.
@@ -121,7 +122,8 @@
     /// By tier, mean share of the deadline that was left when a request reached the tier.
     pub time_left: Vec<f64>,
     /// By tier, share of the tier's work that contributed to no client's answer.
-    pub wasted: Vec<f64>,
+    #[serde(rename = "wasted")]
+    pub waste_by_tier: Vec<f64>,
     /// Share of the work of all tiers that contributed to no client's answer.
     pub waste: Mean,
     /// Number of rules broken, summed over the seeds.
@@ -130,7 +132,7 @@
 
 /// Lines through the values of one condition, by the number of tiers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Slope {
+pub struct ConditionFits {
     /// Condition of the last tier.
     #[serde(rename = "trouble")]
     pub condition: DepthCondition,
@@ -144,15 +146,17 @@
 
 /// Result of [`run`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Depth {
+pub struct DepthResult {
     /// The first seed.
     pub seed: u64,
     /// Depths, conditions and seeds that were run.
-    pub sizes: Sizes,
+    #[serde(rename = "sizes")]
+    pub parameters: Parameters,
     /// One row for each condition and depth, in this order.
     pub rows: Vec<Row>,
     /// One entry for each condition.
-    pub slopes: Vec<Slope>,
+    #[serde(rename = "slopes")]
+    pub fits: Vec<ConditionFits>,
 }
 
 /// A scenario to run.
@@ -181,14 +185,14 @@
 ///
 /// # Errors
 ///
-/// The sizes require a scenario that cannot be run.
-pub fn run(seed: u64, sizes: &Sizes, done: impl Fn() + Sync) -> Result<Depth, ScenarioError> {
+/// The parameters require a scenario that cannot be run.
+pub fn run(seed: u64, parameters: &Parameters, done: impl Fn() + Sync) -> Result<DepthResult, ScenarioError> {
     let run_cell = |cell: Cell| {
-        let measured = cell.run(sizes.seconds)?;
+        let measured = cell.run(parameters.seconds)?;
         done();
         Ok(measured)
     };
-    let mut measured: Vec<MeasuredCell> = cells(seed, sizes)
+    let mut measured: Vec<MeasuredCell> = cells(seed, parameters)
         .into_par_iter()
         .with_max_len(1)
         .map(run_cell)
@@ -198,16 +202,16 @@
         one.condition == other.condition && one.tiers == other.tiers
     };
     let rows: Vec<Row> = measured.chunk_by(of_one_row).map(row).collect();
-    let slopes = rows.chunk_by(|one, other| one.condition == other.condition).map(slope).collect();
-    Ok(Depth { seed, sizes: sizes.clone(), rows, slopes })
+    let fits = rows.chunk_by(|one, other| one.condition == other.condition).map(fit_condition).collect();
+    Ok(DepthResult { seed, parameters: parameters.clone(), rows, fits })
 }
 
 /// Returns all cells, the deepest first. These take longest, and started last they would leave other threads idle.
-fn cells(first_seed: u64, sizes: &Sizes) -> Vec<Cell> {
+fn cells(first_seed: u64, parameters: &Parameters) -> Vec<Cell> {
     let mut cells = Vec::new();
-    for &condition in &sizes.conditions {
-        for &tiers in &sizes.tiers {
-            for number in 0..sizes.seeds {
+    for &condition in &parameters.conditions {
+        for &tiers in &parameters.tiers {
+            for number in 0..parameters.seeds {
                 cells.push(Cell { condition, tiers, seed: first_seed + number });
             }
         }
@@ -237,26 +241,26 @@
         calls: measurements.iter().map(|measurement| measurement.calls as u64).sum(),
         goodput: mean(&Measurement::goodput),
         answered: mean(&Measurement::answered_share),
-        bottom: mean(&Measurement::attempts_in_last_tier),
+        last_tier_attempts: mean(&Measurement::attempts_in_last_tier),
         amplification: mean_by_tier(&Measurement::amplification),
         requests: mean_by_tier(&Measurement::requests_per_call),
         time_left: mean_by_tier(&Measurement::time_left),
-        wasted: mean_by_tier(&Measurement::wasted_in_tier),
-        waste: mean(&Measurement::wasted),
+        waste_by_tier: mean_by_tier(&Measurement::wasted_share_in_tier),
+        waste: mean(&Measurement::wasted_share),
         broken: measurements.iter().map(|measurement| measurement.broken).sum(),
     }
 }
 
 /// Fits the lines of one condition through its rows.
-fn slope(rows: &[Row]) -> Slope {
+fn fit_condition(rows: &[Row]) -> ConditionFits {
     let fit = |value: &dyn Fn(&Row) -> f64| {
         let points: Vec<Point> =
             rows.iter().map(|row| Point { x: row.tiers as f64, y: value(row) }).collect();
         Fit::of(&points)
     };
-    Slope {
+    ConditionFits {
         condition: rows[0].condition,
-        amplification: fit(&|row| row.bottom.mean.max(MIN_AMPLIFICATION).ln()),
+        amplification: fit(&|row| row.last_tier_attempts.mean.max(MIN_AMPLIFICATION).ln()),
         goodput: fit(&|row| row.goodput.mean),
         waste: fit(&|row| row.waste.mean),
     }
--- a/crates/fleet-model/src/depth/scenario.rs
+++ b/crates/fleet-model/src/depth/scenario.rs
@@ -6,10 +6,10 @@
 use crate::span::Span;
 
 /// Servers of every tier, and balancers of the first tier.
-pub const SERVERS: u32 = 20;
+pub const SERVERS_PER_TIER: u32 = 20;
 /// Calls per second to each balancer of the first tier, as in the planned fleet.
-pub const RATE: f64 = 225.0;
-/// Mean work of a call at a server, in milliseconds. With two cores and [`RATE`], servers are 45% busy.
+pub const RATE_PER_BALANCER: f64 = 225.0;
+/// Mean work of a call at a server, in milliseconds. With two cores and [`RATE_PER_BALANCER`], servers are 45% busy.
 const MEAN_WORK_MS: f64 = 4.0;
 /// Mean of the distribution of work before it is cut off at [`MAX_WORK_MS`], which leaves [`MEAN_WORK_MS`].
 const UNLIMITED_MEAN_WORK_MS: f64 = 4.4;
@@ -34,7 +34,13 @@
 
 /// Builds a scenario of equally busy tiers in which each request makes one call of the next tier.
 pub fn build_scenario(tiers: usize, condition: DepthCondition, seed: u64, seconds: f64) -> Scenario {
-    let mut scenario = plain(seed, seconds, vec!["a".to_owned()], SERVERS, RATE * f64::from(SERVERS));
+    let mut scenario = plain(
+        seed,
+        seconds,
+        vec!["a".to_owned()],
+        SERVERS_PER_TIER,
+        RATE_PER_BALANCER * f64::from(SERVERS_PER_TIER),
+    );
     scenario.name = format!("{} tiers, {}", tiers, condition.name());
     set_class(&mut scenario.classes[0], tiers, condition);
     scenario.tiers = equal_tiers(&scenario.tiers[0], tiers);
@@ -63,7 +69,7 @@
 fn equal_tiers(pattern: &Tier, count: usize) -> Vec<Tier> {
     let numbered = |index: usize| Tier {
         name: format!("tier {index}"),
-        servers: vec![SERVERS],
+        servers: vec![SERVERS_PER_TIER],
         calls: if index + 1 == count { 0.0 } else { 1.0 },
         ..pattern.clone()
     };
--- a/crates/fleet-model/src/failures/measure.rs
+++ b/crates/fleet-model/src/failures/measure.rs
@@ -6,7 +6,7 @@
 
 use zincstand_policy::{Action, Event, LearnedState, Micros, Settings, SettingsError};
 
-use super::{DiscoveryTotal, Failure, Row, Sizes, build_scenario};
+use super::{DiscoveryTotal, Failure, Parameters, Row, build_scenario};
 use crate::policy::{Kind, Policy};
 use crate::scenario::ScenarioError;
 use crate::scoring::{NotificationCount, Rule, Second};
@@ -35,9 +35,9 @@
 
 impl Policy for TimedPolicy {
     fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         self.inner.handle(now, event, truth, actions);
-        self.time.nanoseconds.fetch_add(began.elapsed().as_nanos() as u64, Ordering::Relaxed);
+        self.time.nanoseconds.fetch_add(started_at.elapsed().as_nanos() as u64, Ordering::Relaxed);
         self.time.calls.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -54,34 +54,34 @@
 ///
 /// # Errors
 ///
-/// The sizes require a scenario that cannot be run.
-pub(super) fn measure(seed: u64, sizes: &Sizes, failure: Failure) -> Result<Row, ScenarioError> {
+/// The parameters require a scenario that cannot be run.
+pub(super) fn measure(seed: u64, parameters: &Parameters, failure: Failure) -> Result<Row, ScenarioError> {
     let time = Arc::new(ModuleTime::default());
-    let start = |settings: Settings, seed: u64| -> Result<Box<dyn Policy>, SettingsError> {
+    let start_policy = |settings: Settings, seed: u64| -> Result<Box<dyn Policy>, SettingsError> {
         let inner = Kind::Module.start(settings, seed)?;
         Ok(Box::new(TimedPolicy { inner, time: Arc::clone(&time) }))
     };
-    let began = Instant::now();
-    let run = run_scenario_with(&build_scenario(seed, sizes, failure), &start, false)?;
-    let seconds = began.elapsed().as_secs_f64();
-    let span = sizes.failure_span();
-    let begin = span.begin as usize;
-    let goodput = Goodput::of(&run.detail.seconds, begin);
-    let lowest = goodput.lowest_from(begin);
-    let discovery = DiscoveryTraffic::of(run.detail.discovery.get(begin..).unwrap_or_default());
+    let started_at = Instant::now();
+    let run = run_scenario_with(&build_scenario(seed, parameters, failure), &start_policy, false)?;
+    let seconds = started_at.elapsed().as_secs_f64();
+    let span = parameters.failure_span();
+    let start = span.start as usize;
+    let goodput = Goodput::of(&run.detail.seconds, start);
+    let lowest = goodput.lowest_from(start);
+    let discovery = DiscoveryTraffic::of(run.detail.discovery.get(start..).unwrap_or_default());
     let result = &run.result;
     Ok(Row {
         failure,
-        servers: sizes.servers_per_zone() * sizes.zones,
+        servers: parameters.servers_per_zone() * parameters.zones,
         calls: result.requests,
         goodput_before: goodput.before,
         lowest_goodput: lowest.goodput,
         lowest_at: lowest.second,
-        recovered: goodput.recovery_after(span.begin),
+        recovered: goodput.recovery_after(span.start),
         recovered_after_end: goodput.recovery_after(span.end),
         collapsed: result.collapsed,
         broken: result.broken,
-        rules: broken_rules(&run),
+        broken_rules: broken_rules(&run),
         messages: discovery.busiest.messages,
         entries: discovery.busiest.entries,
         bytes: discovery.busiest.entries * ENTRY_BYTES,
@@ -89,7 +89,7 @@
         events: result.events,
         seconds,
         module_seconds: time.nanoseconds.load(Ordering::Relaxed) as f64 / 1e9,
-        handled: time.calls.load(Ordering::Relaxed),
+        module_calls: time.calls.load(Ordering::Relaxed),
     })
 }
 
@@ -113,22 +113,22 @@
 }
 
 impl Goodput {
-    /// Computes the goodput of a scenario whose failure begins in the second `begin`.
-    fn of(seconds: &[Second], begin: usize) -> Goodput {
+    /// Computes the goodput of a scenario whose failure starts in the second `start`.
+    fn of(seconds: &[Second], start: usize) -> Goodput {
         let share = |second: &Second| {
             let all = second.served + second.late + second.rejected + second.failed;
             f64::from(second.served) / f64::from(all.max(1))
         };
         let by_second: Vec<f64> = seconds.iter().map(share).collect();
-        let before = &by_second[begin / 2..begin];
+        let before = &by_second[start / 2..start];
         let before = before.iter().sum::<f64>() / before.len().max(1) as f64;
         Goodput { by_second, before }
     }
 
-    fn lowest_from(&self, begin: usize) -> LowestGoodput {
-        let seconds = self.by_second.iter().copied().enumerate().skip(begin);
+    fn lowest_from(&self, start: usize) -> LowestGoodput {
+        let seconds = self.by_second.iter().copied().enumerate().skip(start);
         let lowest = seconds.min_by(|a, b| a.1.total_cmp(&b.1));
-        let (second, goodput) = lowest.unwrap_or((begin, self.before));
+        let (second, goodput) = lowest.unwrap_or((start, self.before));
         LowestGoodput { second, goodput }
     }
 
@@ -144,7 +144,7 @@
     }
 }
 
-/// Traffic of discovery from the begin of a failure.
+/// Traffic of discovery from the start of a failure.
 struct DiscoveryTraffic {
     busiest: NotificationCount,
     total: DiscoveryTotal,
--- a/crates/fleet-model/src/failures/mod.rs
+++ b/crates/fleet-model/src/failures/mod.rs
@@ -21,12 +21,12 @@
 const COST_SCENARIO_SECONDS: f64 = 4.0;
 /// Calls per second of the fleet of such a scenario. It is the same for all sizes, so that each has as many events.
 const COST_SCENARIO_RATE: f64 = 8_000.0;
-/// Begin of a failure, as a share of the length of the scenario.
-const BEGIN_SHARE: f64 = 0.2;
+/// Start of a failure, as a share of the length of the scenario.
+const START_SHARE: f64 = 0.2;
 /// End of a failure, as a share of the length of the scenario.
 const END_SHARE: f64 = 0.45;
 /// Smallest duration that is used as a divisor, in seconds.
-const MIN_SECONDS: f64 = 1e-9;
+const MIN_DIVISOR_SECONDS: f64 = 1e-9;
 
 /// A failure of a part of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 
 /// The fleet and the failures to run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sizes {
+pub struct Parameters {
     /// Number of servers, and of balancers.
     pub servers: u32,
     /// Number of zones, which four regions share.
@@ -77,16 +77,16 @@
     pub failures: Vec<Failure>,
 }
 
-impl Default for Sizes {
-    fn default() -> Sizes {
-        Sizes { servers: 2_000, zones: 14, rate: 4.5, seconds: 60.0, failures: Failure::ALL.to_vec() }
+impl Default for Parameters {
+    fn default() -> Parameters {
+        Parameters { servers: 2_000, zones: 14, rate: 4.5, seconds: 60.0, failures: Failure::ALL.to_vec() }
     }
 }
 
-impl Sizes {
-    /// Returns sizes for a tenth of the fleet, which run in about a minute.
-    pub fn quick() -> Sizes {
-        Sizes { servers: 200, ..Sizes::default() }
+impl Parameters {
+    /// Returns parameters for a tenth of the fleet, which run in about a minute.
+    pub fn quick() -> Parameters {
+        Parameters { servers: 200, ..Parameters::default() }
     }
 
     fn servers_per_zone(&self) -> u32 {
@@ -94,20 +94,20 @@
     }
 
     /// Returns the factor by which a balancer has fewer calls than planned. Each call needs as many times the work.
-    pub fn scaled(&self) -> f64 {
+    pub fn work_factor(&self) -> f64 {
         PLANNED_RATE / self.rate
     }
 
-    /// Returns the begin and end of the failure, in whole seconds of the scenario.
+    /// Returns the start and end of the failure, in whole seconds of the scenario.
     fn failure_span(&self) -> FailureSpan {
-        FailureSpan { begin: (self.seconds * BEGIN_SHARE).floor(), end: (self.seconds * END_SHARE).floor() }
+        FailureSpan { start: (self.seconds * START_SHARE).floor(), end: (self.seconds * END_SHARE).floor() }
     }
 }
 
-/// Begin and end of a failure, in seconds of the scenario.
+/// Start and end of a failure, in seconds of the scenario.
 #[derive(Clone, Copy, Debug)]
 struct FailureSpan {
-    begin: f64,
+    start: f64,
     end: f64,
 }
 
@@ -162,7 +162,8 @@
     /// Number of broken rules.
     pub broken: u64,
     /// Rules of the first breaches.
-    pub rules: Vec<Rule>,
+    #[serde(rename = "rules")]
+    pub broken_rules: Vec<Rule>,
     /// Number of lists and changes that discovery sent in the busiest second after the failure.
     pub messages: u64,
     /// Number of entries in the same second.
@@ -179,7 +180,8 @@
     /// Part of this that the decision module took.
     pub module_seconds: f64,
     /// Calls of the decision module.
-    pub handled: u64,
+    #[serde(rename = "handled")]
+    pub module_calls: u64,
 }
 
 /// Computing time of a scenario, by the number of servers that each balancer knows.
@@ -204,44 +206,53 @@
             servers: row.servers,
             events: row.events,
             world_ns: world_seconds * 1e9 / row.events.max(1) as f64,
-            module_ns: row.module_seconds * 1e9 / row.handled.max(1) as f64,
-            module_share: row.module_seconds / row.seconds.max(MIN_SECONDS),
+            module_ns: row.module_seconds * 1e9 / row.module_calls.max(1) as f64,
+            module_share: row.module_seconds / row.seconds.max(MIN_DIVISOR_SECONDS),
         }
     }
 }
 
-/// Result of all failures and sizes.
+/// Result of [`run`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Failures {
+pub struct FailuresResult {
     /// The seed.
     pub seed: u64,
     /// The fleet and the failures that were run.
-    pub sizes: Sizes,
+    #[serde(rename = "sizes")]
+    pub parameters: Parameters,
     /// Factor by which there were fewer calls than planned, each with as many times the work.
-    pub scaled: f64,
+    #[serde(rename = "scaled")]
+    pub work_factor: f64,
     /// One row for each failure.
     pub rows: Vec<Row>,
     /// One entry for each number of known servers.
     pub costs: Vec<Cost>,
     /// Time of the decision module for a call in nanoseconds, by the number of servers.
-    pub module: Fit,
+    #[serde(rename = "module")]
+    pub module_time: Fit,
     /// Time of the world for an event in nanoseconds, by the number of servers.
-    pub world: Fit,
+    #[serde(rename = "world")]
+    pub world_time: Fit,
 }
 
-/// Runs a short scenario for each number of servers in `known`, and then the failures. Calls `done` after each
+/// Runs a short scenario for each number of servers in `server_counts`, and then the failures. Calls `done` after each
 /// scenario. All scenarios run in the calling thread, so that their times are those of one core.
 ///
 /// # Errors
 ///
-/// The sizes require a scenario that cannot be run.
-pub fn run(seed: u64, sizes: &Sizes, known: &[u32], done: impl Fn()) -> Result<Failures, ScenarioError> {
+/// The parameters require a scenario that cannot be run.
+pub fn run(
+    seed: u64,
+    parameters: &Parameters,
+    server_counts: &[u32],
+    done: impl Fn(),
+) -> Result<FailuresResult, ScenarioError> {
     let mut costs = Vec::new();
-    for &servers in known {
-        let small = Sizes {
+    for &servers in server_counts {
+        let small = Parameters {
             servers,
-            zones: sizes.zones.min(servers),
-            rate: (COST_SCENARIO_RATE / f64::from(servers)).clamp(sizes.rate, PLANNED_RATE),
+            zones: parameters.zones.min(servers),
+            rate: (COST_SCENARIO_RATE / f64::from(servers)).clamp(parameters.rate, PLANNED_RATE),
             seconds: COST_SCENARIO_SECONDS,
             failures: Vec::new(),
         };
@@ -250,8 +261,8 @@
         done();
     }
     let mut rows = Vec::new();
-    for &failure in &sizes.failures {
-        rows.push(measure(seed, sizes, failure)?);
+    for &failure in &parameters.failures {
+        rows.push(measure(seed, parameters, failure)?);
         done();
     }
     let fit = |value: fn(&Cost) -> f64| {
@@ -259,13 +270,13 @@
         let points: Vec<Point> = costs.iter().map(point).collect();
         Fit::of(&points)
     };
-    Ok(Failures {
+    Ok(FailuresResult {
         seed,
-        sizes: sizes.clone(),
-        scaled: sizes.scaled(),
+        parameters: parameters.clone(),
+        work_factor: parameters.work_factor(),
         rows,
-        module: fit(|cost| cost.module_ns),
-        world: fit(|cost| cost.world_ns),
+        module_time: fit(|cost| cost.module_ns),
+        world_time: fit(|cost| cost.world_ns),
         costs,
     })
 }
--- a/crates/fleet-model/src/failures/scenario.rs
+++ b/crates/fleet-model/src/failures/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios in which a part of a fleet fails.
 
-use super::{Failure, FailureSpan, Sizes};
+use super::{Failure, FailureSpan, Parameters};
 use crate::catalog::fault;
 use crate::catalog::plain;
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -26,25 +26,26 @@
 const MACHINES_LOST_PER_DAY: f64 = 8.0;
 /// Servers of the planned fleet that restart in a day.
 const SERVERS_RESTARTED_PER_DAY: f64 = 110.0;
-/// Longest outage of a machine in an ordinary day, as a share of the time after the begin of the failure.
+/// Longest outage of a machine in an ordinary day, as a share of the time after the start of the failure.
 const MAX_OUTAGE_SHARE: f64 = 0.4;
-/// Share of the time after the begin of the failure over which machines vanish.
+/// Share of the time after the start of the failure over which machines vanish.
 const LOSSES_SHARE: f64 = 0.5;
-/// Share of the time after the begin of the failure over which servers restart.
+/// Share of the time after the start of the failure over which servers restart.
 const RESTARTS_SHARE: f64 = 0.7;
 /// Number of servers of the planned fleet.
 const PLANNED_SERVERS: f64 = 2_000.0;
 /// Number of regions that share the zones.
 const REGIONS: u32 = 4;
 
-/// Builds the scenario of a failure. Where the sizes have fewer calls than planned, each call needs as many times the
+/// Builds the scenario of a failure. Where the parameters have fewer calls than planned, each call needs as many times the
 /// work.
-pub fn build_scenario(seed: u64, sizes: &Sizes, failure: Failure) -> Scenario {
-    let zones: Vec<String> = (0..sizes.zones).map(|zone| format!("zone {zone}")).collect();
-    let per_zone = sizes.servers_per_zone();
-    let servers = per_zone * sizes.zones;
-    let mut scenario = plain(seed, sizes.seconds, zones.clone(), per_zone, sizes.rate * f64::from(servers));
-    let work = 1_000.0 * UTILIZATION * CORES / sizes.rate;
+pub fn build_scenario(seed: u64, parameters: &Parameters, failure: Failure) -> Scenario {
+    let zones: Vec<String> = (0..parameters.zones).map(|zone| format!("zone {zone}")).collect();
+    let per_zone = parameters.servers_per_zone();
+    let servers = per_zone * parameters.zones;
+    let mut scenario =
+        plain(seed, parameters.seconds, zones.clone(), per_zone, parameters.rate * f64::from(servers));
+    let work = 1_000.0 * UTILIZATION * CORES / parameters.rate;
     let class = &mut scenario.classes[0];
     class.work = Span::ms(work);
     class.most_work = Span::ms(MAX_WORK_FACTOR * work);
@@ -54,27 +55,27 @@
     let balancers_of = |zone: &String| std::iter::repeat_n(zone.clone(), per_zone as usize);
     scenario.balancers.zones = zones.iter().flat_map(balancers_of).collect();
     scenario.name = format!("{servers} servers, {}", failure.name());
-    scenario.faults = faults(sizes, failure);
+    scenario.faults = faults(parameters, failure);
     scenario
 }
 
-fn faults(sizes: &Sizes, failure: Failure) -> Vec<Fault> {
-    let span = sizes.failure_span();
-    let length = span.end - span.begin;
+fn faults(parameters: &Parameters, failure: Failure) -> Vec<Fault> {
+    let span = parameters.failure_span();
+    let length = span.end - span.start;
     match failure {
         Failure::None => Vec::new(),
         Failure::Zone => vec![zone_fault(FaultKind::ZoneLost, &span, 0)],
         Failure::Rack => {
-            let rack: Vec<usize> = (0..RACK_SERVERS.min(sizes.servers_per_zone()) as usize).collect();
+            let rack: Vec<usize> = (0..RACK_SERVERS.min(parameters.servers_per_zone()) as usize).collect();
             vec![
-                targeted_fault(FaultKind::Vanished, span.begin, length, rack.clone()),
-                targeted_fault(FaultKind::BalancerKilled, span.begin, length, rack),
+                targeted_fault(FaultKind::Vanished, span.start, length, rack.clone()),
+                targeted_fault(FaultKind::BalancerKilled, span.start, length, rack),
             ]
         }
-        Failure::OrdinaryDay => ordinary_day(sizes, &span),
+        Failure::OrdinaryDay => ordinary_day(parameters, &span),
         Failure::Region => {
             // Rounded up: the first region also has the zones that an even division leaves over.
-            let zones = 0..sizes.zones.div_ceil(REGIONS);
+            let zones = 0..parameters.zones.div_ceil(REGIONS);
             zones.map(|zone| zone_fault(FaultKind::ZoneCut, &span, zone)).collect()
         }
     }
@@ -82,27 +83,27 @@
 
 /// Returns the faults of an ordinary day: machines vanish one after the other while other servers restart, spread
 /// over the zones. A smaller fleet has proportionally fewer faults.
-fn ordinary_day(sizes: &Sizes, span: &FailureSpan) -> Vec<Fault> {
-    let servers = sizes.servers_per_zone() * sizes.zones;
+fn ordinary_day(parameters: &Parameters, span: &FailureSpan) -> Vec<Fault> {
+    let servers = parameters.servers_per_zone() * parameters.zones;
     let part = (f64::from(servers) / PLANNED_SERVERS).min(1.0);
     let scaled = |planned: f64| (planned * part).ceil().max(1.0) as usize;
     let servers = servers as usize;
     let spread = |count: usize, first: usize| -> Vec<usize> {
         (0..count).map(|index| (first + index * servers / count) % servers).collect()
     };
-    let left = sizes.seconds - span.begin;
-    let length = (span.end - span.begin).min(left * MAX_OUTAGE_SHARE);
+    let left = parameters.seconds - span.start;
+    let length = (span.end - span.start).min(left * MAX_OUTAGE_SHARE);
     let lost = scaled(MACHINES_LOST_PER_DAY);
     let mut faults = Vec::new();
     for (index, machine) in spread(lost, 1).into_iter().enumerate() {
-        let at = span.begin + left * LOSSES_SHARE * index as f64 / lost as f64;
+        let at = span.start + left * LOSSES_SHARE * index as f64 / lost as f64;
         faults.push(targeted_fault(FaultKind::Vanished, at, length, vec![machine]));
         faults.push(targeted_fault(FaultKind::BalancerKilled, at, length, vec![machine]));
     }
     let restarted = spread(scaled(SERVERS_RESTARTED_PER_DAY), 0);
     let restart_span = left * RESTARTS_SHARE;
-    faults.push(targeted_fault(FaultKind::RollingDeploy, span.begin, restart_span, restarted.clone()));
-    faults.push(targeted_fault(FaultKind::BalancerRestart, span.begin, restart_span, restarted));
+    faults.push(targeted_fault(FaultKind::RollingDeploy, span.start, restart_span, restarted.clone()));
+    faults.push(targeted_fault(FaultKind::BalancerRestart, span.start, restart_span, restarted));
     faults
 }
 
@@ -112,6 +113,6 @@
 }
 
 fn zone_fault(kind: FaultKind, span: &FailureSpan, zone: u32) -> Fault {
-    let fault = targeted_fault(kind, span.begin, span.end - span.begin, Vec::new());
+    let fault = targeted_fault(kind, span.start, span.end - span.start, Vec::new());
     Fault { zone: Some(format!("zone {zone}")), ..fault }
 }
--- a/crates/fleet-model/src/slow_start/analysis.rs
+++ b/crates/fleet-model/src/slow_start/analysis.rs
@@ -40,7 +40,8 @@
     #[serde(rename = "fallen_work")]
     pub overloaded_by_work: OverloadCount,
     /// Mean traffic of a server by tenths of the warm-up time, as a multiple of an even share.
-    pub share: Vec<f64>,
+    #[serde(rename = "share")]
+    pub traffic_shares: Vec<f64>,
     /// Warm-up time of the settings, in seconds.
     #[serde(rename = "warm_after")]
     pub warm_up_time: f64,
@@ -99,7 +100,7 @@
         excess: f64::NEG_INFINITY,
         informed_excess: f64::NEG_INFINITY,
         informed_excess_work: f64::NEG_INFINITY,
-        share: vec![0.0; BINS],
+        traffic_shares: vec![0.0; BINS],
         warm_up_time: scenario.tiers[0].warm_up_time.secs(),
         score: run.result.g,
         ..Measurement::default()
@@ -108,7 +109,7 @@
         let of_start =
             |arrival: &&ArrivalAtServer| (arrival.server, arrival.started) == (start.server, start.at);
         let arrivals: Vec<&ArrivalAtServer> = recording.arrivals.iter().filter(of_start).collect();
-        analysis.add_traffic_shares(start, &arrivals, &mut measurement.share);
+        analysis.add_traffic_shares(start, &arrivals, &mut measurement.traffic_shares);
         analysis.add_windows(start, &arrivals, &mut measurement);
     }
     Ok(measurement)
@@ -139,7 +140,7 @@
     }
 
     /// Measures the windows that end with the requests that a server receives while it warms up.
-    fn add_windows(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], out: &mut Measurement) {
+    fn add_windows(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], measurement: &mut Measurement) {
         let span = self.scenario.rules.overload_window.0;
         let warm_at = start.at + self.scenario.tiers[0].warm_up_time.0;
         let mut overload = None;
@@ -154,10 +155,10 @@
             }
             let budget = self.budget(start, arrival);
             let window = Window { arrivals: &arrivals[first..=last], work, budget };
-            self.add_window(&window, out, &mut overload, &mut overload_by_work);
+            self.add_window(&window, measurement, &mut overload, &mut overload_by_work);
         }
-        out.overloaded.add(overload);
-        out.overloaded_by_work.add(overload_by_work);
+        measurement.overloaded.add(overload);
+        measurement.overloaded_by_work.add(overload_by_work);
     }
 
     /// Returns the work that the settings permit in the window that ends with a request, in requests of mean work.
@@ -173,7 +174,7 @@
     fn add_window(
         &self,
         window: &Window<'_>,
-        out: &mut Measurement,
+        measurement: &mut Measurement,
         overload: &mut Option<OverloadedBy>,
         overload_by_work: &mut Option<OverloadedBy>,
     ) {
@@ -185,13 +186,13 @@
         let mostly_informed_work = informed_work > INFORMED_SHARE * window.work;
         let root = window.budget.sqrt();
         let excess = (count - window.budget) / root;
-        out.excess = out.excess.max(excess);
+        measurement.excess = measurement.excess.max(excess);
         if mostly_informed {
-            out.informed_excess = out.informed_excess.max(excess);
+            measurement.informed_excess = measurement.informed_excess.max(excess);
         }
         if mostly_informed_work {
             let excess_work = (window.work - window.budget) / root;
-            out.informed_excess_work = out.informed_excess_work.max(excess_work);
+            measurement.informed_excess_work = measurement.informed_excess_work.max(excess_work);
         }
         let limit = window.budget + CHANCE_ROOTS * root + CHANCE_REQUESTS;
         if count > limit {
--- a/crates/fleet-model/src/slow_start/mod.rs
+++ b/crates/fleet-model/src/slow_start/mod.rs
@@ -12,7 +12,7 @@
 
 pub use self::analysis::{Measurement, measure};
 pub use self::scenario::build_scenario;
-pub use self::summary::{Line, Spread, WarmUp, run};
+pub use self::summary::{Distribution, Row, WarmUp, run};
 
 /// Number of intervals into which the warm-up time is divided for counting traffic.
 const BINS_PER_WARM_UP: f64 = 10.0;
@@ -22,7 +22,7 @@
 /// Cause of the start of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum StartCause {
     /// Two servers in ten are replaced one after the other.
     Restart,
     /// Six servers in ten are replaced within 7 s.
@@ -33,17 +33,18 @@
     Start,
 }
 
-impl Shape {
-    /// All shapes, in the order of tables.
-    pub const ALL: [Shape; 4] = [Shape::Restart, Shape::Release, Shape::Zone, Shape::Start];
+impl StartCause {
+    /// All causes, in the order of tables.
+    pub const ALL: [StartCause; 4] =
+        [StartCause::Restart, StartCause::Release, StartCause::Zone, StartCause::Start];
 
-    /// Returns the name of the shape in tables.
+    /// Returns the name of the cause in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Shape::Restart => "restart",
-            Shape::Release => "release",
-            Shape::Zone => "zone",
-            Shape::Start => "start",
+            StartCause::Restart => "restart",
+            StartCause::Release => "release",
+            StartCause::Zone => "zone",
+            StartCause::Start => "start",
         }
     }
 }
--- a/crates/fleet-model/src/slow_start/scenario.rs
+++ b/crates/fleet-model/src/slow_start/scenario.rs
@@ -2,20 +2,20 @@
 
 use rand::RngExt;
 
-use super::{BINS, BINS_PER_WARM_UP, RuleOverrides, Shape};
+use super::{BINS, BINS_PER_WARM_UP, RuleOverrides, StartCause};
 use crate::catalog::{self, Size};
 use crate::random::{self, Purpose, within};
 use crate::scenario::{Class, Fault, FaultKind, Scenario, ScenarioError, Spread};
 use crate::span::Span;
 
 /// Time at which servers begin to restart, in seconds. By then, balancers with little traffic have sent some requests.
-const FAULTS_BEGIN: f64 = 8.0;
+const FAULTS_START_SECONDS: f64 = 8.0;
 /// Coefficient of variation of the traffic of balancers. The busiest of many gets several times the mean.
-const TRAFFIC_DEVIATION: f64 = 1.0;
+const TRAFFIC_VARIATION: f64 = 1.0;
 /// Range of the share of servers in the first zone.
-const FIRST_ZONE_SHARE: (f64, f64) = (0.4, 0.6);
+const FIRST_ZONE_SHARE_RANGE: (f64, f64) = (0.4, 0.6);
 /// Range of the utilization of the servers.
-const UTILIZATION: (f64, f64) = (0.54, 0.68);
+const UTILIZATION_RANGE: (f64, f64) = (0.54, 0.68);
 /// Number of the random stream of these scenarios, which separates it from the draws of faults of the catalog.
 const RANDOM_STREAM: u64 = 2_000;
 
@@ -35,14 +35,14 @@
     classes.iter().map(|class| class.share * catalog::mean_work(class, seed)).sum::<f64>()
 }
 
-/// Draws a scenario of a shape. It has one tier, is otherwise like the kind `busy` of the site, and is as long as the
-/// shape requires.
+/// Draws a scenario of a cause. It has one tier, is otherwise like the kind `busy` of the site, and is as long as the
+/// cause requires.
 ///
 /// # Errors
 ///
 /// The rules contradict themselves.
 pub fn build_scenario(
-    shape: Shape,
+    cause: StartCause,
     balancers: u32,
     seed: u64,
     rules: RuleOverrides,
@@ -50,10 +50,10 @@
     let mut scenario = catalog::generate("busy", seed, Size::Site)?;
     let rng = &mut random::stream(seed, Purpose::Fate, RANDOM_STREAM);
     let count = server_count(balancers);
-    scenario.name = format!("slow-start {} {balancers} {seed}", shape.name());
+    scenario.name = format!("slow-start {} {balancers} {seed}", cause.name());
     scenario.tiers.truncate(1);
     let tier = &mut scenario.tiers[0];
-    tier.servers = catalog::zoned(count, within(rng, FIRST_ZONE_SHARE));
+    tier.servers = catalog::zoned(count, within(rng, FIRST_ZONE_SHARE_RANGE));
     tier.calls = 0.0;
     tier.work = 1.0;
     tier.initial_capacity = rules.initial_capacity.unwrap_or(tier.initial_capacity);
@@ -61,16 +61,16 @@
     let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let work = mean_work(&scenario.classes, seed) / shares;
     let cores = f64::from(count * scenario.tiers[0].cores) * scenario.tiers[0].speed;
-    scenario.load.rate = cores / work * within(rng, UTILIZATION);
+    scenario.load.rate = cores / work * within(rng, UTILIZATION_RANGE);
     let in_first_zone = catalog::zoned(balancers, scenario.load.zone_shares[0])[0];
     let zone_of = |balancer: u32| scenario.zones[usize::from(balancer >= in_first_zone)].clone();
     scenario.balancers.zones = (0..balancers).map(zone_of).collect();
-    let mut draw_share = |_| random::factor(rng, Spread::Lognormal, TRAFFIC_DEVIATION);
+    let mut draw_share = |_| random::factor(rng, Spread::Lognormal, TRAFFIC_VARIATION);
     scenario.balancers.shares = (0..balancers).map(&mut draw_share).collect();
     let shuffled = shuffled_servers(count, rng);
-    let faults_last = add_faults(&mut scenario, shape, &shuffled);
-    let observed = scenario.tiers[0].warm_up_time.secs() * BINS as f64 / BINS_PER_WARM_UP;
-    scenario.length = Span::s(FAULTS_BEGIN + faults_last + observed);
+    let faults_seconds = add_faults(&mut scenario, cause, &shuffled);
+    let observed_seconds = scenario.tiers[0].warm_up_time.secs() * BINS as f64 / BINS_PER_WARM_UP;
+    scenario.length = Span::s(FAULTS_START_SECONDS + faults_seconds + observed_seconds);
     scenario.check()?;
     Ok(scenario)
 }
@@ -84,30 +84,32 @@
     servers
 }
 
-/// Adds the faults of a shape and returns their duration in seconds.
-fn add_faults(scenario: &mut Scenario, shape: Shape, shuffled: &[usize]) -> f64 {
+/// Adds the faults of a cause and returns their duration in seconds.
+fn add_faults(scenario: &mut Scenario, cause: StartCause, shuffled: &[usize]) -> f64 {
     let replaced = |share: f64, seconds: f64| {
         let affected = (shuffled.len() as f64 * share).round().max(1.0) as usize;
         let which = shuffled[..affected].to_vec();
-        Fault { which, ..catalog::fault(FaultKind::Replaced, FAULTS_BEGIN, seconds) }
+        Fault { which, ..catalog::fault(FaultKind::Replaced, FAULTS_START_SECONDS, seconds) }
     };
-    match shape {
-        Shape::Restart => {
+    match cause {
+        StartCause::Restart => {
             scenario.faults.push(replaced(0.2, 4.0));
             4.0
         }
-        Shape::Release => {
+        StartCause::Release => {
             scenario.faults.push(replaced(0.6, 7.0));
             7.0
         }
-        Shape::Zone => {
+        StartCause::Zone => {
             let zone = Some(scenario.zones[1].clone());
-            scenario.faults.push(Fault { zone, ..catalog::fault(FaultKind::ZoneLost, FAULTS_BEGIN, 5.0) });
+            scenario
+                .faults
+                .push(Fault { zone, ..catalog::fault(FaultKind::ZoneLost, FAULTS_START_SECONDS, 5.0) });
             5.0
         }
-        Shape::Start => {
+        StartCause::Start => {
             scenario.faults.push(replaced(0.6, 1.0));
-            scenario.faults.push(catalog::fault(FaultKind::BalancerKilled, FAULTS_BEGIN, 1.0));
+            scenario.faults.push(catalog::fault(FaultKind::BalancerKilled, FAULTS_START_SECONDS, 1.0));
             // A notice that arrived after the restart would be attributed to the new process.
             scenario.balancers.notice = Span::ms(500.0);
             1.0
--- a/crates/fleet-model/src/slow_start/summary.rs
+++ b/crates/fleet-model/src/slow_start/summary.rs
@@ -1,4 +1,4 @@
-//! Summary of the scenarios of one shape and number of balancers over many seeds.
+//! Summary of the scenarios of one cause and number of balancers over many seeds.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    BINS, BINS_PER_WARM_UP, Measurement, OverloadCount, RuleOverrides, Shape, build_scenario, measure,
+    BINS, BINS_PER_WARM_UP, Measurement, OverloadCount, RuleOverrides, StartCause, build_scenario, measure,
 };
 use crate::policy::Kind;
 use crate::scenario::ScenarioError;
@@ -15,12 +15,12 @@
 /// First interval in which a server receives the traffic of a warm server.
 const WARM_BIN: usize = 12;
 /// Share of the traffic of a warm server at which a server counts as warm.
-const BACK_SHARE: f64 = 0.9;
+const WARM_TRAFFIC_SHARE: f64 = 0.9;
 
 /// Distribution of a value over the scenarios.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
-pub struct Spread {
+pub struct Distribution {
     /// Mean value.
     pub mean: f64,
     /// 99th percentile.
@@ -29,21 +29,21 @@
     pub max: f64,
 }
 
-impl From<[f64; 3]> for Spread {
-    fn from([mean, p99, max]: [f64; 3]) -> Spread {
-        Spread { mean, p99, max }
+impl From<[f64; 3]> for Distribution {
+    fn from([mean, p99, max]: [f64; 3]) -> Distribution {
+        Distribution { mean, p99, max }
     }
 }
 
-impl From<Spread> for [f64; 3] {
-    fn from(spread: Spread) -> [f64; 3] {
-        [spread.mean, spread.p99, spread.max]
+impl From<Distribution> for [f64; 3] {
+    fn from(distribution: Distribution) -> [f64; 3] {
+        [distribution.mean, distribution.p99, distribution.max]
     }
 }
 
-impl Spread {
+impl Distribution {
     /// Over the finite ones of the values; zeros if there is none.
-    fn of(values: impl Iterator<Item = f64>) -> Spread {
+    fn of(values: impl Iterator<Item = f64>) -> Distribution {
         let mut values: Vec<f64> = values.filter(|value| value.is_finite()).collect();
         values.sort_by(f64::total_cmp);
         let last = values.len().max(1) - 1;
@@ -52,7 +52,7 @@
             values.get(index.min(last)).copied().unwrap_or(0.0)
         };
         let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
-        Spread { mean, p99: quantile(0.99), max: quantile(1.0) }
+        Distribution { mean, p99: quantile(0.99), max: quantile(1.0) }
     }
 }
 
@@ -78,11 +78,12 @@
     }
 }
 
-/// Result of all scenarios of a shape and a number of balancers.
+/// Result of all scenarios of a cause and a number of balancers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Row {
     /// Cause of the starts.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub cause: StartCause,
     /// Number of balancers.
     pub balancers: u32,
     /// Number of scenarios.
@@ -91,15 +92,15 @@
     /// Number of starts of servers over all scenarios.
     pub starts: usize,
     /// Requests beyond the budget N at the most-hit server of a scenario, in square roots of N.
-    pub excess: Spread,
+    pub excess: Distribution,
     /// `excess` over the windows in which more than two thirds of the requests came from balancers notified of the
     /// start.
     #[serde(rename = "excess_told")]
-    pub informed_excess: Spread,
+    pub informed_excess: Distribution,
     /// `excess` in work, over the windows in which more than two thirds of the work came from balancers notified of
     /// the start.
     #[serde(rename = "excess_work")]
-    pub informed_excess_work: Spread,
+    pub informed_excess_work: Distribution,
     /// Servers overloaded by count of requests.
     #[serde(rename = "fallen")]
     pub overloaded: OverloadCount,
@@ -107,38 +108,40 @@
     #[serde(rename = "fallen_work")]
     pub overloaded_by_work: OverloadCount,
     /// Traffic of a server by tenths of the warm-up time, as a multiple of an even share.
-    pub share: Vec<f64>,
+    #[serde(rename = "share")]
+    pub traffic_shares: Vec<f64>,
     /// Time until a server receives nine tenths of the traffic of a warm server.
-    pub warm: WarmUp,
+    #[serde(rename = "warm")]
+    pub warm_up: WarmUp,
     /// Mean score of the scenarios.
     #[serde(rename = "g")]
     pub score: f64,
 }
 
-/// Runs a shape with a number of balancers and seeds from 1 to `seeds` on all cores. Calls `done` after each scenario.
+/// Runs a cause with a number of balancers and seeds from 1 to `seeds` on all cores. Calls `done` after each scenario.
 ///
 /// # Errors
 ///
 /// The rules contradict themselves.
 pub fn run(
-    shape: Shape,
+    cause: StartCause,
     balancers: u32,
     seeds: u64,
     rules: RuleOverrides,
     done: impl Fn() + Sync,
-) -> Result<Line, ScenarioError> {
+) -> Result<Row, ScenarioError> {
     let run_seed = |seed: u64| {
-        let measurement = measure(&build_scenario(shape, balancers, seed, rules)?, Kind::Module)?;
+        let measurement = measure(&build_scenario(cause, balancers, seed, rules)?, Kind::Module)?;
         done();
         Ok(measurement)
     };
     let seeds: Vec<u64> = (1..=seeds).collect();
     let scenarios: Result<Vec<Measurement>, ScenarioError> =
         seeds.into_par_iter().with_max_len(1).map(run_seed).collect();
-    Ok(summarize(shape, balancers, &scenarios?))
+    Ok(summarize(cause, balancers, &scenarios?))
 }
 
-fn summarize(shape: Shape, balancers: u32, scenarios: &[Measurement]) -> Line {
+fn summarize(cause: StartCause, balancers: u32, scenarios: &[Measurement]) -> Row {
     let mean = |value: &dyn Fn(&Measurement) -> f64| {
         scenarios.iter().map(value).sum::<f64>() / scenarios.len().max(1) as f64
     };
@@ -146,28 +149,31 @@
         total: scenarios.iter().map(|scenario| count(scenario).total).sum(),
         informed: scenarios.iter().map(|scenario| count(scenario).informed).sum(),
     };
-    let share: Vec<f64> = (0..BINS).map(|bin| mean(&|scenario| scenario.share[bin])).collect();
-    let warm_up_times = back_after(&share);
-    Line {
-        shape,
+    let traffic_shares: Vec<f64> =
+        (0..BINS).map(|bin| mean(&|scenario| scenario.traffic_shares[bin])).collect();
+    let warm_up_times = time_until_warm(&traffic_shares);
+    Row {
+        cause,
         balancers,
         scenarios: scenarios.len(),
         starts: scenarios.iter().map(|scenario| scenario.starts).sum(),
-        excess: Spread::of(scenarios.iter().map(|scenario| scenario.excess)),
-        informed_excess: Spread::of(scenarios.iter().map(|scenario| scenario.informed_excess)),
-        informed_excess_work: Spread::of(scenarios.iter().map(|scenario| scenario.informed_excess_work)),
+        excess: Distribution::of(scenarios.iter().map(|scenario| scenario.excess)),
+        informed_excess: Distribution::of(scenarios.iter().map(|scenario| scenario.informed_excess)),
+        informed_excess_work: Distribution::of(
+            scenarios.iter().map(|scenario| scenario.informed_excess_work),
+        ),
         overloaded: total(|scenario| scenario.overloaded),
         overloaded_by_work: total(|scenario| scenario.overloaded_by_work),
-        warm: WarmUp { warm_up_times, seconds: warm_up_times * mean(&|scenario| scenario.warm_up_time) },
-        share,
+        warm_up: WarmUp { warm_up_times, seconds: warm_up_times * mean(&|scenario| scenario.warm_up_time) },
+        traffic_shares,
         score: mean(&|scenario| scenario.score),
     }
 }
 
 /// Returns the time after which the traffic of a server stays close to that of a warm server, in warm-up times.
-fn back_after(share: &[f64]) -> f64 {
-    let warm = share[WARM_BIN..].iter().sum::<f64>() / (BINS - WARM_BIN) as f64;
-    let last_below = share[..WARM_BIN].iter().rposition(|share| *share < BACK_SHARE * warm);
-    let back = last_below.map_or(0, |bin| bin + 1);
-    back as f64 / BINS_PER_WARM_UP
+fn time_until_warm(traffic_shares: &[f64]) -> f64 {
+    let warm = traffic_shares[WARM_BIN..].iter().sum::<f64>() / (BINS - WARM_BIN) as f64;
+    let last_below = traffic_shares[..WARM_BIN].iter().rposition(|share| *share < WARM_TRAFFIC_SHARE * warm);
+    let first_warm_bin = last_below.map_or(0, |bin| bin + 1);
+    first_warm_bin as f64 / BINS_PER_WARM_UP
 }
--- a/crates/fleet-model/tests/scale.rs
+++ b/crates/fleet-model/tests/scale.rs
@@ -79,7 +79,7 @@
     let run = run_scenario(&short(8, DepthCondition::TwentyPercent), Kind::Module, false).unwrap();
     let by_tier = attempts(&run);
     // Each balancer may save up five retries beside a tenth of its requests. With few calls these are significant.
-    let saved = 5.0 * f64::from(depth::SERVERS) / run.result.requests as f64;
+    let saved = 5.0 * f64::from(depth::SERVERS_PER_TIER) / run.result.requests as f64;
     for (tier, attempts) in by_tier.iter().enumerate() {
         let limit = (1.1 + saved).powi(tier as i32 + 1);
         assert!(
