--- a/crates/fleet-model/benches/handle/balancer.rs
+++ b/crates/fleet-model/benches/handle/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer under measurement, driven without world and sockets.
+//! A balancer that is measured without a simulated world and without sockets.
 
 use std::collections::VecDeque;
 
@@ -9,28 +9,28 @@
 
 /// Number of zones of the planned fleet.
 const ZONES: u32 = 14;
-/// Number of queued requests in the measurements with a queue.
-pub const QUEUED: usize = 50;
-/// Number of requests after which a new balancer has learned its percentiles.
+/// Number of queued requests in measurements with a queue.
+pub const QUEUED_REQUESTS: usize = 50;
+/// Number of requests and outcomes after which a new balancer has learned its percentiles.
 const WARM_UP_PAIRS: u32 = 256;
 /// Time between two events, in microseconds.
 const EVENT_INTERVAL: Micros = 10;
 
-/// Number of balancers that share the servers.
+/// Whether the balancer shares the servers with others.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Sender {
+pub enum Sharing {
     /// One balancer for all servers.
     Alone,
     /// As many balancers as servers, so that the fair share of each is about one server.
     OneOfMany,
 }
 
-impl Sender {
+impl Sharing {
     /// Returns the name in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Sender::Alone => "alone",
-            Sender::OneOfMany => "one of many",
+            Sharing::Alone => "alone",
+            Sharing::OneOfMany => "one of many",
         }
     }
 }
@@ -41,8 +41,8 @@
     server: ServerId,
 }
 
-/// A balancer and its requests.
-pub struct Bench {
+/// A balancer, its requests and a clock.
+pub struct BalancerBench {
     balancer: Balancer,
     now: Micros,
     next_request: RequestId,
@@ -54,7 +54,7 @@
 }
 
 /// Returns the settings of a balancer with one class of idempotent requests.
-fn settings(servers: u32, sender: Sender) -> Settings {
+fn settings(servers: u32, sharing: Sharing) -> Settings {
     let class = Class {
         idempotency: Idempotency::Idempotent,
         latency_objective: 1_000_000,
@@ -66,7 +66,7 @@
     };
     let mut settings = Settings::new(vec![class]);
     settings.zone_count = ZONES.min(servers);
-    if sender == Sender::OneOfMany {
+    if sharing == Sharing::OneOfMany {
         settings.balancer_count = servers;
         settings.balancer_index = servers / 2;
         settings.zone = settings.balancer_index % settings.zone_count;
@@ -74,10 +74,10 @@
     settings
 }
 
-impl Bench {
+impl BalancerBench {
     /// Creates a balancer that knows this many servers and has learned its percentiles.
-    pub fn new(servers: u32, sender: Sender) -> Bench {
-        let settings = settings(servers, sender);
+    pub fn new(servers: u32, sharing: Sharing) -> BalancerBench {
+        let settings = settings(servers, sharing);
         let zones = settings.zone_count;
         let mut balancer = Balancer::new(settings, 1).expect("the settings are valid");
         let mut actions = Vec::new();
@@ -89,7 +89,7 @@
         let entries = (0..servers).map(entry).collect();
         balancer.handle(0, Event::EndpointList { kind: ListKind::Snapshot, entries }, &mut actions);
         actions.clear();
-        let mut bench = Bench {
+        let mut bench = BalancerBench {
             balancer,
             now: 0,
             next_request: 0,
@@ -104,9 +104,9 @@
         bench
     }
 
-    /// Sends requests until the concurrency limit is reached and `QUEUED` requests are queued.
+    /// Sends requests until the concurrency limit is reached and `QUEUED_REQUESTS` are queued.
     pub fn fill(&mut self) {
-        while self.queued < QUEUED {
+        while self.queued < QUEUED_REQUESTS {
             self.request();
         }
     }
@@ -117,7 +117,7 @@
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// Passes a new request to the balancer and follows its actions.
+    /// Passes a new request to the balancer and carries out its actions.
     pub fn request(&mut self) {
         let id = self.next_request;
         self.next_request += 1;
@@ -134,7 +134,7 @@
         self.apply_actions();
     }
 
-    /// Passes the outcome of the oldest attempt to the balancer and follows its actions.
+    /// Passes the outcome of the oldest attempt to the balancer and carries out its actions.
     pub fn outcome(&mut self) {
         let Some(AttemptInFlight { request, server }) = self.in_flight.pop_front() else { return };
         self.outcomes += 1;
@@ -153,7 +153,7 @@
         self.apply_actions();
     }
 
-    /// Follows the actions of the balancer.
+    /// Carries out the actions of the balancer.
     pub fn apply_actions(&mut self) {
         for action in self.actions.drain(..) {
             match action {
--- a/crates/fleet-model/benches/handle/measurement.rs
+++ b/crates/fleet-model/benches/handle/measurement.rs
@@ -6,12 +6,12 @@
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use zincstand_policy::Event;
 
-use crate::balancer::{Bench, Sender};
+use crate::balancer::{BalancerBench, Sharing};
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Number of operations measured on one balancer. A new one then replaces it, so that limits and queues stay as
+/// Number of operations measured on one balancer. It is then replaced by a new one, so that limits and queues stay as
 /// prepared.
 pub const OPERATIONS_PER_BALANCER: u64 = 64;
 /// Token of the timer on which the module expires queued requests.
@@ -22,10 +22,10 @@
 pub enum Operation {
     /// A request and its outcome, with nothing else in flight.
     IdlePair,
-    /// At the concurrency limit with `QUEUED` requests queued: an outcome, which sends a queued request, and a new
+    /// At the concurrency limit with `QUEUED_REQUESTS` queued: an outcome, which sends a queued request, and a new
     /// request.
     QueuedPair,
-    /// The expiry timer with `QUEUED` requests queued, none of which expires.
+    /// The expiry timer with `QUEUED_REQUESTS` queued, none of which expires.
     Expiry,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Operation {
-    fn run(self, bench: &mut Bench) {
+    fn run(self, bench: &mut BalancerBench) {
         match self {
             Operation::IdlePair => bench.idle_pair(),
             Operation::QueuedPair => {
@@ -66,20 +66,20 @@
     }
 
     /// Measures `count` operations of a balancer that knows this many servers.
-    pub fn measure(self, servers: u32, sender: Sender, count: u64) -> Measurement {
+    pub fn measure(self, servers: u32, sharing: Sharing, count: u64) -> Measurement {
         let mut times = Vec::with_capacity(count as usize);
         let mut allocations = 0;
         let mut bytes = 0;
         while (times.len() as u64) < count {
-            let mut bench = Bench::new(servers, sender);
+            let mut bench = BalancerBench::new(servers, sharing);
             if self != Operation::IdlePair {
                 bench.fill();
             }
             for _ in 0..OPERATIONS_PER_BALANCER.min(count - times.len() as u64) {
                 let region = Region::new(ALLOCATOR);
-                let began = Instant::now();
+                let started_at = Instant::now();
                 self.run(&mut bench);
-                times.push(began.elapsed());
+                times.push(started_at.elapsed());
                 let change = region.change();
                 allocations += change.allocations + change.reallocations;
                 bytes += change.bytes_allocated;
--- a/crates/fleet-model/benches/scenarios.rs
+++ b/crates/fleet-model/benches/scenarios.rs
@@ -1,4 +1,4 @@
-//! Time that running a scenario of the model takes: `cargo bench -p zincstand-fleet-model --bench scenarios`.
+//! Time that a scenario of the model takes: `cargo bench -p zincstand-fleet-model --bench scenarios`.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use zincstand_fleet_model::scenario::Scenario;
 use zincstand_fleet_model::{Span, run_scenario};
 
-/// The decision module, and a cheap baseline that shows the cost of the world alone.
+/// The decision module, and a cheap baseline whose time is almost only that of the simulated world.
 const POLICIES: [Kind; 2] = [Kind::Module, Kind::TwoChoices];
 
-fn drawn(kind: &str, size: Size) -> Scenario {
+fn generate(kind: &str, size: Size) -> Scenario {
     catalog::generate(kind, 1, size).expect("the catalog has this kind")
 }
 
-/// The scenario in service: 8 + 9 servers, 69 requests a second, 60 s.
-fn service_scenario() -> Scenario {
-    let mut scenario = drawn("errors+heavy+deploy", Size::Site);
+/// Returns a scenario of the size of the fleet in service: 8 + 9 servers, 69 requests per second, 60 s.
+fn fleet_in_service_scenario() -> Scenario {
+    let mut scenario = generate("errors+heavy+deploy", Size::Site);
     scenario.tiers[0].servers = vec![4, 4];
     scenario.tiers[1].servers = vec![5, 4];
     scenario.load.rate = 69.0;
@@ -27,8 +27,8 @@
     scenario
 }
 
-fn bench_service_scenario(criterion: &mut Criterion) {
-    let scenario = service_scenario();
+fn bench_fleet_in_service(criterion: &mut Criterion) {
+    let scenario = fleet_in_service_scenario();
     let mut group = criterion.benchmark_group("60 s, 8 + 9 servers, 69 a second");
     group.measurement_time(Duration::from_secs(5)).sample_size(20);
     for kind in POLICIES {
@@ -39,9 +39,10 @@
     group.finish();
 }
 
-/// A scenario of half the vast fleet times `factor`, with the same load for each server.
-fn grown_scenario(factor: u32) -> Scenario {
-    let mut scenario = drawn("deploy", Size::Vast);
+/// Returns a scenario with `factor / 2` times the servers and balancers of the vast fleet. The load per server stays
+/// the same.
+fn scaled_scenario(factor: u32) -> Scenario {
+    let mut scenario = generate("deploy", Size::Vast);
     for count in scenario.tiers.iter_mut().flat_map(|tier| &mut tier.servers) {
         *count = *count * factor / 2;
     }
@@ -53,12 +54,12 @@
     scenario
 }
 
-/// Time for an event on ever larger fleets shows what grows with the number of servers.
-fn bench_growth(criterion: &mut Criterion) {
+/// Measures the time per event for several sizes of the fleet, to show which costs grow with the number of servers.
+fn bench_time_per_event(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("an event, by servers");
     group.measurement_time(Duration::from_secs(5)).sample_size(10);
     for factor in [1u32, 2, 4, 8] {
-        let scenario = grown_scenario(factor);
+        let scenario = scaled_scenario(factor);
         let servers: u32 = scenario.tiers.iter().flat_map(|tier| &tier.servers).sum();
         for kind in POLICIES {
             let events = run_scenario(&scenario, kind, false).map_or(0, |run| run.result.events);
@@ -76,7 +77,7 @@
     let mut group = criterion.benchmark_group("100 balancers, 60 servers");
     group.measurement_time(Duration::from_secs(10)).sample_size(10);
     for kind in ["deploy", "zone", "join"] {
-        let scenario = drawn(kind, Size::Vast);
+        let scenario = generate(kind, Size::Vast);
         group.bench_function(kind, |bencher| {
             bencher.iter(|| run_scenario(black_box(&scenario), Kind::Module, false));
         });
@@ -84,5 +85,5 @@
     group.finish();
 }
 
-criterion_group!(benches, bench_service_scenario, bench_growth, bench_vast_scenarios);
+criterion_group!(benches, bench_fleet_in_service, bench_time_per_event, bench_vast_scenarios);
 criterion_main!(benches);
--- a/crates/fleet-model/src/depth/fit.rs
+++ b/crates/fleet-model/src/depth/fit.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Student's t for a two-sided interval of 95%, by degrees of freedom from 1.
+/// Quantiles of Student's t distribution for a two-sided 95% interval, by degrees of freedom starting at 1.
 const STUDENT_T: [f64; 9] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26];
-/// The quantile used beyond [`STUDENT_T`], close to that of the normal distribution.
+/// Quantile for more degrees of freedom than [`STUDENT_T`] has, close to that of the normal distribution.
 const NORMAL_QUANTILE: f64 = 2.0;
 
-/// A mean over scenarios with its 95% interval by Student's t.
+/// A mean over scenarios with its 95% confidence interval by Student's t distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Mean {
     /// The mean.
@@ -40,7 +40,8 @@
     pub y: f64,
 }
 
-/// A straight line through points, and the slopes of its halves. Halves that differ show that the points bend.
+/// A straight line fitted to points, and the slopes of lines fitted to the lower and the upper half of the points. If
+/// these differ, the points do not follow a straight line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
     /// Change of y for a change of x by one.
@@ -74,7 +75,7 @@
     }
 }
 
-/// A line of least squares.
+/// A line fitted by least squares.
 struct Line {
     slope: f64,
     intercept: f64,
--- a/crates/fleet-model/src/depth/measure.rs
+++ b/crates/fleet-model/src/depth/measure.rs
@@ -5,20 +5,20 @@
 use crate::scoring::TierCount;
 use crate::world::run_scenario;
 
-/// Seconds at the beginning of a scenario that are not measured, because balancers start without learned state.
+/// Number of seconds at the start of a scenario that are not measured, because balancers have no learned state yet.
 const UNMEASURED_SECONDS: usize = 2;
 
-/// Counts of one scenario without its first seconds.
+/// Counts of one scenario, without the first [`UNMEASURED_SECONDS`].
 pub(super) struct Measurement {
-    /// First attempts of clients.
+    /// Number of first attempts of clients.
     pub calls: f64,
-    /// Calls answered within the latency objective.
+    /// Number of calls answered within the latency objective.
     good: f64,
-    /// Calls answered within the deadline.
+    /// Number of calls answered within the deadline.
     answered: f64,
     /// Counts of each tier.
     tiers: Vec<TierCount>,
-    /// Work in one tier of the calls that were answered, in microseconds. It is the same in every tier.
+    /// Work in one tier for the calls that were answered, in microseconds. It is the same in every tier.
     answered_work: f64,
     /// Number of rules broken.
     pub broken: u64,
--- a/crates/fleet-model/src/depth/mod.rs
+++ b/crates/fleet-model/src/depth/mod.rs
@@ -1,5 +1,5 @@
-//! Call chains of many tiers: how a client's request multiplies on its way to the last tier, and how much goodput, time
-//! and work is lost.
+//! Call chains of many tiers: how many attempts a client's request causes in each tier, and how much goodput, time and
+//! work is lost.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -17,7 +17,7 @@
 pub use self::fit::{Fit, Mean, Point};
 pub use self::scenario::{RATE_PER_BALANCER, SERVERS_PER_TIER, build_scenario};
 
-/// Smallest amplification whose logarithm is taken. No attempt at all in the last tier counts as this.
+/// Smallest amplification whose logarithm is taken. It stands for zero if the last tier received no attempt.
 const MIN_AMPLIFICATION: f64 = 1e-9;
 
 /// Condition of the last tier, which lasts for the whole scenario.
@@ -30,9 +30,9 @@
     FixedDeadline,
     /// No fault. The work of a call varies little.
     EvenWork,
-    /// One server of twenty fails one request in five, so that one request in a hundred fails.
+    /// One server in twenty fails one request in five, so that one request in a hundred fails.
     OnePercent,
-    /// One server of twenty fails every request.
+    /// One server in twenty fails every request.
     FivePercent,
     /// Every server fails one request in five.
     TwentyPercent,
@@ -92,7 +92,7 @@
 }
 
 impl Parameters {
-    /// Returns parameters that take about a minute: two seeds and shorter scenarios.
+    /// Returns parameters of a run of about a minute: two seeds and shorter scenarios.
     pub fn quick() -> Parameters {
         Parameters { seeds: 2, seconds: 3.0, ..Parameters::default() }
     }
@@ -136,11 +136,11 @@
     /// Condition of the last tier.
     #[serde(rename = "trouble")]
     pub condition: DepthCondition,
-    /// Natural logarithm of the attempts in the last tier for each call.
+    /// Line through the natural logarithm of the attempts in the last tier for each call.
     pub amplification: Fit,
-    /// Goodput.
+    /// Line through the goodput.
     pub goodput: Fit,
-    /// Share of work that contributed to no client's answer.
+    /// Line through the share of work that contributed to no client's answer.
     pub waste: Fit,
 }
 
@@ -149,17 +149,17 @@
 pub struct DepthResult {
     /// The first seed.
     pub seed: u64,
-    /// Depths, conditions and seeds that were run.
+    /// Parameters of the run.
     #[serde(rename = "sizes")]
     pub parameters: Parameters,
-    /// One row for each condition and depth, in this order.
+    /// One row for each condition and depth, ordered by condition and then by depth.
     pub rows: Vec<Row>,
     /// One entry for each condition.
     #[serde(rename = "slopes")]
     pub fits: Vec<ConditionFits>,
 }
 
-/// A scenario to run.
+/// Depth, condition and seed of a scenario to run.
 struct Cell {
     condition: DepthCondition,
     tiers: usize,
@@ -174,7 +174,7 @@
     }
 }
 
-/// A scenario that has been run.
+/// A scenario that has been run, and its measurement.
 struct MeasuredCell {
     condition: DepthCondition,
     tiers: usize,
@@ -198,21 +198,22 @@
         .map(run_cell)
         .collect::<Result<_, ScenarioError>>()?;
     measured.sort_by_key(|cell| (cell.condition, cell.tiers));
-    let of_one_row = |one: &MeasuredCell, other: &MeasuredCell| {
+    let in_same_row = |one: &MeasuredCell, other: &MeasuredCell| {
         one.condition == other.condition && one.tiers == other.tiers
     };
-    let rows: Vec<Row> = measured.chunk_by(of_one_row).map(row).collect();
+    let rows: Vec<Row> = measured.chunk_by(in_same_row).map(row).collect();
     let fits = rows.chunk_by(|one, other| one.condition == other.condition).map(fit_condition).collect();
     Ok(DepthResult { seed, parameters: parameters.clone(), rows, fits })
 }
 
-/// Returns all cells, the deepest first. These take longest, and started last they would leave other threads idle.
+/// Returns all cells, those with the most tiers first. They take longest, and if they started last, other threads would
+/// be idle meanwhile.
 fn cells(first_seed: u64, parameters: &Parameters) -> Vec<Cell> {
     let mut cells = Vec::new();
     for &condition in &parameters.conditions {
         for &tiers in &parameters.tiers {
-            for number in 0..parameters.seeds {
-                cells.push(Cell { condition, tiers, seed: first_seed + number });
+            for offset in 0..parameters.seeds {
+                cells.push(Cell { condition, tiers, seed: first_seed + offset });
             }
         }
     }
--- a/crates/fleet-model/src/depth/scenario.rs
+++ b/crates/fleet-model/src/depth/scenario.rs
@@ -5,31 +5,32 @@
 use crate::scenario::{Class, Fault, FaultKind, Scenario, Tier};
 use crate::span::Span;
 
-/// Servers of every tier, and balancers of the first tier.
+/// Number of servers of every tier, and of balancers of the first tier.
 pub const SERVERS_PER_TIER: u32 = 20;
 /// Calls per second to each balancer of the first tier, as in the planned fleet.
 pub const RATE_PER_BALANCER: f64 = 225.0;
 /// Mean work of a call at a server, in milliseconds. With two cores and [`RATE_PER_BALANCER`], servers are 45% busy.
 const MEAN_WORK_MS: f64 = 4.0;
-/// Mean of the distribution of work before it is cut off at [`MAX_WORK_MS`], which leaves [`MEAN_WORK_MS`].
-const UNLIMITED_MEAN_WORK_MS: f64 = 4.4;
-/// Coefficient of variation of that distribution.
+/// Mean of the distribution of work in milliseconds, before it is truncated at [`MAX_WORK_MS`]. The truncated mean is
+/// [`MEAN_WORK_MS`].
+const UNTRUNCATED_MEAN_WORK_MS: f64 = 4.4;
+/// Coefficient of variation of the distribution of work before it is truncated.
 const WORK_VARIATION: f64 = 2.0;
 /// Longest work of a call, in milliseconds.
 const MAX_WORK_MS: f64 = 30.0;
 /// Coefficient of variation of the work under [`DepthCondition::EvenWork`].
 const EVEN_WORK_VARIATION: f64 = 0.5;
-/// Latency objective of a request for each tier, in milliseconds.
+/// Latency objective of a request per tier, in milliseconds.
 const OBJECTIVE_MS: f64 = 50.0;
-/// Deadline of a request for each tier, in milliseconds.
+/// Deadline of a request per tier, in milliseconds.
 const DEADLINE_MS: f64 = 100.0;
 /// Deadline of a request under [`DepthCondition::FixedDeadline`], in milliseconds.
 const FIXED_DEADLINE_MS: f64 = 800.0;
 /// Index of the faulty server of the last tier, where a single server is faulty.
 const FAULTY_SERVER: usize = 3;
-/// Share of the requests that fail at servers that do not fail all.
+/// Share of the requests that fail at servers that fail only some of them.
 const ERROR_SHARE: f64 = 0.2;
-/// Factor of the work at slow servers.
+/// Factor by which work takes longer at slow servers.
 const SLOW_FACTOR: f64 = 1.8;
 
 /// Builds a scenario of equally busy tiers in which each request makes one call of the next tier.
@@ -57,7 +58,7 @@
         class.work = Span::ms(MEAN_WORK_MS);
         class.cv = EVEN_WORK_VARIATION;
     } else {
-        class.work = Span::ms(UNLIMITED_MEAN_WORK_MS);
+        class.work = Span::ms(UNTRUNCATED_MEAN_WORK_MS);
         class.cv = WORK_VARIATION;
     }
     class.most_work = Span::ms(MAX_WORK_MS);
@@ -65,15 +66,15 @@
     class.deadline = Span::ms(deadline);
 }
 
-/// Returns copies of a tier, each of which but the last calls the next one once for a request.
-fn equal_tiers(pattern: &Tier, count: usize) -> Vec<Tier> {
-    let numbered = |index: usize| Tier {
+/// Returns copies of a tier. Each of them except the last calls the next tier once for each request.
+fn equal_tiers(template: &Tier, count: usize) -> Vec<Tier> {
+    let numbered_tier = |index: usize| Tier {
         name: format!("tier {index}"),
         servers: vec![SERVERS_PER_TIER],
         calls: if index + 1 == count { 0.0 } else { 1.0 },
-        ..pattern.clone()
+        ..template.clone()
     };
-    (0..count).map(numbered).collect()
+    (0..count).map(numbered_tier).collect()
 }
 
 /// Returns the faults of the last tier, which last for the whole scenario.
--- a/crates/fleet-model/src/experiment/comparison.rs
+++ b/crates/fleet-model/src/experiment/comparison.rs
@@ -11,16 +11,16 @@
 
 /// Number of resamples of a bootstrap interval.
 const RESAMPLES: u64 = 10_000;
-/// Seed of the resamples, so that equal values have equal intervals.
+/// Seed of the resamples. It is fixed, so that equal values have equal intervals.
 const RESAMPLE_SEED: u64 = 0;
 /// Quantile of the lower end of a 95% interval.
 const LOWER_QUANTILE: f64 = 0.025;
 /// Quantile of the upper end of a 95% interval.
 const UPPER_QUANTILE: f64 = 0.975;
-/// Results that differ by less are equal.
+/// Results whose difference is at most this count as equal.
 const EQUALITY_TOLERANCE: f64 = 1e-9;
 
-/// A mean with its 95% interval.
+/// A mean with its 95% confidence interval by the bootstrap.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
     /// Number of values.
@@ -44,31 +44,31 @@
         let mut means: Vec<f64> =
             (0..RESAMPLES).into_par_iter().map(|resample| mean_of_resample(values, resample)).collect();
         means.sort_by(f64::total_cmp);
-        let quantile = |quantile: f64| means[((means.len() - 1) as f64 * quantile).round() as usize];
+        let quantile = |level: f64| means[((means.len() - 1) as f64 * level).round() as usize];
         Estimate { count, mean, low: quantile(LOWER_QUANTILE), high: quantile(UPPER_QUANTILE) }
     }
 }
 
-/// Draws as many of the values as there are, with replacement, and returns their mean.
+/// Draws a resample of the same size from the values, with replacement, and returns its mean.
 fn mean_of_resample(values: &[f64], resample: u64) -> f64 {
     let count = values.len();
     let mut rng = random::stream(RESAMPLE_SEED, Purpose::Process, resample);
     (0..count).map(|_| values[rng.random_range(0..count)]).sum::<f64>() / count as f64
 }
 
-/// Error of two lists of rows that cannot be compared.
+/// Reason why two lists of rows cannot be compared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ComparisonError {
     /// A list has rows of one scenario for several policies or labels.
-    #[error("{list} has the scenario {scenario} more than once; name one policy and label")]
+    #[error("{list} list has rows for scenario {scenario} more than once; select one policy and one label")]
     Repeated {
-        /// Name of the list.
+        /// Which of the two lists.
         list: &'static str,
         /// Kind, seed and size of the scenario.
         scenario: String,
     },
     /// No scenario is in both lists.
-    #[error("the two have no scenario in common")]
+    #[error("the two lists of rows have no scenario in common")]
     NothingInCommon,
 }
 
@@ -144,16 +144,16 @@
         for pair in &pairs {
             by_kind.entry(pair.kind.clone()).or_default().push(pair.difference());
         }
-        let share = |test: fn(f64) -> bool| {
-            differences.iter().filter(|difference| test(**difference)).count() as f64
+        let share_of = |condition: fn(f64) -> bool| {
+            differences.iter().filter(|difference| condition(**difference)).count() as f64
                 / differences.len() as f64
         };
         Comparison {
             unpaired,
             all: Estimate::of(&differences),
             kinds: by_kind.into_iter().map(|(kind, values)| (kind, Estimate::of(&values))).collect(),
-            better: share(|difference| difference > EQUALITY_TOLERANCE),
-            worse: share(|difference| difference < -EQUALITY_TOLERANCE),
+            better: share_of(|difference| difference > EQUALITY_TOLERANCE),
+            worse: share_of(|difference| difference < -EQUALITY_TOLERANCE),
             pairs,
         }
     }
@@ -167,7 +167,7 @@
     }
 }
 
-/// Returns the rows of a list by their scenario.
+/// Returns the rows of a list by scenario.
 fn rows_by_scenario<'a>(
     rows: &'a [Row],
     list: &'static str,
--- a/crates/fleet-model/src/experiment/mod.rs
+++ b/crates/fleet-model/src/experiment/mod.rs
@@ -18,7 +18,7 @@
 pub use self::comparison::{Comparison, ComparisonError, Estimate, Pair};
 pub use self::score::{ScenarioScore, scores};
 
-/// A scenario to run, and the policy to run it with.
+/// A cell of an experiment: a scenario of the catalog, and the policy to run it with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cell {
     /// Kind of the scenario.
@@ -42,7 +42,7 @@
     }
 }
 
-/// Result of a cell, which is a line of an experiment's file.
+/// Result of a cell. An experiment's file has a line for each row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
@@ -56,7 +56,7 @@
     pub size: String,
     /// Name of the policy.
     pub policy: String,
-    /// The result, whether or not rules were broken.
+    /// Weighted shares of utility minus the prices, whether or not rules were broken.
     pub g: f64,
     /// The result that counts: `g`, or zero if a rule was broken or `g` is negative.
     pub counted: f64,
@@ -69,7 +69,7 @@
     pub worst_class: f64,
     /// Share of utility of the worst-served tenant.
     pub worst_tenant: f64,
-    /// Points subtracted by prices.
+    /// Sum of the prices, which was subtracted from the utility.
     pub prices: f64,
     /// Share of the work that contributed to no answer.
     pub waste: f64,
@@ -135,7 +135,7 @@
         done();
         Ok(Row::new(label, cell, &run.result))
     };
-    // One cell at a time balances the load: the duration of a scenario is not known in advance.
+    // Threads take one cell at a time, because the duration of a scenario is not known in advance.
     cells.par_iter().with_max_len(1).map(row).collect()
 }
 
--- a/crates/fleet-model/src/experiment/score.rs
+++ b/crates/fleet-model/src/experiment/score.rs
@@ -1,4 +1,4 @@
-//! Scores of the decision module between bounds that other policies set.
+//! Scores of the decision module, relative to bounds that follow from the results of other policies.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,8 @@
     pub kind: &'a str,
     /// Seed of the scenario.
     pub seed: u64,
-    /// Place of the module's result between the bounds, from 0 to 1. 0 if the module broke a rule.
+    /// Position of the module's result between the lower bound (0) and the upper bound (1). 0 if the module broke a
+    /// rule.
     pub score: f64,
 }
 
@@ -26,8 +27,8 @@
 
 /// Scores the decision module in each scenario that was also run with random choice and full knowledge.
 ///
-/// The upper bound is the best result of any policy. The lower bound is the result of random choice, within a limited
-/// distance of the upper bound.
+/// The upper bound is the best result of any policy. The lower bound is the result of random choice, but at least
+/// [`MIN_BOUND_DISTANCE`] and at most [`MAX_BOUND_DISTANCE`] below the upper bound.
 pub fn scores(rows: &[Row]) -> Vec<ScenarioScore<'_>> {
     let mut scenarios: BTreeMap<ScenarioKey<'_>, RowsByPolicy<'_>> = BTreeMap::new();
     for row in rows {
--- a/crates/fleet-model/src/experiment/tests.rs
+++ b/crates/fleet-model/src/experiment/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn pairs_go_by_scenario_and_the_interval_holds_the_true_difference() {
+fn rows_are_paired_by_scenario_and_the_interval_contains_the_true_difference() {
     let mut rng = random::stream(1, Purpose::Request, 9);
     let a: Vec<Row> = (0..100).map(|seed| row("calm", seed, rng.random())).collect();
     let b: Vec<Row> = a
@@ -26,18 +26,23 @@
     assert!(comparison.all.low < 0.02 && 0.02 < comparison.all.high, "{:?}", comparison.all);
     assert!(
         comparison.all.high - comparison.all.low < 0.015,
-        "paired, the spread between scenarios does not count: {:?}",
+        "the interval is wide although pairing removes the differences between scenarios: {:?}",
         comparison.all
     );
     assert!((comparison.better + comparison.worse - 1.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_scenario_twice_or_none_in_common_is_an_error() {
-    let twice = [row("calm", 1, 0.5), row("calm", 1, 0.6)];
-    assert!(Comparison::of(&twice, &twice[..1], |r| r.g).unwrap_err().to_string().contains("more than once"));
+fn repeated_scenarios_and_lists_without_common_scenarios_are_rejected() {
+    let repeated = [row("calm", 1, 0.5), row("calm", 1, 0.6)];
     assert!(
-        Comparison::of(&twice[..1], &[row("busy", 1, 0.5)], |r| r.g)
+        Comparison::of(&repeated, &repeated[..1], |r| r.g)
+            .unwrap_err()
+            .to_string()
+            .contains("more than once")
+    );
+    assert!(
+        Comparison::of(&repeated[..1], &[row("busy", 1, 0.5)], |r| r.g)
             .unwrap_err()
             .to_string()
             .contains("no scenario")
--- a/crates/fleet-model/src/failures/measure.rs
+++ b/crates/fleet-model/src/failures/measure.rs
@@ -13,14 +13,14 @@
 use crate::server::Truth;
 use crate::world::{ScenarioRun, run_scenario_with};
 
-/// Size of an entry of a list on the wire, in bytes. A list of 2,000 entries has 340 KB.
+/// Size of an entry of a list on the wire, in bytes. A list of 2,000 entries takes 340 KB.
 const ENTRY_BYTES: u64 = 170;
-/// Share of the goodput before a failure at which the fleet counts as recovered.
+/// Share of the goodput before a failure at or above which the fleet counts as recovered.
 const RECOVERED_SHARE: f64 = 0.9;
-/// Number of consecutive seconds that must reach this share.
+/// Number of consecutive seconds that must reach [`RECOVERED_SHARE`].
 const STEADY_SECONDS: usize = 3;
 
-/// Computing time of the decision modules of all processes.
+/// Computing time and calls of the decision modules of all balancer processes.
 #[derive(Default)]
 struct ModuleTime {
     nanoseconds: AtomicU64,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Runs the scenario of a failure and measures its cost. The scenario without a failure is measured over the same time.
+/// Runs the scenario of a failure and measures its cost. [`Failure::None`] is measured over the same seconds.
 ///
 /// # Errors
 ///
@@ -113,7 +113,7 @@
 }
 
 impl Goodput {
-    /// Computes the goodput of a scenario whose failure starts in the second `start`.
+    /// Computes the goodput of a scenario whose failure starts in second `start`.
     fn of(seconds: &[Second], start: usize) -> Goodput {
         let share = |second: &Second| {
             let all = second.served + second.late + second.rejected + second.failed;
--- a/crates/fleet-model/src/failures/mod.rs
+++ b/crates/fleet-model/src/failures/mod.rs
@@ -1,4 +1,5 @@
-//! Failures of a large fleet with as many balancers as servers, and the goodput and discovery traffic that each costs.
+//! Failures of a large fleet with as many balancers as servers: the goodput that each costs and the discovery traffic
+//! that it causes.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -15,11 +16,12 @@
 
 pub use self::scenario::build_scenario;
 
-/// Calls a second to one balancer of the planned fleet.
+/// Calls per second to one balancer of the planned fleet.
 const PLANNED_RATE: f64 = 225.0;
 /// Length of a scenario that measures only the cost of events, in seconds.
 const COST_SCENARIO_SECONDS: f64 = 4.0;
-/// Calls per second of the fleet of such a scenario. It is the same for all sizes, so that each has as many events.
+/// Calls per second of the fleet of such a scenario. It does not depend on the size of the
+/// fleet, so that all these scenarios have about as many events.
 const COST_SCENARIO_RATE: f64 = 8_000.0;
 /// Start of a failure, as a share of the length of the scenario.
 const START_SHARE: f64 = 0.2;
@@ -67,9 +69,9 @@
 pub struct Parameters {
     /// Number of servers, and of balancers.
     pub servers: u32,
-    /// Number of zones, which four regions share.
+    /// Number of zones. They are divided among four regions.
     pub zones: u32,
-    /// Calls a second to one balancer.
+    /// Calls per second to one balancer.
     pub rate: f64,
     /// Length of a scenario in seconds.
     pub seconds: f64,
@@ -84,7 +86,7 @@
 }
 
 impl Parameters {
-    /// Returns parameters for a tenth of the fleet, which run in about a minute.
+    /// Returns the parameters of a tenth of the fleet. Its scenarios run in about a minute.
     pub fn quick() -> Parameters {
         Parameters { servers: 200, ..Parameters::default() }
     }
@@ -93,7 +95,8 @@
         self.servers.div_ceil(self.zones.max(1)).max(1)
     }
 
-    /// Returns the factor by which a balancer has fewer calls than planned. Each call needs as many times the work.
+    /// Returns the factor by which the rate is below the planned one. The work of a call is multiplied by it, so that
+    /// servers are as busy as planned.
     pub fn work_factor(&self) -> f64 {
         PLANNED_RATE / self.rate
     }
@@ -145,41 +148,41 @@
     /// Share of the calls answered within the latency objective, before the failure.
     #[serde(rename = "before")]
     pub goodput_before: f64,
-    /// The lowest goodput of a second after the failure.
+    /// Lowest goodput of a second after the start of the failure.
     #[serde(rename = "dip")]
     pub lowest_goodput: f64,
-    /// The second of the scenario with this share.
+    /// Second of the scenario in which the goodput was lowest.
     #[serde(rename = "dip_at")]
     pub lowest_at: usize,
-    /// Seconds from the failure until three consecutive seconds reach nine tenths of the goodput before. `None` if
-    /// never.
+    /// Seconds from the failure until three consecutive seconds reach nine tenths of the goodput before it.
+    /// `None` if they never do.
     pub recovered: Option<f64>,
-    /// Seconds from the end of the failure until the same. `None` if never.
+    /// Seconds from the end of the failure until three consecutive seconds reach that goodput. `None` if they never do.
     pub recovered_after_end: Option<f64>,
     /// Number of servers that collapsed while warming up.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
     /// Number of broken rules.
     pub broken: u64,
-    /// Rules of the first breaches.
+    /// Rules that the first recorded breaches broke.
     #[serde(rename = "rules")]
     pub broken_rules: Vec<Rule>,
-    /// Number of lists and changes that discovery sent in the busiest second after the failure.
+    /// Number of lists and changes that discovery sent in the busiest second after the start of the failure.
     pub messages: u64,
-    /// Number of entries in the same second.
+    /// Number of entries that discovery sent in that second.
     pub entries: u64,
-    /// Estimated bytes of these.
+    /// Estimated size of these entries in bytes.
     pub bytes: u64,
-    /// All that discovery sent after the failure.
+    /// Messages and entries that discovery sent after the start of the failure.
     #[serde(rename = "all")]
     pub discovery_total: DiscoveryTotal,
-    /// Events of the scenario.
+    /// Number of events of the scenario.
     pub events: u64,
-    /// Real time that the scenario took, in seconds.
+    /// Wall-clock time that the scenario took, in seconds.
     pub seconds: f64,
-    /// Part of this that the decision module took.
+    /// Part of this time that the decision module took, in seconds.
     pub module_seconds: f64,
-    /// Calls of the decision module.
+    /// Number of calls of `handle` of the decision module.
     #[serde(rename = "handled")]
     pub module_calls: u64,
 }
@@ -189,11 +192,11 @@
 pub struct Cost {
     /// Number of servers, and of balancers.
     pub servers: u32,
-    /// Number of events of the world.
+    /// Number of events of the scenario.
     pub events: u64,
-    /// Time of the world for one of its events, in nanoseconds.
+    /// Time that the simulated world takes for an event, in nanoseconds.
     pub world_ns: f64,
-    /// Time of the decision module for one call of `handle`, in nanoseconds.
+    /// Time that the decision module takes for a call of `handle`, in nanoseconds.
     pub module_ns: f64,
     /// Share of the decision module in the computing time.
     pub module_share: f64,
@@ -220,23 +223,23 @@
     /// The fleet and the failures that were run.
     #[serde(rename = "sizes")]
     pub parameters: Parameters,
-    /// Factor by which there were fewer calls than planned, each with as many times the work.
+    /// Factor by which the rate was below the planned one, and by which the work of a call was multiplied.
     #[serde(rename = "scaled")]
     pub work_factor: f64,
     /// One row for each failure.
     pub rows: Vec<Row>,
-    /// One entry for each number of known servers.
+    /// One entry for each of the numbers of servers at which the cost of events was measured.
     pub costs: Vec<Cost>,
-    /// Time of the decision module for a call in nanoseconds, by the number of servers.
+    /// Line through the time of the decision module for a call, in nanoseconds, by the number of servers.
     #[serde(rename = "module")]
     pub module_time: Fit,
-    /// Time of the world for an event in nanoseconds, by the number of servers.
+    /// Line through the time of the world for an event, in nanoseconds, by the number of servers.
     #[serde(rename = "world")]
     pub world_time: Fit,
 }
 
 /// Runs a short scenario for each number of servers in `server_counts`, and then the failures. Calls `done` after each
-/// scenario. All scenarios run in the calling thread, so that their times are those of one core.
+/// scenario. All scenarios run in the calling thread, so that their times are those of a single core.
 ///
 /// # Errors
 ///
@@ -249,14 +252,14 @@
 ) -> Result<FailuresResult, ScenarioError> {
     let mut costs = Vec::new();
     for &servers in server_counts {
-        let small = Parameters {
+        let cost_parameters = Parameters {
             servers,
             zones: parameters.zones.min(servers),
             rate: (COST_SCENARIO_RATE / f64::from(servers)).clamp(parameters.rate, PLANNED_RATE),
             seconds: COST_SCENARIO_SECONDS,
             failures: Vec::new(),
         };
-        let cost = Cost::of(&measure(seed, &small, Failure::None)?);
+        let cost = Cost::of(&measure(seed, &cost_parameters, Failure::None)?);
         costs.push(Cost { servers, ..cost });
         done();
     }
--- a/crates/fleet-model/src/failures/scenario.rs
+++ b/crates/fleet-model/src/failures/scenario.rs
@@ -1,8 +1,7 @@
 //! Scenarios in which a part of a fleet fails.
 
 use super::{Failure, FailureSpan, Parameters};
-use crate::catalog::fault;
-use crate::catalog::plain;
+use crate::catalog::{fault, plain};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::span::Span;
 
@@ -37,8 +36,8 @@
 /// Number of regions that share the zones.
 const REGIONS: u32 = 4;
 
-/// Builds the scenario of a failure. Where the parameters have fewer calls than planned, each call needs as many times the
-/// work.
+/// Builds the scenario of a failure. If the rate is below the planned one, the work of a call is larger by the same
+/// factor.
 pub fn build_scenario(seed: u64, parameters: &Parameters, failure: Failure) -> Scenario {
     let zones: Vec<String> = (0..parameters.zones).map(|zone| format!("zone {zone}")).collect();
     let per_zone = parameters.servers_per_zone();
@@ -51,7 +50,7 @@
     class.most_work = Span::ms(MAX_WORK_FACTOR * work);
     class.latency_objective = Span::ms(OBJECTIVE_FACTOR * work);
     class.deadline = Span::ms(DEADLINE_FACTOR * work);
-    // Balancers with neighbouring numbers are in one zone, as they run beside their servers.
+    // Balancers are numbered zone by zone like the servers, because each runs on the machine of a server.
     let balancers_of = |zone: &String| std::iter::repeat_n(zone.clone(), per_zone as usize);
     scenario.balancers.zones = zones.iter().flat_map(balancers_of).collect();
     scenario.name = format!("{servers} servers, {}", failure.name());
@@ -74,7 +73,7 @@
         }
         Failure::OrdinaryDay => ordinary_day(parameters, &span),
         Failure::Region => {
-            // Rounded up: the first region also has the zones that an even division leaves over.
+            // Rounded up: the first region also has the zones that remain after an even division.
             let zones = 0..parameters.zones.div_ceil(REGIONS);
             zones.map(|zone| zone_fault(FaultKind::ZoneCut, &span, zone)).collect()
         }
@@ -85,25 +84,25 @@
 /// over the zones. A smaller fleet has proportionally fewer faults.
 fn ordinary_day(parameters: &Parameters, span: &FailureSpan) -> Vec<Fault> {
     let servers = parameters.servers_per_zone() * parameters.zones;
-    let part = (f64::from(servers) / PLANNED_SERVERS).min(1.0);
-    let scaled = |planned: f64| (planned * part).ceil().max(1.0) as usize;
+    let fleet_share = (f64::from(servers) / PLANNED_SERVERS).min(1.0);
+    let scaled_count = |planned: f64| (planned * fleet_share).ceil().max(1.0) as usize;
     let servers = servers as usize;
-    let spread = |count: usize, first: usize| -> Vec<usize> {
+    let spread_over_servers = |count: usize, first: usize| -> Vec<usize> {
         (0..count).map(|index| (first + index * servers / count) % servers).collect()
     };
-    let left = parameters.seconds - span.start;
-    let length = (span.end - span.start).min(left * MAX_OUTAGE_SHARE);
-    let lost = scaled(MACHINES_LOST_PER_DAY);
+    let remaining_seconds = parameters.seconds - span.start;
+    let length = (span.end - span.start).min(remaining_seconds * MAX_OUTAGE_SHARE);
+    let lost = scaled_count(MACHINES_LOST_PER_DAY);
     let mut faults = Vec::new();
-    for (index, machine) in spread(lost, 1).into_iter().enumerate() {
-        let at = span.start + left * LOSSES_SHARE * index as f64 / lost as f64;
+    for (index, machine) in spread_over_servers(lost, 1).into_iter().enumerate() {
+        let at = span.start + remaining_seconds * LOSSES_SHARE * index as f64 / lost as f64;
         faults.push(targeted_fault(FaultKind::Vanished, at, length, vec![machine]));
         faults.push(targeted_fault(FaultKind::BalancerKilled, at, length, vec![machine]));
     }
-    let restarted = spread(scaled(SERVERS_RESTARTED_PER_DAY), 0);
-    let restart_span = left * RESTARTS_SHARE;
-    faults.push(targeted_fault(FaultKind::RollingDeploy, span.start, restart_span, restarted.clone()));
-    faults.push(targeted_fault(FaultKind::BalancerRestart, span.start, restart_span, restarted));
+    let restarted = spread_over_servers(scaled_count(SERVERS_RESTARTED_PER_DAY), 0);
+    let restart_seconds = remaining_seconds * RESTARTS_SHARE;
+    faults.push(targeted_fault(FaultKind::RollingDeploy, span.start, restart_seconds, restarted.clone()));
+    faults.push(targeted_fault(FaultKind::BalancerRestart, span.start, restart_seconds, restarted));
     faults
 }
 
--- a/crates/fleet-model/src/slow_start/analysis.rs
+++ b/crates/fleet-model/src/slow_start/analysis.rs
@@ -1,4 +1,4 @@
-//! Work that the warming servers of one scenario received, against the budget that the rules allow.
+//! Work that the warming servers of one scenario received, compared with the budget that the rules allow.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -11,9 +11,11 @@
 use crate::scenario::{Scenario, ScenarioError};
 use crate::world::{ArrivalAtServer, RecordedRun, ServerStart, run_recorded};
 
-/// An overload breaks the rule if more than this share of it came from balancers that had been notified of the start.
+/// Balancers that had been notified of the start count as the cause of an overload if more than this share of the
+/// requests, or of the work, came from them.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
-/// Requests beyond a budget of N that are attributed to chance, in square roots of N. [`CHANCE_REQUESTS`] is added.
+/// Requests beyond a budget of N that are attributed to chance, in square roots of N, in addition to
+/// [`CHANCE_REQUESTS`].
 const CHANCE_ROOTS: f64 = 2.0;
 /// Requests beyond a budget that are attributed to chance, whatever the budget.
 const CHANCE_REQUESTS: f64 = 2.0;
@@ -23,7 +25,7 @@
 pub struct Measurement {
     /// Number of starts of servers.
     pub starts: usize,
-    /// Requests beyond the budget N at the most-hit server in its worst window, in square roots of N.
+    /// Requests beyond the budget N at the most overloaded server in its worst window, in square roots of N.
     pub excess: f64,
     /// `excess` over the windows in which more than two thirds of the requests came from balancers notified of the
     /// start.
@@ -50,7 +52,7 @@
     pub score: f64,
 }
 
-/// Work that a server received within a window of the rule.
+/// Requests that a server received within the time window of the overload rule.
 struct Window<'a> {
     arrivals: &'a [&'a ArrivalAtServer],
     /// Work in the window, in requests of mean work.
@@ -89,11 +91,11 @@
 /// The scenario contradicts itself.
 pub fn measure(scenario: &Scenario, kind: Kind) -> Result<Measurement, ScenarioError> {
     let RecordedRun { run, recording } = run_recorded(scenario, kind)?;
-    let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
+    let total_share: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let analysis = Analysis {
         scenario,
         starts: recording.starts.len(),
-        mean_work: mean_work(&scenario.classes, scenario.seed) * 1e6 / shares,
+        mean_work: mean_work(&scenario.classes, scenario.seed) * 1e6 / total_share,
     };
     let mut measurement = Measurement {
         starts: recording.starts.len(),
@@ -115,7 +117,7 @@
     Ok(measurement)
 }
 
-/// A scenario with values that all its servers share.
+/// A scenario, with values that are the same for all its servers.
 struct Analysis<'a> {
     scenario: &'a Scenario,
     /// Number of starts of servers.
@@ -128,13 +130,13 @@
     /// Adds the requests of a server to the mean traffic by tenths of the warm-up time.
     fn add_traffic_shares(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], shares: &mut [f64]) {
         let tier = &self.scenario.tiers[0];
-        let bin = tier.warm_up_time.0 as f64 / BINS_PER_WARM_UP;
+        let bin_length = tier.warm_up_time.0 as f64 / BINS_PER_WARM_UP;
         let servers = f64::from(tier.servers.iter().sum::<u32>());
-        let even = self.scenario.load.rate / servers / 1e6;
+        let even_share = self.scenario.load.rate / servers / 1e6;
         for arrival in arrivals {
-            let index = ((arrival.at - start.at) as f64 / bin) as usize;
+            let index = ((arrival.at - start.at) as f64 / bin_length) as usize;
             if let Some(share) = shares.get_mut(index) {
-                *share += 1.0 / (bin * even * self.starts as f64);
+                *share += 1.0 / (bin_length * even_share * self.starts as f64);
             }
         }
     }
@@ -147,7 +149,7 @@
         let mut overload_by_work = None;
         let mut first = 0;
         let mut work = 0.0;
-        for (last, arrival) in arrivals.iter().enumerate().take_while(|(_, one)| one.at < warm_at) {
+        for (last, arrival) in arrivals.iter().enumerate().take_while(|(_, arrival)| arrival.at < warm_at) {
             work += arrival.work / self.mean_work;
             while arrivals[first].at + span <= arrival.at {
                 work -= arrivals[first].work / self.mean_work;
@@ -184,17 +186,17 @@
         let informed_work: f64 = informed.map(|arrival| arrival.work / self.mean_work).sum();
         let mostly_informed = informed_count > INFORMED_SHARE * count;
         let mostly_informed_work = informed_work > INFORMED_SHARE * window.work;
-        let root = window.budget.sqrt();
-        let excess = (count - window.budget) / root;
+        let budget_root = window.budget.sqrt();
+        let excess = (count - window.budget) / budget_root;
         measurement.excess = measurement.excess.max(excess);
         if mostly_informed {
             measurement.informed_excess = measurement.informed_excess.max(excess);
         }
         if mostly_informed_work {
-            let excess_work = (window.work - window.budget) / root;
+            let excess_work = (window.work - window.budget) / budget_root;
             measurement.informed_excess_work = measurement.informed_excess_work.max(excess_work);
         }
-        let limit = window.budget + CHANCE_ROOTS * root + CHANCE_REQUESTS;
+        let limit = window.budget + CHANCE_ROOTS * budget_root + CHANCE_REQUESTS;
         if count > limit {
             overload.get_or_insert(OverloadedBy::new(mostly_informed));
         }
--- a/crates/fleet-model/src/slow_start/mod.rs
+++ b/crates/fleet-model/src/slow_start/mod.rs
@@ -1,5 +1,5 @@
-//! Slow start of a fleet: work that warming servers receive from all balancers together, against the budget of the
-//! rules.
+//! Slow start in a fleet: the work that warming servers receive from all balancers together, compared with the budget
+//! that the rules allow.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -16,10 +16,10 @@
 
 /// Number of intervals into which the warm-up time is divided for counting traffic.
 const BINS_PER_WARM_UP: f64 = 10.0;
-/// Number of intervals that are counted, including some after the warm-up.
+/// Number of intervals in which traffic is counted, including some after the warm-up.
 const BINS: usize = 16;
 
-/// Cause of the start of servers.
+/// Reason why servers start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartCause {
@@ -29,7 +29,7 @@
     Release,
     /// A zone with its servers and balancers is lost for 5 s.
     Zone,
-    /// Six in ten servers are replaced while all balancers are killed. The new balancers have learned no rate.
+    /// Six servers in ten are replaced while all balancers are killed. The new balancers have not learned any rate.
     Start,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Overrides of the rules of the site in service. `None` keeps the rule.
+/// Values that replace rules of the site. `None` keeps the rule of the site.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RuleOverrides {
     /// Multiple of its capacity at which a warming server collapses.
@@ -59,7 +59,7 @@
     pub initial_capacity: Option<f64>,
 }
 
-/// Numbers of servers that received more than the budget.
+/// Numbers of servers that received more than the budget allows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[usize; 2]", into = "[usize; 2]")]
 pub struct OverloadCount {
--- a/crates/fleet-model/src/slow_start/scenario.rs
+++ b/crates/fleet-model/src/slow_start/scenario.rs
@@ -8,18 +8,18 @@
 use crate::scenario::{Class, Fault, FaultKind, Scenario, ScenarioError, Spread};
 use crate::span::Span;
 
-/// Time at which servers begin to restart, in seconds. By then, balancers with little traffic have sent some requests.
+/// Time at which the faults start, in seconds. By then, even balancers with little traffic have sent some requests.
 const FAULTS_START_SECONDS: f64 = 8.0;
-/// Coefficient of variation of the traffic of balancers. The busiest of many gets several times the mean.
+/// Coefficient of variation of the traffic of balancers. The busiest of many balancers gets several times the mean.
 const TRAFFIC_VARIATION: f64 = 1.0;
 /// Range of the share of servers in the first zone.
 const FIRST_ZONE_SHARE_RANGE: (f64, f64) = (0.4, 0.6);
 /// Range of the utilization of the servers.
 const UTILIZATION_RANGE: (f64, f64) = (0.54, 0.68);
-/// Number of the random stream of these scenarios, which separates it from the draws of faults of the catalog.
+/// Number of the random stream of these scenarios. It differs from the streams from which the catalog draws faults.
 const RANDOM_STREAM: u64 = 2_000;
 
-/// Returns the number of servers for a number of balancers. Each balancer gets only some requests per second.
+/// Returns the number of servers for a number of balancers. Each balancer then gets only a few requests per second.
 fn server_count(balancers: u32) -> u32 {
     match balancers {
         0..=4 => 6,
@@ -35,8 +35,8 @@
     classes.iter().map(|class| class.share * catalog::mean_work(class, seed)).sum::<f64>()
 }
 
-/// Draws a scenario of a cause. It has one tier, is otherwise like the kind `busy` of the site, and is as long as the
-/// cause requires.
+/// Draws a scenario in which servers start for a cause. It is like the kind `busy` of the site, but has one tier and
+/// the length that the cause requires.
 ///
 /// # Errors
 ///
@@ -58,8 +58,8 @@
     tier.work = 1.0;
     tier.initial_capacity = rules.initial_capacity.unwrap_or(tier.initial_capacity);
     scenario.rules.overload_factor = rules.overload_factor.unwrap_or(scenario.rules.overload_factor);
-    let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
-    let work = mean_work(&scenario.classes, seed) / shares;
+    let total_share: f64 = scenario.classes.iter().map(|class| class.share).sum();
+    let work = mean_work(&scenario.classes, seed) / total_share;
     let cores = f64::from(count * scenario.tiers[0].cores) * scenario.tiers[0].speed;
     scenario.load.rate = cores / work * within(rng, UTILIZATION_RANGE);
     let in_first_zone = catalog::zoned(balancers, scenario.load.zone_shares[0])[0];
@@ -84,7 +84,7 @@
     servers
 }
 
-/// Adds the faults of a cause and returns their duration in seconds.
+/// Adds the faults that make servers start and returns their duration in seconds.
 fn add_faults(scenario: &mut Scenario, cause: StartCause, shuffled: &[usize]) -> f64 {
     let replaced = |share: f64, seconds: f64| {
         let affected = (shuffled.len() as f64 * share).round().max(1.0) as usize;
@@ -110,7 +110,7 @@
         StartCause::Start => {
             scenario.faults.push(replaced(0.6, 1.0));
             scenario.faults.push(catalog::fault(FaultKind::BalancerKilled, FAULTS_START_SECONDS, 1.0));
-            // A notice that arrived after the restart would be attributed to the new process.
+            // A notification that arrived after the restart of a balancer would be attributed to its new process.
             scenario.balancers.notice = Span::ms(500.0);
             1.0
         }
--- a/crates/fleet-model/src/slow_start/summary.rs
+++ b/crates/fleet-model/src/slow_start/summary.rs
@@ -12,9 +12,9 @@
 use crate::policy::Kind;
 use crate::scenario::ScenarioError;
 
-/// First interval in which a server receives the traffic of a warm server.
+/// First interval that counts as after the warm-up. The traffic of a warm server is the mean from there on.
 const WARM_BIN: usize = 12;
-/// Share of the traffic of a warm server at which a server counts as warm.
+/// Share of the traffic of a warm server from which a server counts as warm.
 const WARM_TRAFFIC_SHARE: f64 = 0.9;
 
 /// Distribution of a value over the scenarios.
@@ -42,13 +42,13 @@
 }
 
 impl Distribution {
-    /// Over the finite ones of the values; zeros if there is none.
+    /// Computes the distribution of the finite values. It is all zeros if there is none.
     fn of(values: impl Iterator<Item = f64>) -> Distribution {
         let mut values: Vec<f64> = values.filter(|value| value.is_finite()).collect();
         values.sort_by(f64::total_cmp);
         let last = values.len().max(1) - 1;
-        let quantile = |q: f64| {
-            let index = (values.len() as f64 * q) as usize;
+        let quantile = |level: f64| {
+            let index = (values.len() as f64 * level) as usize;
             values.get(index.min(last)).copied().unwrap_or(0.0)
         };
         let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
@@ -56,7 +56,7 @@
     }
 }
 
-/// When a server receives nine tenths of what it receives once warm.
+/// Time after which a server receives nine tenths of the traffic that it receives once warm.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 2]", into = "[f64; 2]")]
 pub struct WarmUp {
@@ -81,7 +81,7 @@
 /// Result of all scenarios of a cause and a number of balancers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Cause of the starts.
+    /// Reason why servers started.
     #[serde(rename = "shape")]
     pub cause: StartCause,
     /// Number of balancers.
@@ -91,7 +91,7 @@
     pub scenarios: usize,
     /// Number of starts of servers over all scenarios.
     pub starts: usize,
-    /// Requests beyond the budget N at the most-hit server of a scenario, in square roots of N.
+    /// Requests beyond the budget N at the most overloaded server of a scenario, in square roots of N.
     pub excess: Distribution,
     /// `excess` over the windows in which more than two thirds of the requests came from balancers notified of the
     /// start.
@@ -107,7 +107,7 @@
     /// Servers overloaded by work.
     #[serde(rename = "fallen_work")]
     pub overloaded_by_work: OverloadCount,
-    /// Traffic of a server by tenths of the warm-up time, as a multiple of an even share.
+    /// Mean traffic of a server by tenths of the warm-up time, as a multiple of an even share.
     #[serde(rename = "share")]
     pub traffic_shares: Vec<f64>,
     /// Time until a server receives nine tenths of the traffic of a warm server.
@@ -118,7 +118,8 @@
     pub score: f64,
 }
 
-/// Runs a cause with a number of balancers and seeds from 1 to `seeds` on all cores. Calls `done` after each scenario.
+/// Runs the scenarios of a cause and a number of balancers with the seeds from 1 to `seeds` on all cores. Calls `done`
+/// after each scenario.
 ///
 /// # Errors
 ///
--- a/crates/fleet-model/tests/scale.rs
+++ b/crates/fleet-model/tests/scale.rs
@@ -1,20 +1,21 @@
-//! Costs as counts: attempts of a call by the number of tiers, and messages of a change by the number of balancers.
+//! Costs as counts: attempts for a call by the number of tiers, and messages of discovery for a change by the number of
+//! balancers.
 
 use zincstand_fleet_model::depth::{self, DepthCondition};
 use zincstand_fleet_model::policy::Kind;
 use zincstand_fleet_model::scenario::{FaultKind, Scenario};
 use zincstand_fleet_model::{ScenarioRun, Span, run_scenario};
 
-/// Attempts in each tier for one first attempt of a client.
-fn attempts(run: &ScenarioRun) -> Vec<f64> {
+/// Returns the attempts in each tier for one first attempt of a client.
+fn attempts_by_tier(run: &ScenarioRun) -> Vec<f64> {
     let tiers = run.detail.tiers[0].len();
     let total = |tier: usize| run.detail.tiers.iter().map(|second| second[tier].attempts).sum::<u64>() as f64;
     (0..tiers).map(|tier| total(tier) / run.result.requests as f64).collect()
 }
 
-/// A scenario that is quick to run. It has a sixteenth of the traffic and servers with a sixteenth of the speed, so
-/// that they are equally busy.
-fn short(tiers: usize, condition: DepthCondition) -> Scenario {
+/// Returns a scenario that runs quickly. It has a sixteenth of the traffic, and its servers have a sixteenth of the
+/// speed, so that they are as busy as in the full scenario.
+fn scaled_down_scenario(tiers: usize, condition: DepthCondition) -> Scenario {
     let mut scenario = depth::build_scenario(tiers, condition, 7, 1.5);
     scenario.load.rate /= 16.0;
     for tier in &mut scenario.tiers {
@@ -26,10 +27,11 @@
     scenario
 }
 
-/// If work varies little, a caller's P99 is little longer than its call takes. Tiers that required a time left of
-/// several P50 rejected all requests, so that nothing was served from the fourth tier on.
+/// If work varies little, the P99 by which a caller bounds an attempt is only a little longer than the attempt takes.
+/// Tiers that required several times the P50 as time left rejected all requests, so that nothing was served from the
+/// fourth tier on.
 #[test]
-fn tiers_of_even_work_serve_what_callers_bound_by_their_percentiles() {
+fn tiers_of_even_work_serve_attempts_whose_time_is_bounded_by_percentiles() {
     for tiers in [4, 8] {
         let ends = run_scenario(
             &depth::build_scenario(tiers, DepthCondition::EvenWork, 1, 3.0),
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn scenarios_end_at_thirty_two_tiers() {
+fn scenarios_have_at_most_thirty_two_tiers() {
     assert!(depth::build_scenario(30, DepthCondition::Healthy, 1, 1.0).check().is_ok());
     assert!(depth::build_scenario(32, DepthCondition::Healthy, 1, 1.0).check().is_ok());
     let error = depth::build_scenario(33, DepthCondition::Healthy, 1, 1.0).check().unwrap_err();
@@ -57,16 +59,16 @@
 }
 
 #[test]
-fn eight_healthy_tiers_multiply_a_call_by_less_than_a_tenth_each() {
-    let run = run_scenario(&short(8, DepthCondition::Healthy), Kind::Module, false).unwrap();
+fn each_of_eight_healthy_tiers_adds_at_most_a_tenth_to_the_attempts() {
+    let run = run_scenario(&scaled_down_scenario(8, DepthCondition::Healthy), Kind::Module, false).unwrap();
     assert_eq!(run.result.broken, 0, "{:?}", run.result.breaches);
-    let by_tier = attempts(&run);
+    let by_tier = attempts_by_tier(&run);
     assert_eq!(by_tier.len(), 8);
     for (tier, attempts) in by_tier.iter().enumerate() {
         let limit = 1.1_f64.powi(tier as i32 + 1);
         assert!(
             *attempts <= limit,
-            "tier {tier}: {attempts:.3} attempts for a first attempt, budgets allow {limit:.3}"
+            "tier {tier}: {attempts:.3} attempts for a first attempt, retry budgets allow {limit:.3}"
         );
         assert!(*attempts >= 0.9, "tier {tier}: only {attempts:.3} attempts for a first attempt");
     }
@@ -76,32 +78,33 @@
 /// attempts.
 #[test]
 fn retries_of_errors_in_the_last_tier_stay_within_every_budget() {
-    let run = run_scenario(&short(8, DepthCondition::TwentyPercent), Kind::Module, false).unwrap();
-    let by_tier = attempts(&run);
-    // Each balancer may save up five retries beside a tenth of its requests. With few calls these are significant.
-    let saved = 5.0 * f64::from(depth::SERVERS_PER_TIER) / run.result.requests as f64;
+    let run =
+        run_scenario(&scaled_down_scenario(8, DepthCondition::TwentyPercent), Kind::Module, false).unwrap();
+    let by_tier = attempts_by_tier(&run);
+    // Each balancer may use up to five saved retries in addition to a tenth of its requests. With few calls, they are
+    // significant.
+    let saved_retries = 5.0 * f64::from(depth::SERVERS_PER_TIER) / run.result.requests as f64;
     for (tier, attempts) in by_tier.iter().enumerate() {
-        let limit = (1.1 + saved).powi(tier as i32 + 1);
+        let limit = (1.1 + saved_retries).powi(tier as i32 + 1);
         assert!(
             *attempts <= limit,
-            "tier {tier}: {attempts:.3} attempts for a first attempt, budgets allow {limit:.3}"
+            "tier {tier}: {attempts:.3} attempts for a first attempt, retry budgets allow {limit:.3}"
         );
     }
     assert!(by_tier[7] > 1.05, "nothing was retried: {by_tier:.3?}");
 }
 
-/// If a repeat in an earlier tier had the same random draws as the attempt before, each retry would meet the same
-/// error.
+/// If a retry in an earlier tier had the same random draws as the attempt before it, it would meet the same errors.
 #[test]
-fn a_repeat_two_tiers_up_has_draws_of_its_own() {
-    let mut scenario = short(4, DepthCondition::TwentyPercent);
+fn a_retry_two_tiers_up_has_new_random_draws() {
+    let mut scenario = scaled_down_scenario(4, DepthCondition::TwentyPercent);
     scenario.limits.max_attempts = 2;
     scenario.faults[0].share = 0.6;
-    let first = run_scenario(&scenario, Kind::TwoChoices, false).unwrap();
-    let served = f64::from(first.result.ends.served + first.result.ends.late) / first.result.requests as f64;
+    let run = run_scenario(&scenario, Kind::TwoChoices, false).unwrap();
+    let answered = f64::from(run.result.ends.served + run.result.ends.late) / run.result.requests as f64;
     // With two attempts in each of four tiers, 0.6^16 of the calls fail. If only the last two tiers drew new numbers,
     // 0.6^4 would fail.
-    assert!(served > 0.99, "{served:.4} of the calls were answered; repeats meet the same errors");
+    assert!(answered > 0.99, "only {answered:.4} of the calls were answered; retries meet the same errors");
 }
 
 /// Traffic of discovery in a scenario.
@@ -120,8 +123,8 @@
 }
 
 #[test]
-fn a_change_costs_discovery_one_message_a_balancer() {
-    let mut scenario = short(2, DepthCondition::Healthy);
+fn discovery_sends_each_balancer_one_message_for_a_change() {
+    let mut scenario = scaled_down_scenario(2, DepthCondition::Healthy);
     let mut fault =
         scenario.faults.first().cloned().unwrap_or_else(|| {
             depth::build_scenario(2, DepthCondition::FivePercent, 7, 1.5).faults[0].clone()
@@ -133,12 +136,12 @@
     fault.length = Span::ms(100.0);
     fault.share = 1.0;
     let before = discovery_traffic(&scenario);
-    // At the start, a complete list for each balancer of both tiers.
+    // At the start, each balancer of both tiers gets a complete list.
     assert_eq!(before, Traffic { messages: 40, entries: 40 * 20 });
     scenario.faults = vec![fault];
     let after = discovery_traffic(&scenario);
-    // It drains, and is ready again: two entries for each of the 20 balancers before it. The server's own
-    // balancer starts again too, with a complete list of its own.
+    // The server drains and is ready again: two entries for each of the 20 balancers that send to it. The balancer on
+    // this server also restarts, and gets a complete list.
     let entries = after.entries - before.entries;
     assert_eq!(entries, 2 * 20 + 20, "{before:?} {after:?}");
     let messages = after.messages - before.messages;
--- a/crates/fleet-model/tests/slow_start.rs
+++ b/crates/fleet-model/tests/slow_start.rs
@@ -1,9 +1,9 @@
-//! The balancers together do not overload a warming server.
+//! All balancers together do not overload a warming server.
 
 use zincstand_fleet_model::policy::Kind;
 use zincstand_fleet_model::slow_start::{self, RuleOverrides, StartCause};
 
-/// Strict rules, which few requests break: a server starts with about a seventh of its capacity.
+/// Strict rules, which a few requests too many break: a server starts with about a seventh of its capacity.
 const STRICT: RuleOverrides = RuleOverrides { overload_factor: Some(2.0), initial_capacity: Some(0.15) };
 
 #[test]
@@ -14,7 +14,7 @@
                 let scenario =
                     slow_start::build_scenario(cause, balancers, seed, RuleOverrides::default()).unwrap();
                 let measurement = slow_start::measure(&scenario, Kind::Module).unwrap();
-                assert!(measurement.starts > 0, "{}: nothing started", scenario.name);
+                assert!(measurement.starts > 0, "{}: no server started", scenario.name);
                 assert_eq!(measurement.overloaded.informed, 0, "{}: {measurement:?}", scenario.name);
                 assert!(measurement.informed_excess <= 2.0, "{}: {measurement:?}", scenario.name);
             }
@@ -23,24 +23,27 @@
 }
 
 #[test]
-fn the_pause_keeps_the_bound_where_the_rule_is_strict() {
+fn the_pause_between_attempts_limits_the_excess_under_strict_rules() {
     for (balancers, cause) in [(2, StartCause::Release), (2, StartCause::Zone), (30, StartCause::Zone)] {
         for seed in 1..=6 {
             let scenario = slow_start::build_scenario(cause, balancers, seed, STRICT).unwrap();
             let measurement = slow_start::measure(&scenario, Kind::Module).unwrap();
-            // Without the pause before the next attempt it is -0.33 or more in most of these scenarios.
+            // Without the pause before the next attempt, the excess is -0.33 or more in most of these scenarios.
             assert!(measurement.informed_excess < -1.0, "{}: {measurement:?}", scenario.name);
         }
     }
 }
 
 #[test]
-fn a_policy_that_spares_no_warming_server_is_found_to_overload_it() {
+fn a_policy_without_slow_start_is_found_to_overload_warming_servers() {
     let scenario = slow_start::build_scenario(StartCause::Release, 30, 1, STRICT).unwrap();
-    let measurement = slow_start::measure(&scenario, Kind::RoundRobin).unwrap();
-    assert!(measurement.overloaded.informed > 0 && measurement.informed_excess > 2.0, "{measurement:?}");
+    let round_robin = slow_start::measure(&scenario, Kind::RoundRobin).unwrap();
+    assert!(round_robin.overloaded.informed > 0 && round_robin.informed_excess > 2.0, "{round_robin:?}");
     let module = slow_start::measure(&scenario, Kind::Module).unwrap();
-    assert!(module.informed_excess < measurement.informed_excess, "{module:?} after {measurement:?}");
+    assert!(
+        module.informed_excess < round_robin.informed_excess,
+        "module {module:?}, round robin {round_robin:?}"
+    );
     assert_eq!(module.overloaded.informed, 0, "{module:?}");
 }
 
@@ -49,8 +52,8 @@
     let mut scenario =
         slow_start::build_scenario(StartCause::Restart, 8, 1, RuleOverrides::default()).unwrap();
     assert!(
-        scenario.balancers.shares.iter().any(|s| *s > 1.5),
-        "traffic is uneven: {:?}",
+        scenario.balancers.shares.iter().any(|share| *share > 1.5),
+        "traffic is even: {:?}",
         scenario.balancers.shares
     );
     scenario.balancers.shares.pop();
--- a/crates/fleet-model/tests/stored.rs
+++ b/crates/fleet-model/tests/stored.rs
@@ -1,7 +1,7 @@
-//! Fixed scenarios give their stored results, and the page on scenario files names every key.
+//! Fixed scenarios have their stored results, and the page on scenario files names every key.
 //!
 //! A change of the decision module may change the results on purpose. `STORE=1 cargo test -p zincstand-fleet-model
-//! --test stored` then stores them anew, and the commit shows the differences.
+//! --test stored` then stores the new results, and the commit shows the differences.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -24,7 +24,7 @@
 ];
 
 #[test]
-fn fixed_scenarios_run_to_their_stored_results() {
+fn fixed_scenarios_have_their_stored_results() {
     let mut table =
         String::from("# kind seed size policy: G, served, late, refused, failed, attempts, events\n");
     for (kind, seed, size) in SCENARIOS {
@@ -53,19 +53,22 @@
         std::fs::write(&path, &table).unwrap();
     }
     let stored = std::fs::read_to_string(&path).unwrap();
-    let changed: Vec<_> = stored.lines().zip(table.lines()).filter(|(a, b)| a != b).collect();
-    assert!(changed.is_empty() && stored.len() == table.len(), "stored and run: {changed:#?}");
+    let changed: Vec<_> = stored.lines().zip(table.lines()).filter(|(stored, new)| stored != new).collect();
+    assert!(
+        changed.is_empty() && stored.len() == table.len(),
+        "results differ from tests/stored.txt (stored line, new line): {changed:#?}"
+    );
 }
 
-fn keys(value: &toml::Value, found: &mut BTreeSet<String>) {
+fn collect_keys(value: &toml::Value, found: &mut BTreeSet<String>) {
     match value {
         toml::Value::Table(table) => {
             for (key, value) in table {
                 found.insert(key.clone());
-                keys(value, found);
+                collect_keys(value, found);
             }
         }
-        toml::Value::Array(all) => all.iter().for_each(|value| keys(value, found)),
+        toml::Value::Array(values) => values.iter().for_each(|value| collect_keys(value, found)),
         _ => {}
     }
 }
@@ -75,11 +78,11 @@
     let page = include_str!("../../../docs/scenario-files.md");
     let mut found = BTreeSet::new();
     for (part, _) in catalog::PARTS {
-        // Whether servers can choke is drawn as well.
+        // Several seeds, because it is also drawn whether servers can choke.
         for seed in 0..8 {
             let scenario: Scenario = catalog::generate(part, seed, Size::Small).unwrap();
             let text: toml::Value = toml::from_str(&scenario.text().unwrap()).unwrap();
-            keys(&text, &mut found);
+            collect_keys(&text, &mut found);
             for fault in text.get("fault").and_then(|faults| faults.as_array()).into_iter().flatten() {
                 found.insert(fault["kind"].as_str().unwrap().to_owned());
             }
@@ -89,9 +92,9 @@
     let missing: Vec<_> = found
         .iter()
         .filter(|key| {
-            !["[[", "[", "`", "."]
-                .iter()
-                .any(|lead| ["`", "]", ","].iter().any(|end| page.contains(&format!("{lead}{key}{end}"))))
+            !["[[", "[", "`", "."].iter().any(|prefix| {
+                ["`", "]", ","].iter().any(|suffix| page.contains(&format!("{prefix}{key}{suffix}")))
+            })
         })
         .collect();
     assert!(missing.is_empty(), "docs/scenario-files.md does not describe {missing:?}");
--- a/crates/fleet-model/tests/world.rs
+++ b/crates/fleet-model/tests/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world behaves as described, and the check of the rules finds the breaches of policies.
+//! The simulated world behaves as described, and its rule checks find the breaches of a policy.
 
 use zincstand_fleet_model::catalog::{self, Size};
 use zincstand_fleet_model::policy::{Kind, Policy};
@@ -7,8 +7,8 @@
 use zincstand_fleet_model::{ScenarioRun, Span, Truth, run_scenario, run_scenario_with};
 use zincstand_policy::{Action, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState};
 
-/// A scenario without randomness: one class of equal requests, equal servers, no jitter.
-fn plain(servers: u32, rate: f64) -> Scenario {
+/// Returns a scenario of equal servers and one class of equal requests, without jitter and client retries.
+fn deterministic_scenario(servers: u32, rate: f64) -> Scenario {
     let mut scenario = catalog::generate("calm", 1, Size::Small).unwrap();
     scenario.zones = vec!["a".to_owned()];
     scenario.balancers.zones = vec!["a".to_owned()];
@@ -47,11 +47,11 @@
     fault
 }
 
-type Decide = fn(&mut Scripted, Micros, Event, &mut Vec<Action>);
+type EventHandler = fn(&mut Scripted, Micros, Event, &mut Vec<Action>);
 
-/// A policy that a test defines by a function, mostly to break a rule.
+/// A policy whose behaviour a test defines by a function, usually one that breaks a rule.
 struct Scripted {
-    decide: Decide,
+    on_event: EventHandler,
     servers: Vec<ServerEntry>,
 }
 
@@ -66,13 +66,13 @@
                 self.servers.push(entry.clone());
             }
         }
-        (self.decide)(self, now, event, actions);
+        (self.on_event)(self, now, event, actions);
     }
 }
 
-fn scripted(scenario: &Scenario, decide: Decide) -> ScenarioRun {
+fn run_scripted(scenario: &Scenario, on_event: EventHandler) -> ScenarioRun {
     let start = |_, _| {
-        let policy = Scripted { decide, servers: Vec::new() };
+        let policy = Scripted { on_event, servers: Vec::new() };
         Ok(Box::new(policy) as Box<dyn Policy>)
     };
     run_scenario_with(scenario, &start, false).unwrap()
@@ -82,73 +82,76 @@
     Action::Send { request, server, limit: 1_000_000 }
 }
 
-fn rules(run: &ScenarioRun) -> Vec<Rule> {
+fn broken_rules(run: &ScenarioRun) -> Vec<Rule> {
     let mut rules: Vec<Rule> = run.result.breaches.iter().map(|breach| breach.rule).collect();
     rules.dedup();
     rules
 }
 
 #[test]
-fn a_lone_request_takes_its_work_and_the_network_latency() {
-    let mut scenario = plain(1, 2.0);
-    // The way to and from the client and the server. A new connection also needs a handshake of up to three round
-    // trips.
+fn a_request_on_an_idle_server_takes_its_work_and_the_network_latency() {
+    let mut scenario = deterministic_scenario(1, 2.0);
+    // The round trips between client and balancer and between balancer and server. A new connection also needs a
+    // handshake of up to three round trips.
     let latency = 2.0 * (scenario.network.client.secs() + scenario.network.same_zone.secs());
     scenario.classes[0].latency_objective = Span::s(0.020 + latency + 0.001);
     let run = run_scenario(&scenario, Kind::Random, false).unwrap();
     let ends = run.result.ends;
     assert!(ends.served + ends.late >= 10, "{ends:?}");
-    assert!(ends.late <= ends.served / 3, "answers take longer than work and latency: {ends:?}");
+    assert!(ends.late <= ends.served / 3, "responses take longer than the work and the latency: {ends:?}");
     scenario.classes[0].latency_objective = Span::s(0.020 + latency - 0.0005);
     let run = run_scenario(&scenario, Kind::Random, false).unwrap();
-    assert_eq!(run.result.ends.served, 0, "answers come before their work is done");
+    assert_eq!(run.result.ends.served, 0, "responses arrive before their work is done");
 }
 
 #[test]
-fn cores_are_the_limit_of_what_is_served() {
-    // 2 servers of 2 cores do 200 requests of 20 ms a second.
-    let served = |rate: f64| {
-        let mut scenario = plain(2, rate);
+fn the_cores_limit_the_throughput() {
+    // Two servers with two cores each serve 200 requests of 20 ms per second.
+    let throughput = |rate: f64| {
+        let mut scenario = deterministic_scenario(2, rate);
         scenario.tiers[0].thrash = 0.0;
         let ends = run_scenario(&scenario, Kind::Module, false).unwrap().result.ends;
         f64::from(ends.served + ends.late) / scenario.length.secs()
     };
-    let under = served(150.0);
-    let over = served(600.0);
-    assert!((135.0..165.0).contains(&under), "{under} of 150 a second");
-    assert!((150.0..=215.0).contains(&over), "{over} of 600 a second, with a capacity of 200");
+    let below_capacity = throughput(150.0);
+    let above_capacity = throughput(600.0);
+    assert!((135.0..165.0).contains(&below_capacity), "{below_capacity} of 150 per second served");
+    assert!(
+        (150.0..=215.0).contains(&above_capacity),
+        "{above_capacity} of 600 per second served, capacity 200"
+    );
 }
 
 #[test]
-fn one_seed_gives_one_result_on_any_number_of_threads() {
+fn runs_of_one_seed_in_parallel_threads_have_equal_results() {
     let scenario = catalog::generate("errors+deploy+heavy", 5, Size::Small).unwrap();
-    let once =
+    let result_as_json =
         || serde_json::to_string(&run_scenario(&scenario, Kind::Module, true).unwrap().result).unwrap();
-    let first = once();
+    let first = result_as_json();
     let others: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..4).map(|_| scope.spawn(once)).collect();
+        let threads: Vec<_> = (0..4).map(|_| scope.spawn(result_as_json)).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
     assert!(others.iter().all(|other| *other == first));
 }
 
 #[test]
-fn a_policy_that_answers_nothing_loses_requests() {
-    let run = scripted(&plain(2, 20.0), |_, _, _, _| {});
-    assert_eq!(rules(&run), [Rule::Lost]);
+fn a_policy_that_takes_no_action_loses_requests() {
+    let run = run_scripted(&deterministic_scenario(2, 20.0), |_, _, _, _| {});
+    assert_eq!(broken_rules(&run), [Rule::Lost]);
     assert_eq!(run.result.broken, run.result.requests);
     let breach = &run.result.breaches[0];
     assert!(breach.before.iter().any(|event| event.contains("came")), "{breach:?}");
 }
 
 #[test]
-fn a_keyed_request_sent_again_elsewhere_is_a_duplicate() {
-    let mut scenario = plain(12, 20.0);
+fn a_keyed_request_that_is_retried_in_another_cell_is_a_duplicate() {
+    let mut scenario = deterministic_scenario(12, 20.0);
     scenario.classes[0].effect = Effect::Keyed;
     scenario.classes[0].dedup_window = Span::s(10.0);
     scenario.tiers[0].cell_size = 1;
     scenario.faults.push(fault(FaultKind::FastErrors, 0.0, 10.0));
-    let run = scripted(&scenario, |policy, _, event, actions| match event {
+    let run = run_scripted(&scenario, |policy, _, event, actions| match event {
         Event::Request { id, .. } => actions.push(send(id, policy.servers[0].id)),
         Event::Outcome { request, finished: false, attempt: 0, .. } => {
             actions.push(send(request, policy.servers[1].id));
@@ -156,19 +159,19 @@
         Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
     });
-    assert_eq!(rules(&run), [Rule::Duplicate]);
+    assert_eq!(broken_rules(&run), [Rule::Duplicate]);
 }
 
 #[test]
-fn sends_to_a_draining_server_break_the_rule_after_its_grace() {
-    let mut scenario = plain(2, 40.0);
-    let mut drains = fault(FaultKind::RollingDeploy, 1.0, 8.0);
-    drains.which = vec![0];
-    drains.drain = Span::s(8.0);
-    scenario.faults.push(drains);
+fn sends_to_a_draining_server_break_the_rule_after_the_grace_period() {
+    let mut scenario = deterministic_scenario(2, 40.0);
+    let mut deploy = fault(FaultKind::RollingDeploy, 1.0, 8.0);
+    deploy.which = vec![0];
+    deploy.drain = Span::s(8.0);
+    scenario.faults.push(deploy);
     scenario.discovery.notice = Span::s(1.0);
     scenario.discovery.period = Span::s(0.1);
-    let stubborn: Decide = |policy, _, event, actions| match event {
+    let send_to_first: EventHandler = |policy, _, event, actions| match event {
         Event::Request { id, .. } => {
             let first = policy.servers.iter().map(|server| server.id).min().unwrap();
             actions.push(send(id, first));
@@ -176,25 +179,25 @@
         Event::Outcome { request, finished: false, .. } => actions.push(Action::Fail { request }),
         _ => {}
     };
-    let run = scripted(&scenario, stubborn);
-    assert_eq!(rules(&run), [Rule::Drain]);
-    // The drain begins at 1 s and is detected a second later. The balancers are notified soon after, and the grace
+    let run = run_scripted(&scenario, send_to_first);
+    assert_eq!(broken_rules(&run), [Rule::Drain]);
+    // The drain starts at 1 s and is detected a second later. The balancers are notified soon after, and the grace
     // period lasts 2.5 s.
     let first = run.result.breaches[0].at as f64 / 1e6;
     assert!((4.5..5.2).contains(&first), "first breach at {first} s");
     scenario.rules.drain_grace = Span::s(20.0);
-    assert_eq!(scripted(&scenario, stubborn).result.broken, 0);
+    assert_eq!(run_scripted(&scenario, send_to_first).result.broken, 0);
 }
 
 #[test]
-fn a_warming_server_that_gets_all_calls_collapses_and_the_rule_is_broken() {
-    let mut scenario = plain(12, 700.0);
-    let mut restarts = fault(FaultKind::RollingDeploy, 1.0, 1.0);
-    restarts.which = vec![3];
-    restarts.drain = Span::s(0.1);
-    scenario.faults.push(restarts);
+fn a_warming_server_that_gets_all_requests_collapses_and_breaks_the_rule() {
+    let mut scenario = deterministic_scenario(12, 700.0);
+    let mut restart = fault(FaultKind::RollingDeploy, 1.0, 1.0);
+    restart.which = vec![3];
+    restart.drain = Span::s(0.1);
+    scenario.faults.push(restart);
     scenario.tiers[0].warm_up_time = Span::s(8.0);
-    let run = scripted(&scenario, |policy, _, event, actions| match event {
+    let run = run_scripted(&scenario, |policy, _, event, actions| match event {
         Event::Request { id, .. } => {
             let ready = |server: &&ServerEntry| server.state == ServerState::Ready;
             let warming = policy.servers.iter().filter(ready).find(|server| server.started.is_some());
@@ -208,16 +211,16 @@
         _ => {}
     });
     assert_eq!((run.result.collapsed, run.result.broken), (1, 1), "{:?}", run.result.breaches);
-    assert_eq!(rules(&run), [Rule::WarmUpOverload]);
+    assert_eq!(broken_rules(&run), [Rule::WarmUpOverload]);
     assert_eq!(run_scenario(&scenario, Kind::Module, false).unwrap().result.collapsed, 0);
 }
 
 #[test]
-fn health_checks_take_time_cost_work_and_have_their_price() {
-    let mut scenario = plain(1, 60.0);
+fn health_checks_take_time_use_capacity_and_are_charged() {
+    let mut scenario = deterministic_scenario(1, 60.0);
     scenario.tiers[0].health_check_work = Span::ms(10.0);
     scenario.prices.health_check = 0.01;
-    let decide = |checks_health: bool| -> Decide {
+    let event_handler = |checks_health: bool| -> EventHandler {
         if checks_health {
             |_, now, event, actions| match event {
                 Event::Request { id, .. } => actions.extend([Action::HealthCheck { server: 0 }, send(id, 0)]),
@@ -233,33 +236,33 @@
             }
         }
     };
-    // Two cores have a capacity of 100 requests of 20 ms a second, of which 60 arrive. As many health checks of 10 ms
-    // crowd them.
+    // Two cores have a capacity of 100 requests of 20 ms per second, and 60 arrive. As many health checks of 10 ms
+    // compete with them for the cores.
     scenario.classes[0].latency_objective = Span::ms(40.0);
-    let without = scripted(&scenario, decide(false)).result;
-    let with = scripted(&scenario, decide(true)).result;
-    assert!(with.prices > without.prices + 0.009, "{} after {}", with.prices, without.prices);
-    assert!(with.ends.late > without.ends.late, "{:?} after {:?}", with.ends, without.ends);
+    let without = run_scripted(&scenario, event_handler(false)).result;
+    let with = run_scripted(&scenario, event_handler(true)).result;
+    assert!(with.prices > without.prices + 0.009, "{} with checks, {} without", with.prices, without.prices);
+    assert!(with.ends.late > without.ends.late, "{:?} with checks, {:?} without", with.ends, without.ends);
 }
 
 #[test]
 fn losses_are_reported_with_their_cause_and_server() {
-    let mut scenario = plain(3, 60.0);
-    let mut silent = fault(FaultKind::Silent, 2.0, 7.0);
-    silent.which = vec![1];
-    scenario.faults.push(silent);
+    let mut scenario = deterministic_scenario(3, 60.0);
+    let mut silent_server = fault(FaultKind::Silent, 2.0, 7.0);
+    silent_server.which = vec![1];
+    scenario.faults.push(silent_server);
     let run = run_scenario(&scenario, Kind::RoundRobin, false).unwrap();
     let worst = &run.detail.losses[0];
     assert_eq!((worst.cause, worst.server), (Cause::Silent, Some(1)), "{:?}", run.detail.losses);
     let sum: f64 = run.detail.losses.iter().map(|loss| loss.utility).sum();
     assert!(
         (sum - (1.0 - run.result.total)).abs() < 1e-6,
-        "losses add up to the utility that was not earned: {sum}"
+        "the losses do not add up to the missing utility: {sum}"
     );
 }
 
 #[test]
-fn crowded_servers_choke_and_stay_slow_until_they_rest() {
+fn servers_choke_if_too_many_requests_wait_per_core() {
     let mut scenario = catalog::generate("busy", 3, Size::Small).unwrap();
     let choked = |scenario: &Scenario| run_scenario(scenario, Kind::Random, false).unwrap().result.choked;
     scenario.load.rate *= 1.6;
@@ -274,18 +277,18 @@
                 most: Span::s(20.0),
             });
         }
-        assert_eq!(choked(&scenario) > 0, expected, "with {at} waiting per core");
+        assert_eq!(choked(&scenario) > 0, expected, "with a threshold of {at} waiting requests per core");
     }
 }
 
 #[test]
-fn every_part_of_every_kind_runs_and_the_module_keeps_the_rules() {
+fn the_module_breaks_no_rule_in_any_part_of_the_catalog() {
     for (part, _) in catalog::PARTS {
         let scenario = catalog::generate(part, 11, Size::Small).unwrap();
         let result = run_scenario(&scenario, Kind::Module, false).unwrap().result;
         let ends = result.ends;
         let ended = u64::from(ends.served + ends.late + ends.rejected + ends.failed);
-        assert_eq!(ended, result.requests, "{part}: every first attempt has one outcome");
+        assert_eq!(ended, result.requests, "{part}: not every first attempt has exactly one outcome");
         assert_eq!(result.broken, 0, "{part}: {:#?}", result.breaches.first());
     }
 }
