--- a/crates/fleet-model/src/failures/measure.rs
+++ b/crates/fleet-model/src/failures/measure.rs
@@ -10,7 +10,7 @@
 use crate::policy::{Kind, Policy};
 use crate::scenario::ScenarioError;
 use crate::scoring::{NotificationCount, Rule, Second};
-use crate::server::Truth;
+use crate::server::GroundTruth;
 use crate::world::{ScenarioRun, run_scenario_with};
 
 /// Size of an entry of a list on the wire, in bytes. A list of 2,000 entries takes 340 KB.
@@ -34,7 +34,7 @@
 }
 
 impl Policy for TimedPolicy {
-    fn handle(&mut self, now: Micros, event: Event, truth: &Truth<'_>, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, truth: &GroundTruth<'_>, actions: &mut Vec<Action>) {
         let started_at = Instant::now();
         self.inner.handle(now, event, truth, actions);
         self.time.nanoseconds.fetch_add(started_at.elapsed().as_nanos() as u64, Ordering::Relaxed);
@@ -57,12 +57,12 @@
 /// The parameters require a scenario that cannot be run.
 pub(super) fn measure(seed: u64, parameters: &Parameters, failure: Failure) -> Result<Row, ScenarioError> {
     let time = Arc::new(ModuleTime::default());
-    let start_policy = |settings: Settings, seed: u64| -> Result<Box<dyn Policy>, SettingsError> {
-        let inner = Kind::Module.start(settings, seed)?;
+    let create_policy = |settings: Settings, seed: u64| -> Result<Box<dyn Policy>, SettingsError> {
+        let inner = Kind::Module.create_policy(settings, seed)?;
         Ok(Box::new(TimedPolicy { inner, time: Arc::clone(&time) }))
     };
     let started_at = Instant::now();
-    let run = run_scenario_with(&build_scenario(seed, parameters, failure), &start_policy, false)?;
+    let run = run_scenario_with(&build_scenario(seed, parameters, failure), &create_policy, false)?;
     let seconds = started_at.elapsed().as_secs_f64();
     let span = parameters.failure_span();
     let start = span.start as usize;
--- a/crates/fleet-model/src/world/mod.rs
+++ b/crates/fleet-model/src/world/mod.rs
@@ -44,7 +44,7 @@
 /// State of a running scenario.
 struct World<'d> {
     scenario: &'d Scenario,
-    start: Start<'d>,
+    create_policy: PolicyFactory<'d>,
     now: Micros,
     queue: EventQueue,
     /// Requests of all clients, in the order of their first attempts.
@@ -52,7 +52,7 @@
     /// The latest attempt of each request of a client.
     client_attempts: Table<ArrivalIndex, ClientAttempt>,
     servers: Table<ServerIndex, Server>,
-    /// The server at each address; a replacement takes over its predecessor's.
+    /// The server at each address. A replacement takes over the address of its predecessor.
     server_at_address: Vec<ServerIndex>,
     /// The first address of each tier.
     first_address_of_tier: Vec<usize>,
@@ -75,7 +75,7 @@
     /// Servers that collapsed under load while warming up.
     collapsed: usize,
     metrics: Metrics,
-    /// Buffer for the actions of one event, reused to save allocations.
+    /// Buffer for the actions of one event, which is reused to avoid allocations.
     actions: Vec<Action>,
     /// Samples of all servers by second. `None` in a run without details.
     samples: Option<Vec<Vec<Sample>>>,
@@ -101,7 +101,7 @@
 }
 
 /// Function that creates the policy of a process from its settings and a seed.
-pub type Start<'a> = &'a (dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError> + Sync);
+pub type PolicyFactory<'a> = &'a (dyn Fn(Settings, u64) -> Result<Box<dyn Policy>, SettingsError> + Sync);
 
 /// Runs a scenario with one kind of policy. With `detail`, servers are sampled every second.
 ///
@@ -109,25 +109,25 @@
 ///
 /// The scenario contradicts itself; the error names the key.
 pub fn run_scenario(scenario: &Scenario, kind: Kind, detail: bool) -> Result<ScenarioRun, ScenarioError> {
-    run_scenario_with(scenario, &|settings, seed| kind.start(settings, seed), detail)
+    run_scenario_with(scenario, &|settings, seed| kind.create_policy(settings, seed), detail)
 }
 
-/// Runs a scenario with policies that `start` creates. With `detail`, servers are sampled every second.
+/// Runs a scenario with policies that `create_policy` creates. With `detail`, servers are sampled every second.
 ///
 /// # Errors
 ///
-/// The scenario contradicts itself, or `start` rejects the settings that follow from it.
+/// The scenario contradicts itself, or `create_policy` rejects the settings that follow from it.
 pub fn run_scenario_with(
     scenario: &Scenario,
-    start: Start<'_>,
+    create_policy: PolicyFactory<'_>,
     detail: bool,
 ) -> Result<ScenarioRun, ScenarioError> {
     scenario.check()?;
     for tier in 0..scenario.tiers.len() {
         let settings = scenario.settings(tier, 0, 0);
-        start(settings, 0)?;
+        create_policy(settings, 0)?;
     }
-    let mut world = World::new(scenario, start, detail);
+    let mut world = World::new(scenario, create_policy, detail);
     world.run();
     Ok(world.finish())
 }
@@ -139,8 +139,8 @@
 /// The scenario contradicts itself; the error names the key.
 pub(crate) fn run_recorded(scenario: &Scenario, kind: Kind) -> Result<RecordedRun, ScenarioError> {
     scenario.check()?;
-    let start = |settings, seed| kind.start(settings, seed);
-    let mut world = World::new(scenario, &start, false);
+    let create_policy = |settings, seed| kind.create_policy(settings, seed);
+    let mut world = World::new(scenario, &create_policy, false);
     world.start_recording = Some(StartRecording::default());
     world.run();
     let recording = world.start_recording.take().unwrap_or_default();
@@ -157,7 +157,7 @@
         self.schedule_at(self.now + delay, event);
     }
 
-    /// Processes events until none is left or every request of the scenario must have ended.
+    /// Processes events until none is left, or until every request of the scenario must have ended.
     fn run(&mut self) {
         let longest = self.scenario.classes.iter().map(|class| class.deadline.0).max().unwrap_or(0);
         let end = self.scenario.length.0 + 2 * longest + MICROS_PER_SECOND;
@@ -186,13 +186,13 @@
             WorldEvent::AttemptAnswered { attempt, outcome } => self.attempt_answered(attempt, outcome),
             WorldEvent::AttemptTimedOut { attempt } => self.attempt_timed_out(attempt),
             WorldEvent::AnswerDue { request } => self.answer_due(request),
-            WorldEvent::ServerStep { server, plan } => self.server_step(server, plan),
+            WorldEvent::ServerStep { server, plan_version } => self.server_step(server, plan_version),
             WorldEvent::NestedCallEnded { job, ok, useful } => self.nested_call_ended(job, ok, useful),
             WorldEvent::ServerPause { server, epoch, number } => self.server_pause(server, epoch, number),
             WorldEvent::CloseIdleConnections { process, address } => {
                 self.close_idle_connections(process, address);
             }
-            WorldEvent::ChangeNoticed { server, state } => self.change_noticed(server, state),
+            WorldEvent::ChangeDetected { server, state } => self.change_detected(server, state),
             WorldEvent::DiscoveryUpdate { process, scope } => self.send_update(process, scope),
             WorldEvent::FrontUpdate { balancer, open } => self.front_update(balancer, open),
             WorldEvent::FaultStage { fault, stage } => self.fault_stage(fault, stage),
@@ -200,12 +200,12 @@
         }
     }
 
-    /// Returns the latency of a message between two zones. `key` decides its jitter.
+    /// Returns the latency of a message between two zones. Its jitter is drawn by `key`.
     fn network_latency(&self, from: u32, to: u32, key: u64) -> Micros {
         let network = &self.scenario.network;
         let base = if from == to { network.same_zone } else { network.cross_zone };
-        let late = network.jitter * random::unit(self.scenario.seed, Purpose::Message, key);
-        (base.0 as f64 * (1.0 + late)) as Micros
+        let jitter = network.jitter * random::unit(self.scenario.seed, Purpose::Message, key);
+        (base.0 as f64 * (1.0 + jitter)) as Micros
     }
 
     /// Whether a partition separates a process from a server.
