--- a/crates/fleet-model/src/experiment/score.rs
+++ b/crates/fleet-model/src/experiment/score.rs
@@ -28,7 +28,7 @@
 /// Scores the decision module in each scenario that was also run with random choice and full knowledge.
 ///
 /// The upper bound is the best result of any policy. The lower bound is the result of random choice, but at least
-/// [`MIN_BOUND_DISTANCE`] and at most [`MAX_BOUND_DISTANCE`] below the upper bound.
+/// `MIN_BOUND_DISTANCE` and at most `MAX_BOUND_DISTANCE` below the upper bound.
 pub fn scores(rows: &[Row]) -> Vec<ScenarioScore<'_>> {
     let mut scenarios: BTreeMap<ScenarioKey<'_>, RowsByPolicy<'_>> = BTreeMap::new();
     for row in rows {
