--- a/crates/fleet-model/src/depth/fit.rs
+++ b/crates/fleet-model/src/depth/fit.rs
@@ -2,18 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Student's t for a two-sided interval of 95%, by degrees of freedom from 1.
+/// Quantiles of Student's t distribution for a two-sided 95% interval, by degrees of freedom starting at 1.
 const STUDENT_T: [f64; 9] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26];
-/// The quantile used beyond [`STUDENT_T`], close to that of the normal distribution.
+/// Quantile for more degrees of freedom than [`STUDENT_T`] has, close to that of the normal distribution.
 const NORMAL_QUANTILE: f64 = 2.0;
 
-/// A mean over scenarios with its 95% interval by Student's t.
+/// A mean over scenarios with its 95% confidence interval by Student's t distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Mean {
     /// The mean.
     pub mean: f64,
     /// Half the width of the interval; 0 for a single value.
-    pub half: f64,
+    #[serde(rename = "half")]
+    pub half_width: f64,
 }
 
 impl Mean {
@@ -22,11 +23,11 @@
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
         if values.len() < 2 {
-            return Mean { mean, half: 0.0 };
+            return Mean { mean, half_width: 0.0 };
         }
         let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0);
         let quantile = STUDENT_T.get(values.len() - 2).copied().unwrap_or(NORMAL_QUANTILE);
-        Mean { mean, half: quantile * (variance / count).sqrt() }
+        Mean { mean, half_width: quantile * (variance / count).sqrt() }
     }
 }
 
@@ -39,7 +40,8 @@
     pub y: f64,
 }
 
-/// A straight line through points, and the slopes of its halves. Halves that differ show that the points bend.
+/// A straight line fitted to points, and the slopes of lines fitted to the lower and the upper half of the points. If
+/// these differ, the points do not follow a straight line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
     /// Change of y for a change of x by one.
@@ -49,9 +51,11 @@
     /// Share of the variance of y that the line explains; 1 if x or y does not vary.
     pub r2: f64,
     /// Slope of the lower half of the points, the middle one included.
-    pub lower: f64,
+    #[serde(rename = "lower")]
+    pub lower_half_slope: f64,
     /// Slope of the upper half of the points, the middle one included.
-    pub upper: f64,
+    #[serde(rename = "upper")]
+    pub upper_half_slope: f64,
 }
 
 impl Fit {
@@ -65,13 +69,13 @@
             slope: line.slope,
             intercept: line.intercept,
             r2: line.r2,
-            lower: Line::through(lower_half).slope,
-            upper: Line::through(upper_half).slope,
+            lower_half_slope: Line::through(lower_half).slope,
+            upper_half_slope: Line::through(upper_half).slope,
         }
     }
 }
 
-/// A line of least squares.
+/// A line fitted by least squares.
 struct Line {
     slope: f64,
     intercept: f64,
--- a/crates/fleet-model/src/depth/measure.rs
+++ b/crates/fleet-model/src/depth/measure.rs
@@ -5,20 +5,20 @@
 use crate::scoring::TierCount;
 use crate::world::run_scenario;
 
-/// Seconds at the beginning of a scenario that are not measured, because balancers start without learned state.
+/// Number of seconds at the start of a scenario that are not measured, because balancers have no learned state yet.
 const UNMEASURED_SECONDS: usize = 2;
 
-/// Counts of one scenario without its first seconds.
+/// Counts of one scenario, without the first [`UNMEASURED_SECONDS`].
 pub(super) struct Measurement {
-    /// First attempts of clients.
+    /// Number of first attempts of clients.
     pub calls: f64,
-    /// Calls answered within the latency objective.
+    /// Number of calls answered within the latency objective.
     good: f64,
-    /// Calls answered within the deadline.
+    /// Number of calls answered within the deadline.
     answered: f64,
     /// Counts of each tier.
     tiers: Vec<TierCount>,
-    /// Work in one tier of the calls that were answered, in microseconds. It is the same in every tier.
+    /// Work in one tier for the calls that were answered, in microseconds. It is the same in every tier.
     answered_work: f64,
     /// Number of rules broken.
     pub broken: u64,
@@ -99,13 +99,13 @@
     }
 
     /// Returns the share of a tier's work that contributed to no client's answer.
-    pub fn wasted_in_tier(&self, tier: usize) -> f64 {
+    pub fn wasted_share_in_tier(&self, tier: usize) -> f64 {
         let work = self.tiers[tier].work;
         ratio(work - self.answered_work, work).max(0.0)
     }
 
     /// Returns the share of the work of all tiers that contributed to no client's answer.
-    pub fn wasted(&self) -> f64 {
+    pub fn wasted_share(&self) -> f64 {
         let work: f64 = self.tiers.iter().map(|count| count.work).sum();
         ratio(work - self.answered_work * self.tiers.len() as f64, work).max(0.0)
     }
--- a/crates/fleet-model/src/failures/mod.rs
+++ b/crates/fleet-model/src/failures/mod.rs
@@ -1,4 +1,5 @@
-//! Failures of a large fleet with as many balancers as servers, and the goodput and discovery traffic that each costs.
+//! Failures of a large fleet with as many balancers as servers: the goodput that each costs and the discovery traffic
+//! that it causes.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -15,18 +16,19 @@
 
 pub use self::scenario::build_scenario;
 
-/// Calls a second to one balancer of the planned fleet.
+/// Calls per second to one balancer of the planned fleet.
 const PLANNED_RATE: f64 = 225.0;
 /// Length of a scenario that measures only the cost of events, in seconds.
 const COST_SCENARIO_SECONDS: f64 = 4.0;
-/// Calls per second of the fleet of such a scenario. It is the same for all sizes, so that each has as many events.
+/// Calls per second of the fleet of such a scenario. It does not depend on the size of the
+/// fleet, so that all these scenarios have about as many events.
 const COST_SCENARIO_RATE: f64 = 8_000.0;
-/// Begin of a failure, as a share of the length of the scenario.
-const BEGIN_SHARE: f64 = 0.2;
+/// Start of a failure, as a share of the length of the scenario.
+const START_SHARE: f64 = 0.2;
 /// End of a failure, as a share of the length of the scenario.
 const END_SHARE: f64 = 0.45;
 /// Smallest duration that is used as a divisor, in seconds.
-const MIN_SECONDS: f64 = 1e-9;
+const MIN_DIVISOR_SECONDS: f64 = 1e-9;
 
 /// A failure of a part of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,12 +66,12 @@
 
 /// The fleet and the failures to run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sizes {
+pub struct Parameters {
     /// Number of servers, and of balancers.
     pub servers: u32,
-    /// Number of zones, which four regions share.
+    /// Number of zones. They are divided among four regions.
     pub zones: u32,
-    /// Calls a second to one balancer.
+    /// Calls per second to one balancer.
     pub rate: f64,
     /// Length of a scenario in seconds.
     pub seconds: f64,
@@ -77,37 +79,38 @@
     pub failures: Vec<Failure>,
 }
 
-impl Default for Sizes {
-    fn default() -> Sizes {
-        Sizes { servers: 2_000, zones: 14, rate: 4.5, seconds: 60.0, failures: Failure::ALL.to_vec() }
+impl Default for Parameters {
+    fn default() -> Parameters {
+        Parameters { servers: 2_000, zones: 14, rate: 4.5, seconds: 60.0, failures: Failure::ALL.to_vec() }
     }
 }
 
-impl Sizes {
-    /// Returns sizes for a tenth of the fleet, which run in about a minute.
-    pub fn quick() -> Sizes {
-        Sizes { servers: 200, ..Sizes::default() }
+impl Parameters {
+    /// Returns the parameters of a tenth of the fleet. Its scenarios run in about a minute.
+    pub fn quick() -> Parameters {
+        Parameters { servers: 200, ..Parameters::default() }
     }
 
     fn servers_per_zone(&self) -> u32 {
         self.servers.div_ceil(self.zones.max(1)).max(1)
     }
 
-    /// Returns the factor by which a balancer has fewer calls than planned. Each call needs as many times the work.
-    pub fn scaled(&self) -> f64 {
+    /// Returns the factor by which the rate is below the planned one. The work of a call is multiplied by it, so that
+    /// servers are as busy as planned.
+    pub fn work_factor(&self) -> f64 {
         PLANNED_RATE / self.rate
     }
 
-    /// Returns the begin and end of the failure, in whole seconds of the scenario.
+    /// Returns the start and end of the failure, in whole seconds of the scenario.
     fn failure_span(&self) -> FailureSpan {
-        FailureSpan { begin: (self.seconds * BEGIN_SHARE).floor(), end: (self.seconds * END_SHARE).floor() }
+        FailureSpan { start: (self.seconds * START_SHARE).floor(), end: (self.seconds * END_SHARE).floor() }
     }
 }
 
-/// Begin and end of a failure, in seconds of the scenario.
+/// Start and end of a failure, in seconds of the scenario.
 #[derive(Clone, Copy, Debug)]
 struct FailureSpan {
-    begin: f64,
+    start: f64,
     end: f64,
 }
 
@@ -145,41 +148,43 @@
     /// Share of the calls answered within the latency objective, before the failure.
     #[serde(rename = "before")]
     pub goodput_before: f64,
-    /// The lowest goodput of a second after the failure.
+    /// Lowest goodput of a second after the start of the failure.
     #[serde(rename = "dip")]
     pub lowest_goodput: f64,
-    /// The second of the scenario with this share.
+    /// Second of the scenario in which the goodput was lowest.
     #[serde(rename = "dip_at")]
     pub lowest_at: usize,
-    /// Seconds from the failure until three consecutive seconds reach nine tenths of the goodput before. `None` if
-    /// never.
+    /// Seconds from the failure until three consecutive seconds reach nine tenths of the goodput before it.
+    /// `None` if they never do.
     pub recovered: Option<f64>,
-    /// Seconds from the end of the failure until the same. `None` if never.
+    /// Seconds from the end of the failure until three consecutive seconds reach that goodput. `None` if they never do.
     pub recovered_after_end: Option<f64>,
     /// Number of servers that collapsed while warming up.
     #[serde(rename = "fallen")]
     pub collapsed: usize,
     /// Number of broken rules.
     pub broken: u64,
-    /// Rules of the first breaches.
-    pub rules: Vec<Rule>,
-    /// Number of lists and changes that discovery sent in the busiest second after the failure.
+    /// Rules that the first recorded breaches broke.
+    #[serde(rename = "rules")]
+    pub broken_rules: Vec<Rule>,
+    /// Number of lists and changes that discovery sent in the busiest second after the start of the failure.
     pub messages: u64,
-    /// Number of entries in the same second.
+    /// Number of entries that discovery sent in that second.
     pub entries: u64,
-    /// Estimated bytes of these.
+    /// Estimated size of these entries in bytes.
     pub bytes: u64,
-    /// All that discovery sent after the failure.
+    /// Messages and entries that discovery sent after the start of the failure.
     #[serde(rename = "all")]
     pub discovery_total: DiscoveryTotal,
-    /// Events of the scenario.
+    /// Number of events of the scenario.
     pub events: u64,
-    /// Real time that the scenario took, in seconds.
+    /// Wall-clock time that the scenario took, in seconds.
     pub seconds: f64,
-    /// Part of this that the decision module took.
+    /// Part of this time that the decision module took, in seconds.
     pub module_seconds: f64,
-    /// Calls of the decision module.
-    pub handled: u64,
+    /// Number of calls of `handle` of the decision module.
+    #[serde(rename = "handled")]
+    pub module_calls: u64,
 }
 
 /// Computing time of a scenario, by the number of servers that each balancer knows.
@@ -187,11 +192,11 @@
 pub struct Cost {
     /// Number of servers, and of balancers.
     pub servers: u32,
-    /// Number of events of the world.
+    /// Number of events of the scenario.
     pub events: u64,
-    /// Time of the world for one of its events, in nanoseconds.
+    /// Time that the simulated world takes for an event, in nanoseconds.
     pub world_ns: f64,
-    /// Time of the decision module for one call of `handle`, in nanoseconds.
+    /// Time that the decision module takes for a call of `handle`, in nanoseconds.
     pub module_ns: f64,
     /// Share of the decision module in the computing time.
     pub module_share: f64,
@@ -204,54 +209,63 @@
             servers: row.servers,
             events: row.events,
             world_ns: world_seconds * 1e9 / row.events.max(1) as f64,
-            module_ns: row.module_seconds * 1e9 / row.handled.max(1) as f64,
-            module_share: row.module_seconds / row.seconds.max(MIN_SECONDS),
+            module_ns: row.module_seconds * 1e9 / row.module_calls.max(1) as f64,
+            module_share: row.module_seconds / row.seconds.max(MIN_DIVISOR_SECONDS),
         }
     }
 }
 
-/// Result of all failures and sizes.
+/// Result of [`run`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Failures {
+pub struct FailuresResult {
     /// The seed.
     pub seed: u64,
     /// The fleet and the failures that were run.
-    pub sizes: Sizes,
-    /// Factor by which there were fewer calls than planned, each with as many times the work.
-    pub scaled: f64,
+    #[serde(rename = "sizes")]
+    pub parameters: Parameters,
+    /// Factor by which the rate was below the planned one, and by which the work of a call was multiplied.
+    #[serde(rename = "scaled")]
+    pub work_factor: f64,
     /// One row for each failure.
     pub rows: Vec<Row>,
-    /// One entry for each number of known servers.
+    /// One entry for each of the numbers of servers at which the cost of events was measured.
     pub costs: Vec<Cost>,
-    /// Time of the decision module for a call in nanoseconds, by the number of servers.
-    pub module: Fit,
-    /// Time of the world for an event in nanoseconds, by the number of servers.
-    pub world: Fit,
+    /// Line through the time of the decision module for a call, in nanoseconds, by the number of servers.
+    #[serde(rename = "module")]
+    pub module_time: Fit,
+    /// Line through the time of the world for an event, in nanoseconds, by the number of servers.
+    #[serde(rename = "world")]
+    pub world_time: Fit,
 }
 
-/// Runs a short scenario for each number of servers in `known`, and then the failures. Calls `done` after each
-/// scenario. All scenarios run in the calling thread, so that their times are those of one core.
+/// Runs a short scenario for each number of servers in `server_counts`, and then the failures. Calls `done` after each
+/// scenario. All scenarios run in the calling thread, so that their times are those of a single core.
 ///
 /// # Errors
 ///
-/// The sizes require a scenario that cannot be run.
-pub fn run(seed: u64, sizes: &Sizes, known: &[u32], done: impl Fn()) -> Result<Failures, ScenarioError> {
+/// The parameters require a scenario that cannot be run.
+pub fn run(
+    seed: u64,
+    parameters: &Parameters,
+    server_counts: &[u32],
+    done: impl Fn(),
+) -> Result<FailuresResult, ScenarioError> {
     let mut costs = Vec::new();
-    for &servers in known {
-        let small = Sizes {
+    for &servers in server_counts {
+        let cost_parameters = Parameters {
             servers,
-            zones: sizes.zones.min(servers),
-            rate: (COST_SCENARIO_RATE / f64::from(servers)).clamp(sizes.rate, PLANNED_RATE),
+            zones: parameters.zones.min(servers),
+            rate: (COST_SCENARIO_RATE / f64::from(servers)).clamp(parameters.rate, PLANNED_RATE),
             seconds: COST_SCENARIO_SECONDS,
             failures: Vec::new(),
         };
-        let cost = Cost::of(&measure(seed, &small, Failure::None)?);
+        let cost = Cost::of(&measure(seed, &cost_parameters, Failure::None)?);
         costs.push(Cost { servers, ..cost });
         done();
     }
     let mut rows = Vec::new();
-    for &failure in &sizes.failures {
-        rows.push(measure(seed, sizes, failure)?);
+    for &failure in &parameters.failures {
+        rows.push(measure(seed, parameters, failure)?);
         done();
     }
     let fit = |value: fn(&Cost) -> f64| {
@@ -259,13 +273,13 @@
         let points: Vec<Point> = costs.iter().map(point).collect();
         Fit::of(&points)
     };
-    Ok(Failures {
+    Ok(FailuresResult {
         seed,
-        sizes: sizes.clone(),
-        scaled: sizes.scaled(),
+        parameters: parameters.clone(),
+        work_factor: parameters.work_factor(),
         rows,
-        module: fit(|cost| cost.module_ns),
-        world: fit(|cost| cost.world_ns),
+        module_time: fit(|cost| cost.module_ns),
+        world_time: fit(|cost| cost.world_ns),
         costs,
     })
 }
--- a/crates/fleet-model/src/slow_start/analysis.rs
+++ b/crates/fleet-model/src/slow_start/analysis.rs
@@ -1,4 +1,4 @@
-//! Work that the warming servers of one scenario received, against the budget that the rules allow.
+//! Work that the warming servers of one scenario received, compared with the budget that the rules allow.
 //!
 //! The keys of the JSON result are fixed by stored results: fields whose names differ carry theirs in
 //! `#[serde(rename)]`.
@@ -11,9 +11,11 @@
 use crate::scenario::{Scenario, ScenarioError};
 use crate::world::{ArrivalAtServer, RecordedRun, ServerStart, run_recorded};
 
-/// An overload breaks the rule if more than this share of it came from balancers that had been notified of the start.
+/// Balancers that had been notified of the start count as the cause of an overload if more than this share of the
+/// requests, or of the work, came from them.
 const INFORMED_SHARE: f64 = 2.0 / 3.0;
-/// Requests beyond a budget of N that are attributed to chance, in square roots of N. [`CHANCE_REQUESTS`] is added.
+/// Requests beyond a budget of N that are attributed to chance, in square roots of N, in addition to
+/// [`CHANCE_REQUESTS`].
 const CHANCE_ROOTS: f64 = 2.0;
 /// Requests beyond a budget that are attributed to chance, whatever the budget.
 const CHANCE_REQUESTS: f64 = 2.0;
@@ -23,7 +25,7 @@
 pub struct Measurement {
     /// Number of starts of servers.
     pub starts: usize,
-    /// Requests beyond the budget N at the most-hit server in its worst window, in square roots of N.
+    /// Requests beyond the budget N at the most overloaded server in its worst window, in square roots of N.
     pub excess: f64,
     /// `excess` over the windows in which more than two thirds of the requests came from balancers notified of the
     /// start.
@@ -40,7 +42,8 @@
     #[serde(rename = "fallen_work")]
     pub overloaded_by_work: OverloadCount,
     /// Mean traffic of a server by tenths of the warm-up time, as a multiple of an even share.
-    pub share: Vec<f64>,
+    #[serde(rename = "share")]
+    pub traffic_shares: Vec<f64>,
     /// Warm-up time of the settings, in seconds.
     #[serde(rename = "warm_after")]
     pub warm_up_time: f64,
@@ -49,7 +52,7 @@
     pub score: f64,
 }
 
-/// Work that a server received within a window of the rule.
+/// Requests that a server received within the time window of the overload rule.
 struct Window<'a> {
     arrivals: &'a [&'a ArrivalAtServer],
     /// Work in the window, in requests of mean work.
@@ -88,18 +91,18 @@
 /// The scenario contradicts itself.
 pub fn measure(scenario: &Scenario, kind: Kind) -> Result<Measurement, ScenarioError> {
     let RecordedRun { run, recording } = run_recorded(scenario, kind)?;
-    let shares: f64 = scenario.classes.iter().map(|class| class.share).sum();
+    let total_share: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let analysis = Analysis {
         scenario,
         starts: recording.starts.len(),
-        mean_work: mean_work(&scenario.classes, scenario.seed) * 1e6 / shares,
+        mean_work: mean_work(&scenario.classes, scenario.seed) * 1e6 / total_share,
     };
     let mut measurement = Measurement {
         starts: recording.starts.len(),
         excess: f64::NEG_INFINITY,
         informed_excess: f64::NEG_INFINITY,
         informed_excess_work: f64::NEG_INFINITY,
-        share: vec![0.0; BINS],
+        traffic_shares: vec![0.0; BINS],
         warm_up_time: scenario.tiers[0].warm_up_time.secs(),
         score: run.result.g,
         ..Measurement::default()
@@ -108,13 +111,13 @@
         let of_start =
             |arrival: &&ArrivalAtServer| (arrival.server, arrival.started) == (start.server, start.at);
         let arrivals: Vec<&ArrivalAtServer> = recording.arrivals.iter().filter(of_start).collect();
-        analysis.add_traffic_shares(start, &arrivals, &mut measurement.share);
+        analysis.add_traffic_shares(start, &arrivals, &mut measurement.traffic_shares);
         analysis.add_windows(start, &arrivals, &mut measurement);
     }
     Ok(measurement)
 }
 
-/// A scenario with values that all its servers share.
+/// A scenario, with values that are the same for all its servers.
 struct Analysis<'a> {
     scenario: &'a Scenario,
     /// Number of starts of servers.
@@ -127,26 +130,26 @@
     /// Adds the requests of a server to the mean traffic by tenths of the warm-up time.
     fn add_traffic_shares(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], shares: &mut [f64]) {
         let tier = &self.scenario.tiers[0];
-        let bin = tier.warm_up_time.0 as f64 / BINS_PER_WARM_UP;
+        let bin_length = tier.warm_up_time.0 as f64 / BINS_PER_WARM_UP;
         let servers = f64::from(tier.servers.iter().sum::<u32>());
-        let even = self.scenario.load.rate / servers / 1e6;
+        let even_share = self.scenario.load.rate / servers / 1e6;
         for arrival in arrivals {
-            let index = ((arrival.at - start.at) as f64 / bin) as usize;
+            let index = ((arrival.at - start.at) as f64 / bin_length) as usize;
             if let Some(share) = shares.get_mut(index) {
-                *share += 1.0 / (bin * even * self.starts as f64);
+                *share += 1.0 / (bin_length * even_share * self.starts as f64);
             }
         }
     }
 
     /// Measures the windows that end with the requests that a server receives while it warms up.
-    fn add_windows(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], out: &mut Measurement) {
+    fn add_windows(&self, start: &ServerStart, arrivals: &[&ArrivalAtServer], measurement: &mut Measurement) {
         let span = self.scenario.rules.overload_window.0;
         let warm_at = start.at + self.scenario.tiers[0].warm_up_time.0;
         let mut overload = None;
         let mut overload_by_work = None;
         let mut first = 0;
         let mut work = 0.0;
-        for (last, arrival) in arrivals.iter().enumerate().take_while(|(_, one)| one.at < warm_at) {
+        for (last, arrival) in arrivals.iter().enumerate().take_while(|(_, arrival)| arrival.at < warm_at) {
             work += arrival.work / self.mean_work;
             while arrivals[first].at + span <= arrival.at {
                 work -= arrivals[first].work / self.mean_work;
@@ -154,10 +157,10 @@
             }
             let budget = self.budget(start, arrival);
             let window = Window { arrivals: &arrivals[first..=last], work, budget };
-            self.add_window(&window, out, &mut overload, &mut overload_by_work);
+            self.add_window(&window, measurement, &mut overload, &mut overload_by_work);
         }
-        out.overloaded.add(overload);
-        out.overloaded_by_work.add(overload_by_work);
+        measurement.overloaded.add(overload);
+        measurement.overloaded_by_work.add(overload_by_work);
     }
 
     /// Returns the work that the settings permit in the window that ends with a request, in requests of mean work.
@@ -173,7 +176,7 @@
     fn add_window(
         &self,
         window: &Window<'_>,
-        out: &mut Measurement,
+        measurement: &mut Measurement,
         overload: &mut Option<OverloadedBy>,
         overload_by_work: &mut Option<OverloadedBy>,
     ) {
@@ -183,17 +186,17 @@
         let informed_work: f64 = informed.map(|arrival| arrival.work / self.mean_work).sum();
         let mostly_informed = informed_count > INFORMED_SHARE * count;
         let mostly_informed_work = informed_work > INFORMED_SHARE * window.work;
-        let root = window.budget.sqrt();
-        let excess = (count - window.budget) / root;
-        out.excess = out.excess.max(excess);
+        let budget_root = window.budget.sqrt();
+        let excess = (count - window.budget) / budget_root;
+        measurement.excess = measurement.excess.max(excess);
         if mostly_informed {
-            out.informed_excess = out.informed_excess.max(excess);
+            measurement.informed_excess = measurement.informed_excess.max(excess);
         }
         if mostly_informed_work {
-            let excess_work = (window.work - window.budget) / root;
-            out.informed_excess_work = out.informed_excess_work.max(excess_work);
+            let excess_work = (window.work - window.budget) / budget_root;
+            measurement.informed_excess_work = measurement.informed_excess_work.max(excess_work);
         }
-        let limit = window.budget + CHANCE_ROOTS * root + CHANCE_REQUESTS;
+        let limit = window.budget + CHANCE_ROOTS * budget_root + CHANCE_REQUESTS;
         if count > limit {
             overload.get_or_insert(OverloadedBy::new(mostly_informed));
         }
