--- a/crates/policy/src/settings/validation.rs
+++ b/crates/policy/src/settings/validation.rs
@@ -6,7 +6,7 @@
 
 /// A field of the settings that is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("bad settings: `{field}` is {value}, but {requirement}")]
+#[error("invalid settings: `{field}` is {value}, but {requirement}")]
 pub struct SettingsError {
     field: String,
     value: String,
