--- a/crates/proxy/src/discovery/registry.rs
+++ b/crates/proxy/src/discovery/registry.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a change of the registry requires of the policy and of the connections.
+/// The effects of a change of the registry: entries for the policy, and idle connections to close.
 #[derive(Debug, Default, PartialEq)]
 pub struct RegistryUpdate {
     /// The entries to pass to the policy.
--- a/crates/proxy/src/downstream/client_stream.rs
+++ b/crates/proxy/src/downstream/client_stream.rs
@@ -95,14 +95,14 @@
     /// buffer.
     pub fn move_buffered_to(&mut self, target: &mut ReadBufCursor<'_>, limit: u64) -> u64 {
         let limit = usize::try_from(limit).unwrap_or(usize::MAX);
-        let moved = self.buffered.len().min(target.remaining()).min(limit);
-        target.put_slice(&self.buffered[..moved]);
-        self.buffered.drain(..moved);
-        self.arrival_times.remove(moved);
+        let byte_count = self.buffered.len().min(target.remaining()).min(limit);
+        target.put_slice(&self.buffered[..byte_count]);
+        self.buffered.drain(..byte_count);
+        self.arrival_times.remove(byte_count);
         if self.buffered.is_empty() {
             self.clear_buffered();
         }
-        moved as u64
+        byte_count as u64
     }
 
     /// Returns whether input after an open request was dropped because the buffer was full.
--- a/crates/proxy/src/downstream/connection_permits.rs
+++ b/crates/proxy/src/downstream/connection_permits.rs
@@ -47,7 +47,7 @@
 pub struct ConnectionPermits {
     regular: Rc<ResizableLimit>,
     overflow: Rc<ResizableLimit>,
-    /// Since when acquiring a regular permit has failed; `None` after it has succeeded.
+    /// Time of the first failure to acquire a regular permit since the last success; `None` after a success.
     full_since: Cell<Option<Instant>>,
     evictable_connections: Rc<EvictableConnections>,
 }
--- a/crates/proxy/src/downstream/progress/stage_clock.rs
+++ b/crates/proxy/src/downstream/progress/stage_clock.rs
@@ -12,7 +12,7 @@
 /// Time limit of a request, from its first byte to its last. A body that arrives steadily extends it; see
 /// [`BodyPace`](crate::downstream::body_pace::BodyPace).
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
-/// Time limit of a connection's first request, from when the connection has its permit and its task starts, to the
+/// Time limit of a connection's first request, from the start of the connection's task, once it has its permit, to the
 /// request's last byte.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
 
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -130,8 +130,8 @@
     }
 }
 
-/// Sends the list once and reports each later request of the watch. Such a request waits for the next version and gets no
-/// response.
+/// Sends the list once and reports each later request of the watch. The later requests wait for the next version and get
+/// no response.
 fn serve_list(mut stream: TcpStream, list: &str, applied: &Sender<()>) {
     if read_message(&mut stream).is_some() {
         respond(&mut stream, "200 OK", "", list.as_bytes());
--- a/crates/proxy/tests/soak/fleet.rs
+++ b/crates/proxy/tests/soak/fleet.rs
@@ -46,8 +46,8 @@
 const DISRUPTIONS: [Disruption; 5] =
     [Disruption::Suspend, Disruption::Reload, Disruption::Override, Disruption::Replace, Disruption::Nothing];
 
-/// A balancer: its current process, and what the successors of the process inherit.
-struct ManagedBalancer {
+/// A balancer whose process is replaced during a run: the current process, and what its successors inherit.
+struct ReplaceableBalancer {
     process: Balancer,
     listener: TcpListener,
     folder: SharedFolder,
@@ -63,7 +63,7 @@
 /// All balancers of a run.
 pub struct Fleet {
     upstreams: Vec<SocketAddr>,
-    balancers: Vec<ManagedBalancer>,
+    balancers: Vec<ReplaceableBalancer>,
     predecessors: Vec<Predecessor>,
 }
 
@@ -80,7 +80,7 @@
         let folder = SharedFolder::new(&format!("soak-{seed}-{number}"));
         let fault_plan = FAULT_PLANS[number];
         let process = start_process(&self.upstreams, &listener, &folder, fault_plan);
-        self.balancers.push(ManagedBalancer { process, listener, folder, fault_plan });
+        self.balancers.push(ReplaceableBalancer { process, listener, folder, fault_plan });
         address
     }
 
--- a/crates/proxy/tests/soak/record.rs
+++ b/crates/proxy/tests/soak/record.rs
@@ -1,4 +1,4 @@
-//! What clients, upstreams and the test observe during a run.
+//! The record of what clients, upstreams and the test observe during a run.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -14,8 +14,8 @@
 pub struct SettingsError {
     /// Path of the key in the `Setup` object, such as `Categories[0].TargetMs`.
     pub key: String,
-    /// What is wrong with the value and what it must be, such as "is -1, but must be 0 or more". The key is
-    /// the subject of the sentence.
+    /// The problem: what is wrong with the value and what it must be, such as "is -1, but must be 0 or
+    /// more". The key is the subject of the sentence.
     pub problem: String,
 }
 
