--- a/crates/fleet-model/src/policy/known_state.rs
+++ b/crates/fleet-model/src/policy/known_state.rs
@@ -10,7 +10,7 @@
     pub in_flight: u32,
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 pub(super) struct OpenRequest {
     /// Index of the class.
     pub class: usize,
--- a/crates/fleet-model/src/scoring/breach.rs
+++ b/crates/fleet-model/src/scoring/breach.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Every request gets one final answer in time.
+    /// Every request gets one final response in time.
     Lost,
     /// A request is repeated only as the idempotency of its class permits.
     Duplicate,
--- a/crates/fleet-model/src/world/clients.rs
+++ b/crates/fleet-model/src/world/clients.rs
@@ -141,7 +141,7 @@
         request
     }
 
-    /// Checks that a request has its final answer after its deadline and the grace time.
+    /// Checks that a request has its final response after its deadline and the grace time.
     pub(super) fn answer_due(&mut self, request: RequestIndex) {
         let record = &self.requests[request];
         let process = record.process;
--- a/crates/fleet-model/src/world/event.rs
+++ b/crates/fleet-model/src/world/event.rs
@@ -27,7 +27,7 @@
     AttemptAnswered { attempt: AttemptIndex, outcome: Outcome },
     /// An attempt's time limit expires.
     AttemptTimedOut { attempt: AttemptIndex },
-    /// The time by which a request must have its final answer has come.
+    /// The time by which a request must have its final response has come.
     AnswerDue { request: RequestIndex },
     /// A planned change of a server: a job ends, or the server chokes or recovers. It is ignored unless `plan_version`
     /// is current.
--- a/crates/fleet-model/src/world/messages.rs
+++ b/crates/fleet-model/src/world/messages.rs
@@ -153,7 +153,7 @@
         self.actions = actions;
     }
 
-    /// Closes a request and sends the final answer to its caller. Has no effect on a closed request.
+    /// Closes a request and sends the final response to its caller. Has no effect on a closed request.
     pub(super) fn close_request(&mut self, request: RequestIndex, reply: Reply, useful: f64) {
         let record = &mut self.requests[request];
         if record.closed {
--- a/crates/fleet-model/src/world/state/processes.rs
+++ b/crates/fleet-model/src/world/state/processes.rs
@@ -123,7 +123,7 @@
     pub watching: bool,
     /// The last events and actions of the process, the oldest first.
     pub recent_events: VecDeque<TimedEvent>,
-    /// Requests without a final answer.
+    /// Requests without a final response.
     pub open_requests: BTreeSet<RequestIndex>,
     /// Attempts without an outcome.
     pub attempts_in_flight: BTreeSet<AttemptIndex>,
--- a/crates/fleet-model/src/world/state/requests.rs
+++ b/crates/fleet-model/src/world/state/requests.rs
@@ -34,7 +34,7 @@
 pub(in crate::world) struct Request {
     /// The process that received the request.
     pub process: ProcessIndex,
-    /// The caller, which receives the final answer.
+    /// The caller, which receives the final response.
     pub caller: Caller,
     /// The request of a client that this request belongs to.
     pub arrival: ArrivalIndex,
@@ -42,7 +42,7 @@
     pub class: usize,
     /// Deadline, on the world's clock.
     pub deadline: Micros,
-    /// Whether the request has its final answer, or its caller no longer waits for one.
+    /// Whether the request has its final response, or its caller no longer waits for one.
     pub closed: bool,
     /// Number of attempts sent.
     pub attempts_sent: u32,
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -15,8 +15,8 @@
 const QUEUED_PER_SLOT: f64 = 4.0;
 /// Number of requests that may always be queued, however low the concurrency limits are.
 const MIN_QUEUE_CAPACITY: usize = 16;
-/// The most valuable class is express if its value is more than this many times that of the next one.
-const EXPRESS_RATIO: f64 = 2.0;
+/// The most valuable class has high priority if its value is more than this many times that of the next one.
+const HIGH_PRIORITY_RATIO: f64 = 2.0;
 
 /// The queue of a class, and how the class was served lately.
 #[derive(Default)]
@@ -41,13 +41,13 @@
     /// By class id.
     classes: Vec<ClassQueue>,
     /// Class whose requests may exceed a full concurrency limit, `None` if no class is valuable enough.
-    express: Option<ClassId>,
+    high_priority_class: Option<ClassId>,
 }
 
 impl Queues {
     /// Creates empty queues for `classes` classes.
     pub fn new(classes: usize) -> Self {
-        Queues { classes: (0..classes).map(|_| ClassQueue::default()).collect(), express: None }
+        Queues { classes: (0..classes).map(|_| ClassQueue::default()).collect(), high_priority_class: None }
     }
 
     /// Number of queued requests of all classes.
@@ -62,7 +62,7 @@
 
     /// Priority of the requests of a class.
     pub fn priority(&self, class: ClassId) -> Priority {
-        if self.express == Some(class) { Priority::Express } else { Priority::Normal }
+        if self.high_priority_class == Some(class) { Priority::High } else { Priority::Normal }
     }
 
     /// Decayed number of requests of a class that arrived.
@@ -118,13 +118,13 @@
         order.iter().rev().find_map(|&class| self.classes[class].queued.pop_front())
     }
 
-    /// Returns the classes in descending order of their value, and updates the express class.
+    /// Returns the classes in descending order of their value, and updates the high-priority class.
     pub fn class_order(&mut self, settings: &Settings, latencies: &Latencies) -> Vec<ClassId> {
         let values = self.class_values(settings, latencies);
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
         order.sort_by(|&a, &b| values[b].total_cmp(&values[a]));
-        self.express = match order[..] {
-            [first, second, ..] if values[first] > EXPRESS_RATIO * values[second] => Some(first),
+        self.high_priority_class = match order[..] {
+            [first, second, ..] if values[first] > HIGH_PRIORITY_RATIO * values[second] => Some(first),
             _ => None,
         };
         order
--- a/crates/policy/src/balancer/admit.rs
+++ b/crates/policy/src/balancer/admit.rs
@@ -59,16 +59,16 @@
         }
     }
 
-    /// Sends the final answer to a request that is not served: a rejection where the client may retry, a
+    /// Sends the final response to a request that is not served: a rejection where the client may retry, a
     /// failure otherwise.
     pub(super) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         let median = self.latencies.class_median(request.class());
         let queue_drain_time = self.queues.len() as f64 * self.mean_send_interval();
-        let answer = match admission::retry_after(&self.context, &request, median, queue_drain_time) {
+        let response = match admission::retry_after(&self.context, &request, median, queue_drain_time) {
             Some(retry_after) => Action::Reject { request: id, retry_after },
             None => Action::Fail { request: id },
         };
-        self.actions.push(answer);
+        self.actions.push(response);
     }
 }
--- a/crates/policy/src/balancer/complete.rs
+++ b/crates/policy/src/balancer/complete.rs
@@ -26,7 +26,7 @@
         };
         if let Some(attempt) = request.end_attempt(end.outcome) {
             // Without a queue signal the attempt was too short to show whether its server is slow, so its
-            // time-out counts against nobody.
+            // timeout does not count against it.
             if queue_signal != QueueSignal::Unknown {
                 end.timeout_attribution = attempt.timeout_attribution;
             }
@@ -45,7 +45,7 @@
                 }
                 self.requests.remove(&id);
             }
-            Continuation::FinalAnswerOnly => self.reject(id),
+            Continuation::FinalResponseOnly => self.reject(id),
             Continuation::Any => self.retry_or_reject(id, end.outcome),
         }
     }
--- a/crates/policy/src/balancer/decay.rs
+++ b/crates/policy/src/balancer/decay.rs
@@ -11,8 +11,8 @@
 
 /// Number of checks for expired queued requests during the shortest latency objective.
 const EXPIRY_CHECKS_PER_OBJECTIVE: u64 = 64;
-/// Maximum time between two expiry checks, in microseconds. Retries and queued requests are sent at these
-/// checks too, and longer latency objectives lengthen neither a backoff nor the wait for a free slot.
+/// Maximum time between two expiry checks, in microseconds. Retries and queued requests are also sent at
+/// these checks, so a long latency objective would otherwise lengthen backoffs and waits for a free slot.
 const MAX_EXPIRY_INTERVAL: Micros = 40_000;
 /// Number of decays of the statistics during the longest deadline.
 const DECAYS_PER_DEADLINE: u64 = 16;
--- a/crates/policy/src/balancer/mod.rs
+++ b/crates/policy/src/balancer/mod.rs
@@ -33,7 +33,7 @@
     /// Actions that follow from the event being handled.
     actions: Vec<Action>,
     fleet: Fleet,
-    /// Requests without a final answer. The first byte of a streamed response counts as the final answer.
+    /// Requests without a final response. The first byte of a streamed response counts as the final response.
     requests: BTreeMap<RequestId, Request>,
     queues: Queues,
     latencies: Latencies,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -7,8 +7,8 @@
 use crate::request::{AttemptEnd, Priority};
 use crate::settings::Settings;
 
-/// Fair share of a balancer in a zone's limit, in attempts per tier and per server of the balancer's share of
-/// the zone's servers.
+/// Fair share of a balancer in a zone's limit, in attempts per tier and per server. The zone's servers are
+/// divided among the balancers; see [`fair_share`].
 const FAIR_SHARE_ATTEMPTS: f64 = 4.0;
 /// Maximum factor by which the growth of a limit is raised below its fair share, or reduced above it.
 const MAX_FAIRNESS_FACTOR: f64 = 3.0;
@@ -31,14 +31,14 @@
 const SLOW_LATENESS: f64 = 2.0 * TOLERATED_LATE_SHARE;
 /// Minimum of a zone's first limit, in attempts.
 const MIN_INITIAL_LIMIT: f64 = 2.0;
-/// Factor on the limit for express requests. Long requests of little weight would otherwise occupy all slots
-/// of a small limit.
-const EXPRESS_FACTOR: f64 = 2.0;
-/// Slots that a usable server may take, as a multiple of its even share of the limit. Those beyond its share
-/// replace the slots of servers that are ejected or draining.
+/// Factor on the limit for requests of high priority. Long requests of little weight would otherwise occupy
+/// all slots of a small limit.
+const HIGH_PRIORITY_FACTOR: f64 = 2.0;
+/// Slots that a usable server may take, as a multiple of its even share of the limit. The slots beyond its
+/// share replace those of servers that are ejected or draining.
 const OVERFLOW_FACTOR: f64 = 1.5;
-/// Time after which half of the abandoned attempts are assumed to have ended, in median latencies. In 99th
-/// percentiles, the attempts abandoned in a short slow period would fill the limit.
+/// Time after which half of the abandoned attempts are assumed to have ended, in median latencies. If the
+/// half-life followed the 99th percentile, attempts abandoned in a short slow period would fill the limit.
 const ABANDONED_HALF_LIFE_MEDIANS: f64 = 2.0;
 
 /// Information about queueing at the servers, derived from the end of an attempt.
@@ -123,7 +123,7 @@
     pub fn has_capacity(&self, context: &Context, priority: Priority) -> bool {
         let abandoned = if context.settings.tier == 0 { self.abandoned } else { 0.0 };
         let usable = (self.limit * self.usable_share.min(1.0)).max(1.0);
-        let factor = if priority == Priority::Express { EXPRESS_FACTOR } else { 1.0 };
+        let factor = if priority == Priority::High { HIGH_PRIORITY_FACTOR } else { 1.0 };
         let is_full = f64::from(self.in_flight) + abandoned >= usable * factor;
         let is_paused = context.now() < self.resume_at && priority == Priority::Normal;
         !is_full && !is_paused
@@ -134,7 +134,7 @@
         self.in_flight += 1;
     }
 
-    /// Ends the count of an attempt in flight.
+    /// Stops counting an attempt in flight.
     pub fn release_slot(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -216,8 +216,8 @@
 
 /// Returns a balancer's fair share of a zone's limit, in attempts, from its share of the zone's servers.
 ///
-/// A server of its own zone weighs as much as `zone_count` servers of other zones, since balancers send
-/// within their zone first. With fewer balancers than zones all servers weigh the same: otherwise this
+/// A server of the balancer's own zone weighs as much as `zone_count` servers of other zones, since balancers
+/// send within their zone first. With fewer balancers than zones all servers weigh the same: otherwise this
 /// balancer would fill its own zone completely. Where most balancers are in one zone, the share is too large
 /// there.
 ///
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -133,12 +133,12 @@
 pub enum Event {
     /// The endpoint list, or a change of it, was received.
     EndpointList {
-        /// Whether the entries are all or those that have changed.
+        /// Whether the entries are the complete list or only the changes.
         kind: ListKind,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A request arrived. It must get exactly one final answer: the response of a server,
+    /// A request arrived. It must get exactly one final response: the response of a server,
     /// [`Action::Reject`] or [`Action::Fail`].
     Request {
         /// Id of the request.
@@ -182,14 +182,14 @@
         outcome: Outcome,
         /// Time from the start of the attempt to its end.
         latency: Micros,
-        /// The request has its final answer. The balancer must not send another.
+        /// The request has its final response. The balancer must not send another.
         finished: bool,
         /// The body was forwarded and not retained, so the request cannot be sent again.
         body_consumed: bool,
         /// Load report of the server, `None` if it sent none.
         load: Option<LoadReport>,
     },
-    /// The client disconnected. The request no longer needs a final answer.
+    /// The client disconnected. The request no longer needs a final response.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -224,14 +224,14 @@
         /// Time after which the attempt has timed out.
         limit: Micros,
     },
-    /// Send the final answer: the request is rejected, and its client may safely retry.
+    /// Send the final response: the request is rejected, and its client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
         /// How long the client should wait before the retry; 0 for no wait.
         retry_after: Micros,
     },
-    /// Send the final answer: the request failed, and it may have run.
+    /// Send the final response: the request failed, and it may have run.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/policy/src/failure_by_idle_time.rs
+++ b/crates/policy/src/failure_by_idle_time.rs
@@ -2,7 +2,7 @@
 
 use crate::event::Micros;
 
-/// Number of buckets, one for each doubling of the idle time: a 64-bit number of microseconds.
+/// Number of buckets, one for each doubling of the idle time, which is a 64-bit number.
 const BUCKET_COUNT: usize = 64;
 
 /// Moving averages of the share of calls that fail, in buckets of idle times.
@@ -10,7 +10,7 @@
 /// A failure after an idle time counts for all longer ones too, a success for all shorter ones: a connection
 /// that was dropped after some idle time stays dropped.
 pub(crate) struct FailureByIdleTime {
-    /// Share of the failed calls in each bucket, from 0 to 1.
+    /// Share of the calls in each bucket that failed, from 0 to 1.
     shares: [f64; BUCKET_COUNT],
 }
 
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::event::{ClassId, Micros, Outcome, ServerEntry, ServerId, ZoneId};
 
-/// A request that has no final answer yet.
+/// A request that has no final response yet.
 pub(crate) struct Request {
     class: ClassId,
     /// Time from which its duration counts: its arrival, or the end of its body if that was pending.
@@ -186,7 +186,7 @@
     /// The request must not exceed the limit.
     Normal,
     /// The request may exceed the limit: its class has much utility for little work.
-    Express,
+    High,
 }
 
 /// When and where an attempt was sent.
@@ -230,22 +230,22 @@
 
 /// Steps that may follow the end of an attempt.
 pub(crate) enum Continuation {
-    /// Nothing follows: the request has its final answer.
+    /// Nothing follows: the request has its final response.
     Finished,
-    /// Only a final answer may follow: the body of the request was forwarded and not retained, so the request
+    /// Only a final response may follow: the body of the request was forwarded and not retained, so the request
     /// cannot be sent again.
-    FinalAnswerOnly,
-    /// A retry or a final answer may follow.
+    FinalResponseOnly,
+    /// A retry or a final response may follow.
     Any,
 }
 
 impl Continuation {
     /// Returns the steps that may follow an outcome. `finished` tells whether the request has its final
-    /// answer, and `body_consumed` whether its body was forwarded without being retained.
+    /// response, and `body_consumed` whether its body was forwarded without being retained.
     pub fn new(finished: bool, body_consumed: bool) -> Self {
         match (finished, body_consumed) {
             (true, _) => Continuation::Finished,
-            (false, true) => Continuation::FinalAnswerOnly,
+            (false, true) => Continuation::FinalResponseOnly,
             (false, false) => Continuation::Any,
         }
     }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -26,8 +26,8 @@
     waited >= context.settings.prices.cross_zone * median.unwrap_or(1.0)
 }
 
-/// A server that may take the attempt. Candidates of the balancer's own zone are better than others; among
-/// them, a lower score is better.
+/// A server that may take the attempt. A candidate in the balancer's own zone is better than one in another
+/// zone; otherwise the lower score is better.
 #[derive(Clone, Copy)]
 struct Candidate {
     remote: bool,
--- a/crates/policy/src/settings/class.rs
+++ b/crates/policy/src/settings/class.rs
@@ -39,7 +39,7 @@
     pub latency_objective: Micros,
     /// The latency objective grows by this multiple of the hinted work of a request. Not negative.
     pub objective_per_work: f64,
-    /// How long a client waits for a final answer. Above 0.
+    /// How long a client waits for a final response. Above 0.
     pub deadline: Micros,
     /// Weight of one request, or of a unit of its work (see
     /// [`Settings::weight_by_work`](crate::Settings::weight_by_work)), relative to other classes. Not
--- a/crates/policy/src/settings/deployment.rs
+++ b/crates/policy/src/settings/deployment.rs
@@ -56,7 +56,7 @@
     pub max_retry_after: Micros,
     /// Maximum number of attempts for one request, the first included. At least 1.
     pub max_attempts: u32,
-    /// Maximum number of requests without a final answer; 0 for no limit.
+    /// Maximum number of requests without a final response; 0 for no limit.
     pub max_open_requests: u32,
     /// Maximum number of concurrent attempts on one connection; 0 if unknown.
     pub max_streams: u32,
@@ -108,7 +108,7 @@
     /// Time within which a server must stop receiving requests after discovery announces it as removed or
     /// draining.
     pub drain_grace: Micros,
-    /// Time after the client's deadline within which a final answer still counts.
+    /// Time after the client's deadline within which a final response still counts.
     pub response_grace: Micros,
 }
 
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -6,9 +6,9 @@
 use crate::jitter::jitter;
 use crate::settings::Rules;
 
-/// Factor by which the attempts to a server that is warming up may exceed the number at which it would fail
-/// if calls were spread evenly over fully loaded servers. Selection by load sends it fewer while other
-/// servers are free.
+/// Factor by which the rate of attempts to a server that is warming up may exceed the rate at which it would
+/// fail if all servers were fully loaded and calls were spread evenly. While other servers are free,
+/// selection by load sends it fewer attempts.
 const WARM_UP_RATE_FACTOR: f64 = 1.5;
 
 /// Returns the share of its full capacity that a server has: 1 once it has warmed up.
--- a/crates/policy/src/time_limits.rs
+++ b/crates/policy/src/time_limits.rs
@@ -18,15 +18,15 @@
 const MIN_TIME_MEDIANS: f64 = 5.0;
 /// Time for a retry is reserved only if more than this many median latencies remain for the first attempt.
 const MIN_FIRST_ATTEMPT_MEDIANS: f64 = 12.0;
-/// Limit of an attempt that no retry may follow, as a multiple of the 99th percentile. A time-out frees the
+/// Limit of an attempt that no retry may follow, as a multiple of the 99th percentile. A timeout frees the
 /// slot but fails the request.
 const LAST_ATTEMPT_FACTOR: f64 = 3.0;
-/// A time-out after more than this many median latencies counts against the server, whatever set the limit.
+/// A timeout after more than this many median latencies counts against the server, whatever set the limit.
 const UNRESPONSIVE_MEDIANS: f64 = 12.0;
 
 /// Returns whether too little time is left for an attempt to finish.
 ///
-/// This includes a request whose deadline is before the next expiry check. Otherwise its final answer would
+/// This includes a request whose deadline is before the next expiry check. Otherwise its final response would
 /// be too late where the checks are further apart than the grace period after the deadline.
 pub(crate) fn cannot_finish(
     latencies: &Latencies,
@@ -46,7 +46,7 @@
 
 /// Returns the limit of the request's next attempt.
 ///
-/// A long time-out counts against the server even where the remaining time of the request set the limit. A
+/// A long timeout counts against the server even where the remaining time of the request set the limit. A
 /// server that never answers would otherwise go unnoticed.
 pub(crate) fn attempt_limit(latencies: &Latencies, context: &Context, request: &Request) -> AttemptLimit {
     let mut limit = learned_limit(latencies, context, request);
@@ -60,7 +60,7 @@
 /// Returns the limit from the learned latencies: the 99th percentile for a first attempt, with time reserved
 /// for a retry where one may follow, and the median for a retry.
 ///
-/// A time-out does not count against the server where the remaining time of the request set the limit, nor
+/// A timeout does not count against the server where the remaining time of the request set the limit, nor
 /// for a retry: half of all attempts take longer than the median. Otherwise callers with little time left
 /// would open breakers.
 fn learned_limit(latencies: &Latencies, context: &Context, request: &Request) -> AttemptLimit {
@@ -85,7 +85,7 @@
 }
 
 /// Returns the shortest of a learned limit, the time `available` for the attempt, and the time left, in
-/// microseconds. A time-out counts against the server only if the learned limit is less than the available
+/// microseconds. A timeout counts against the server only if the learned limit is less than the available
 /// time.
 fn shortest_limit(learned: f64, available: f64, time_left: f64) -> AttemptLimit {
     AttemptLimit {
--- a/crates/policy/tests/common/simulation.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -9,7 +9,7 @@
 
 use super::{MS, SECOND};
 
-/// Maximum time from the deadline of a request to its final answer.
+/// Maximum time from the deadline of a request to its final response.
 const RESPONSE_GRACE: Micros = 20 * MS;
 
 /// Time to the deadline of a request while its body is pending, longer than any test runs.
@@ -56,7 +56,7 @@
 }
 
 impl ScheduledEnd {
-    /// Creates the end of an attempt: the response of its server, or a time-out if the server does not
+    /// Creates the end of an attempt: the response of its server, or a timeout if the server does not
     /// respond within the limit.
     fn new(attempt: &AttemptInFlight, response: &Response) -> Self {
         let attempt = attempt.clone();
@@ -84,7 +84,7 @@
     pub token: u64,
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 pub(super) struct OpenRequest {
     /// Class of the request.
     pub class: usize,
@@ -127,7 +127,7 @@
     pub trace: Vec<(Micros, Action)>,
     /// Timers that have not expired.
     pub(super) timers: BTreeSet<Timer>,
-    /// Requests without a final answer.
+    /// Requests without a final response.
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
     /// The last entry of each server that was ever listed.
     pub(super) servers: BTreeMap<ServerId, ServerEntry>,
@@ -280,7 +280,7 @@
         })
     }
 
-    /// Delivers the first byte of a streamed response, which counts as the final answer.
+    /// Delivers the first byte of a streamed response, which counts as the final response.
     pub fn first_byte(&mut self, attempt: &AttemptInFlight) {
         self.open.remove(&attempt.request);
         self.handle(Event::FirstByte { request: attempt.request, attempt: attempt.attempt });
@@ -292,12 +292,12 @@
         self.handle(Event::ClientDisconnected { request });
     }
 
-    /// Returns whether a request has no final answer yet.
+    /// Returns whether a request has no final response yet.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.open.contains_key(&request)
     }
 
-    /// Returns the requests without a final answer, oldest first.
+    /// Returns the requests without a final response, oldest first.
     pub fn open_requests(&self) -> Vec<RequestId> {
         self.open.keys().copied().collect()
     }
@@ -339,6 +339,6 @@
         }
         self.now = until;
         let overdue = self.open.values().filter(|open| open.deadline + RESPONSE_GRACE < until).count();
-        assert_eq!(overdue, 0, "requests without a final answer after their deadline and the grace period");
+        assert_eq!(overdue, 0, "requests without a final response after their deadline and the grace period");
     }
 }
--- a/crates/policy/tests/decisions/admission.rs
+++ b/crates/policy/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Queues, load shedding, the order of classes, and final answers.
+//! Queues, load shedding, the order of classes, and final responses.
 
 use crate::common::{MS, Response, SECOND, Simulation, settings};
 use crate::helpers::{draining, last_in_flight, simulation};
@@ -84,7 +84,7 @@
 
 #[test]
 fn queued_requests_end_in_time_even_if_expiry_checks_are_far_apart() {
-    // With a check every 22 ms, final answers were up to 22 ms late in a class whose responses after the
+    // With a check every 22 ms, final responses were up to 22 ms late in a class whose responses after the
     // objective still have weight.
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.classes[0].latency_objective = 1_400 * MS;
--- a/crates/policy/tests/decisions/outlier.rs
+++ b/crates/policy/tests/decisions/outlier.rs
@@ -187,7 +187,7 @@
 
 #[test]
 fn unresponsive_servers_are_ejected_before_the_99th_percentile_is_known() {
-    // The time left sets all limits while the 99th percentile is unknown. Guards against time-outs that do
+    // The time left sets all limits while the 99th percentile is unknown. Guards against timeouts that do
     // not count against the server for that reason.
     let mut settings = settings(&[Idempotency::NotIdempotent]);
     settings.classes[0].late_weight = 0.2;
--- a/crates/policy/tests/decisions/retry.rs
+++ b/crates/policy/tests/decisions/retry.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_request_whose_body_is_not_retained_gets_its_final_answer_at_once() {
+fn a_request_whose_body_is_not_retained_gets_its_final_response_at_once() {
     for (outcome, rejected) in [(Outcome::Rejected, 1), (Outcome::ConnectFailed, 1), (Outcome::Reset, 0)] {
         let mut simulation = simulation(&[KEYED_PER_CELL], 3);
         simulation.request_with_pending_body(0);
--- a/crates/policy/tests/decisions/time_limits.rs
+++ b/crates/policy/tests/decisions/time_limits.rs
@@ -157,7 +157,7 @@
 
 #[test]
 fn an_attempt_that_no_retry_may_follow_gets_more_than_the_99th_percentile() {
-    // A time-out at the 99th percentile in each of two tiers lost one in twenty requests that are not
+    // A timeout at the 99th percentile in each of two tiers lost one in twenty requests that are not
     // idempotent without any fault.
     let mut simulation = simulation(&[Idempotency::NotIdempotent], 3);
     serve(&mut simulation, 0, 160, 10 * MS);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Random valid sequences of events under random settings: every request gets one final answer in time, and
+//! Random valid sequences of events under random settings: every request gets one final response in time, and
 //! no action breaks a rule. The rules are in `common::checker`.
 
 mod common;
--- a/crates/simulator-adapter/src/host/open_requests.rs
+++ b/crates/simulator-adapter/src/host/open_requests.rs
@@ -10,11 +10,11 @@
     wire_id: String,
     /// Number of attempts without an outcome.
     attempts_in_flight: u32,
-    /// Whether the request has its final answer.
+    /// Whether the request has its final response.
     is_finished: bool,
 }
 
-/// Requests that have no final answer, or attempts without an outcome.
+/// Requests that have no final response, or attempts without an outcome.
 #[derive(Default)]
 pub struct OpenRequests {
     id_by_wire_id: HashMap<String, RequestId>,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Records the outcome of an attempt, and whether the request has its final answer.
+    /// Records the outcome of an attempt, and whether the request has its final response.
     pub fn record_outcome(&mut self, id: RequestId, is_final: bool) {
         if let Some(open) = self.requests.get_mut(&id) {
             open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Records that the request has its final answer, and removes it if each attempt has an outcome.
+    /// Records that the request has its final response, and removes it if each attempt has an outcome.
     pub fn finish(&mut self, id: RequestId) {
         if let Some(open) = self.requests.get_mut(&id) {
             open.is_finished = true;
@@ -66,7 +66,7 @@
         self.remove_if_settled(id);
     }
 
-    /// Removes a request that has its final answer and an outcome for each attempt.
+    /// Removes a request that has its final response and an outcome for each attempt.
     pub fn remove_if_settled(&mut self, id: RequestId) {
         if let Some(open) = self.requests.get(&id)
             && open.is_finished
--- a/crates/simulator-adapter/src/host/reply/tests.rs
+++ b/crates/simulator-adapter/src/host/reply/tests.rs
@@ -51,5 +51,5 @@
     assert_eq!(line(Action::Watch), r#"{"Subscribe":{"BalancerId":6,"Enable":true}}"#);
     assert_eq!(line(Action::Fetch), r#"{"QueryAll":{"BalancerId":6}}"#);
     let is_open = ["r-0", "r-1", "r-2"].map(|wire_id| balancer.requests.id(wire_id).is_some());
-    assert_eq!(is_open, [true, false, false], "requests with a final answer and no attempt are removed");
+    assert_eq!(is_open, [true, false, false], "requests with a final response and no attempt are removed");
 }
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -18,7 +18,7 @@
         /// Address of the upstream.
         upstream: &'a str,
     },
-    /// Sends the final answer: the request is rejected.
+    /// Sends the final response: the request is rejected.
     #[serde(rename = "Refuse", rename_all = "PascalCase")]
     Reject {
         /// Id of the balancer that acts.
@@ -30,7 +30,7 @@
         #[serde(rename = "WaitMs")]
         retry_after_ms: f64,
     },
-    /// Sends the final answer: the request failed.
+    /// Sends the final response: the request failed.
     #[serde(rename = "FinishError", rename_all = "PascalCase")]
     Fail {
         /// Id of the balancer that acts.
--- a/crates/simulator-adapter/src/wire/message/result.rs
+++ b/crates/simulator-adapter/src/wire/message/result.rs
@@ -24,7 +24,7 @@
     pub outcome: Outcome,
     /// Time since the attempt was sent, in milliseconds.
     pub time_taken_ms: f64,
-    /// Whether the request has its final answer, from this outcome or an earlier one.
+    /// Whether the request has its final response, from this outcome or an earlier one.
     #[serde(rename = "Final", default)]
     pub is_final: bool,
     /// Load report of the upstream, `None` if it sent none.
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_outcome_after_the_final_answer_is_accepted() {
+fn an_outcome_after_the_final_response_is_accepted() {
     let disconnected = r#"{"Aborted":{"BalancerId":4,"Rid":"r-1"}}"#;
     let next = "{\"BeginBatch\":{\"NowMs\":30}}";
     let late = attempt_ended(0, "T", ",\"Final\":true");
