--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `zincstand`: the command line around the load balancer.
+//! `zincstand`: the command line tools of the load balancer.
 
 #![forbid(unsafe_code)]
 
@@ -10,21 +10,21 @@
 
 use clap::Parser;
 
-/// Tools around the HTTP/1.1 load balancer zincstand: a model of the fleet, and measurements on sockets.
+/// Tools for the HTTP/1.1 load balancer zincstand: a simulation of the fleet and measurements on sockets.
 #[derive(Parser)]
 #[command(name = "zincstand", version, arg_required_else_help = true)]
 enum Command {
-    /// Simulate scenarios of a fleet in virtual time
+    /// Simulate a fleet of balancers and upstreams in virtual time
     #[command(subcommand)]
     Model(model::Command),
-    /// Measure the cost of the balancer by size on loopback sockets
-    Scale(scale::Scale),
+    /// Measure on loopback sockets how the costs of the balancer grow with the size of the fleet
+    Scale(scale::Arguments),
 }
 
 fn main() -> ExitCode {
     let result = match Command::parse() {
         Command::Model(command) => model::run(command),
-        Command::Scale(command) => scale::run(command),
+        Command::Scale(arguments) => scale::run(arguments),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/cli/src/scale/added_time.rs
+++ b/crates/cli/src/scale/added_time.rs
@@ -1,4 +1,4 @@
-//! Measures the time that the balancer adds to a call, by call rate and by number of known upstreams.
+//! Measures the latency that the balancer adds to a call, by call rate and by number of known upstreams.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
 
-use super::{Bench, MeasurementPlan};
+use super::{MeasurementPlan, Parameters};
 
-/// A constant rate of calls for a given time.
+/// A constant call rate and its duration.
 #[derive(Clone, Copy)]
 struct Load {
     /// Calls per second to each target.
@@ -36,12 +36,12 @@
 const QUICK_WARM_UP: Load = Load { rate: 450.0, seconds: 0.3 };
 /// Number of persistent connections to each target.
 const CONNECTIONS: usize = 20;
-/// Limit of descriptors that allows a pooled connection to every upstream.
-const POOLING_SOCKETS: usize = 8192;
+/// Descriptor limit that allows a pooled connection to every upstream.
+const POOLING_DESCRIPTOR_LIMIT: usize = 8192;
 /// Idle timeout of upstreams, in milliseconds, that no pooled connection reaches during a measurement.
 const POOLING_IDLE_TIMEOUT_MS: u32 = 600_000;
-/// Maximum number of upstreams that are called directly, for comparison with the balancers.
-const DIRECT_UPSTREAMS: usize = 10;
+/// Maximum number of upstreams that are called without a balancer, for comparison.
+const MAX_DIRECT_UPSTREAMS: usize = 10;
 /// Estimated duration of start and warm-up for one size, in seconds.
 const START_SECONDS: f64 = 3.0;
 
@@ -49,15 +49,15 @@
 #[derive(Clone, Copy)]
 struct Variant {
     name: &'static str,
-    /// Whether the settings say that as many balancers as upstreams share the upstreams. Otherwise one balancer
-    /// has all of them for itself.
+    /// Whether the settings state as many balancers as upstreams, which then share the upstreams. Otherwise one
+    /// balancer uses all upstreams alone.
     shared: bool,
     /// Whether a connection to every upstream stays pooled.
     pools_all_connections: bool,
 }
 
 const VARIANTS: [Variant; 3] = [
-    // In production, each balancer has a share of about one upstream.
+    // In production, the share of each balancer is about one upstream.
     Variant { name: "shared", shared: true, pools_all_connections: false },
     Variant { name: "shared-kept", shared: true, pools_all_connections: true },
     Variant { name: "alone", shared: false, pools_all_connections: false },
@@ -70,7 +70,7 @@
             settings.balancers = upstreams.addresses.len() as u32;
         }
         if self.pools_all_connections {
-            settings.sockets = POOLING_SOCKETS;
+            settings.sockets = POOLING_DESCRIPTOR_LIMIT;
             settings.idle_close_ms = POOLING_IDLE_TIMEOUT_MS;
         }
         settings
@@ -91,7 +91,7 @@
 struct Measurement {
     upstreams: f64,
     outcome: Outcome,
-    /// Quantiles of the calls that were made directly to upstreams at the same time.
+    /// Quantiles of the calls that were made to upstreams without a balancer at the same time.
     direct: Quantiles,
     /// Processor time of the balancer per call, in microseconds.
     processor_us: f64,
@@ -99,21 +99,21 @@
     new_connections: f64,
 }
 
-fn loads(bench: &Bench) -> &'static [Load] {
-    if bench.quick { &QUICK_LOADS } else { &LOADS }
+fn loads(parameters: &Parameters) -> &'static [Load] {
+    if parameters.quick { &QUICK_LOADS } else { &LOADS }
 }
 
 /// Returns what the measurement starts and which resources it needs.
-pub fn plan(bench: &Bench) -> MeasurementPlan {
+pub fn plan(parameters: &Parameters) -> MeasurementPlan {
     let processes = VARIANTS.len();
-    let upstreams = bench.most_upstreams();
-    let highest_rate = loads(bench).iter().map(|load| load.rate).fold(0.0, f64::max);
-    let seconds_per_size = loads(bench).iter().map(|load| load.seconds).sum::<f64>() + START_SECONDS;
+    let upstreams = parameters.max_upstreams();
+    let max_rate = loads(parameters).iter().map(|load| load.rate).fold(0.0, f64::max);
+    let seconds_per_size = loads(parameters).iter().map(|load| load.seconds).sum::<f64>() + START_SECONDS;
     let description = format!(
         "added-time: {processes} balancers at once, {} listeners in this process, up to {:.0} calls a second, {:.0} s",
-        processes * upstreams + DIRECT_UPSTREAMS,
-        highest_rate * (1 + processes) as f64,
-        seconds_per_size * bench.upstreams.len() as f64,
+        processes * upstreams + MAX_DIRECT_UPSTREAMS,
+        max_rate * (1 + processes) as f64,
+        seconds_per_size * parameters.upstreams.len() as f64,
     );
     let needs = Needs {
         processes,
@@ -125,13 +125,13 @@
 }
 
 /// Measures all variants at each size and load.
-pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
+pub async fn measure(parameters: &Parameters) -> Result<Vec<Slope>> {
     // The key is the index of the variant, then that of the load.
     let mut measurements: BTreeMap<(usize, usize), Vec<Measurement>> = BTreeMap::new();
-    for &size in &bench.upstreams {
-        let testbed = Testbed::start(bench, size).await?;
-        testbed.call(if bench.quick { QUICK_WARM_UP } else { WARM_UP }).await?;
-        for (load_index, &load) in loads(bench).iter().enumerate() {
+    for &size in &parameters.upstreams {
+        let testbed = Testbed::start(parameters, size).await?;
+        testbed.call(if parameters.quick { QUICK_WARM_UP } else { WARM_UP }).await?;
+        for (load_index, &load) in loads(parameters).iter().enumerate() {
             for (variant_index, measurement) in testbed.measure(load).await?.into_iter().enumerate() {
                 measurements.entry((variant_index, load_index)).or_default().push(measurement);
             }
@@ -141,7 +141,7 @@
     let mut slopes = Vec::new();
     for ((variant, load), measurements) in &measurements {
         let variant = VARIANTS[*variant].name;
-        let rate = loads(bench)[*load].rate;
+        let rate = loads(parameters)[*load].rate;
         slopes.extend(slopes_of(&format!("added-time/{variant}/{rate}-per-s"), measurements));
     }
     Ok(slopes)
@@ -157,24 +157,24 @@
     let mut slopes = Vec::new();
     for (index, (quantile, _)) in QUANTILES.iter().enumerate() {
         let added = |measured: &Measurement| quantiles(&measured.outcome)[index] - measured.direct[index];
-        let direct = joined(measurements, |measured| format!("{:.0}", measured.direct[index]));
+        let direct = join_texts(measurements, |measured| format!("{:.0}", measured.direct[index]));
         let slope = slope(quantile, "us more than direct", &added);
         slopes.push(slope.remark(format!("direct {direct} us")));
     }
     slopes.push(slope("processor", "us a call", &|measured| measured.processor_us));
     slopes.push(slope("new-connections", "a call", &|measured| measured.new_connections));
     let failed = slope("not-200", "of all calls", &|measured| measured.outcome.failed() as f64);
-    let calls = joined(measurements, |measured| measured.outcome.calls.to_string());
+    let calls = join_texts(measurements, |measured| measured.outcome.calls.to_string());
     slopes.push(failed.remark(format!("{calls} calls; {}", failures(measurements))));
     slopes
 }
 
-fn joined(measurements: &[Measurement], text: impl Fn(&Measurement) -> String) -> String {
+fn join_texts(measurements: &[Measurement], text: impl Fn(&Measurement) -> String) -> String {
     let texts: Vec<String> = measurements.iter().map(text).collect();
     texts.join(", ")
 }
 
-/// Describes the responses of each size at which calls failed.
+/// Lists the numbers of responses by status and of lost calls, for each size at which calls failed.
 fn failures(measurements: &[Measurement]) -> String {
     let mut failures = Vec::new();
     for Measurement { upstreams, outcome, .. } in measurements {
@@ -185,7 +185,7 @@
     failures.join("; ")
 }
 
-/// A running balancer with a discovery and upstreams of its own.
+/// A running balancer with a separate discovery and separate upstreams.
 struct MeasuredBalancer {
     balancer: Balancer,
     upstreams: Upstreams,
@@ -193,19 +193,19 @@
     _discovery: Discovery,
 }
 
-/// Resources that a balancer has used up to one moment.
+/// Resources that a balancer has used since its start.
 struct Usage {
     connections: u64,
     processor: Duration,
 }
 
 impl MeasuredBalancer {
-    async fn start(bench: &Bench, size: usize, variant: Variant) -> Result<MeasuredBalancer> {
+    async fn start(parameters: &Parameters, size: usize, variant: Variant) -> Result<MeasuredBalancer> {
         let upstreams = Upstreams::start(size)?;
         let discovery = Discovery::start()?;
         discovery.replace(upstreams.entries())?;
         let settings = variant.settings(&upstreams, &discovery);
-        let balancer = Balancer::start(&bench.balancer, &settings).await?;
+        let balancer = Balancer::start(&parameters.balancer, &settings).await?;
         Ok(MeasuredBalancer { balancer, upstreams, _discovery: discovery })
     }
 
@@ -228,7 +228,7 @@
     }
 }
 
-/// The stand-ins and the balancers for one size of the list.
+/// The upstreams that are called directly and the balancers, for one number of known upstreams.
 struct Testbed {
     /// Upstreams that are called without a balancer.
     direct: Upstreams,
@@ -237,12 +237,12 @@
 }
 
 impl Testbed {
-    async fn start(bench: &Bench, size: usize) -> Result<Testbed> {
+    async fn start(parameters: &Parameters, size: usize) -> Result<Testbed> {
         let mut measured = Vec::new();
         for variant in VARIANTS {
-            measured.push(MeasuredBalancer::start(bench, size, variant).await?);
+            measured.push(MeasuredBalancer::start(parameters, size, variant).await?);
         }
-        let direct = Upstreams::start(size.min(DIRECT_UPSTREAMS))?;
+        let direct = Upstreams::start(size.min(MAX_DIRECT_UPSTREAMS))?;
         Ok(Testbed { direct, measured })
     }
 
@@ -255,19 +255,20 @@
         }
         let duration = Duration::from_secs_f64(load.seconds);
         let (sender, receiver) = oneshot::channel();
-        // The callers run on a thread of their own. On an interrupt this future is dropped, and the thread ends with
-        // the process.
+        // The callers run on a separate thread. On an interrupt this future is dropped, and the thread ends with the
+        // process.
         std::thread::Builder::new().name("callers".into()).spawn(move || {
-            // The receiver is gone after an interrupt.
+            // Sending fails only after an interrupt, which drops the receiver.
             let _ = sender.send(open_loop("c", &targets, load.rate, duration));
         })?;
-        Ok(receiver.await.map_err(|_| anyhow!("the callers have ended early"))??)
+        Ok(receiver.await.map_err(|_| anyhow!("the thread of the callers has ended without a result"))??)
     }
 
     async fn measure(&self, load: Load) -> Result<Vec<Measurement>> {
         let before = self.measured.iter().map(MeasuredBalancer::usage).collect::<Result<Vec<_>>>()?;
         let mut outcomes = self.call(load).await?.into_iter();
-        let direct = quantiles(&outcomes.next().context("nobody was called directly")?);
+        let direct =
+            quantiles(&outcomes.next().context("the callers have returned no outcome for the direct calls")?);
         let mut measurements = Vec::new();
         for ((measured, outcome), before) in self.measured.iter().zip(outcomes).zip(&before) {
             measurements.push(measured.measurement(outcome, direct, before)?);
--- a/crates/cli/src/scale/control/usage.rs
+++ b/crates/cli/src/scale/control/usage.rs
@@ -23,34 +23,38 @@
 pub fn snapshots(balancers: &[MeasuredBalancer]) -> Result<Vec<Snapshot>> {
     let mut snapshots = Vec::new();
     for balancer in balancers {
-        let usage = balancer.process.usage().context("a balancer has ended under measurement")?;
+        let usage = balancer
+            .process
+            .usage()
+            .context("cannot read the resource usage of a balancer; its process may have ended")?;
         let traffic = balancer.discovery.counters()?.total;
         snapshots.push(Snapshot { usage, traffic, at: Instant::now() });
     }
     Ok(snapshots)
 }
 
-/// Resources that a balancer and its discovery used within a span of time.
-pub struct Spent {
+/// Resources that a balancer and its discovery used within an interval.
+pub struct UsageDelta {
     /// Number of known upstreams.
-    known: f64,
+    known_upstreams: f64,
     seconds: f64,
     processor_us: f64,
     /// Context switches of the balancer.
-    switches: f64,
+    context_switches: f64,
     traffic: Traffic,
 }
 
-impl Spent {
+impl UsageDelta {
     fn bytes(&self) -> f64 {
         (self.traffic.bytes_in + self.traffic.bytes_out) as f64
     }
 
     /// Returns the number of events that reached the balancer: responses with changes, so that two changes in one
-    /// response count as one. Without such responses it is `requested`, the number of events that were caused.
-    fn events(&self, requested: u32) -> f64 {
+    /// response count as one. Without such responses it is `triggered`, the number of events that the
+    /// measurement triggered.
+    fn events(&self, triggered: u32) -> f64 {
         match self.traffic.deltas + self.traffic.snapshots {
-            0 => f64::from(requested),
+            0 => f64::from(triggered),
             responses => responses as f64,
         }
     }
@@ -60,20 +64,21 @@
 ///
 /// # Errors
 /// A balancer or its discovery has ended.
-pub fn spent_since(balancers: &[MeasuredBalancer], before: &[Snapshot]) -> Result<Vec<Spent>> {
+pub fn usage_since(balancers: &[MeasuredBalancer], before: &[Snapshot]) -> Result<Vec<UsageDelta>> {
     let after = snapshots(balancers)?;
-    let mut spent = Vec::new();
+    let mut deltas = Vec::new();
     for ((balancer, after), before) in balancers.iter().zip(&after).zip(before) {
         let processor = after.usage.processor_time.saturating_sub(before.usage.processor_time);
-        spent.push(Spent {
-            known: balancer.entries.len() as f64,
+        deltas.push(UsageDelta {
+            known_upstreams: balancer.entries.len() as f64,
             seconds: (after.at - before.at).as_secs_f64(),
             processor_us: processor.as_secs_f64() * 1e6,
-            switches: after.usage.context_switches.saturating_sub(before.usage.context_switches) as f64,
+            context_switches: after.usage.context_switches.saturating_sub(before.usage.context_switches)
+                as f64,
             traffic: after.traffic.since(&before.traffic),
         });
     }
-    Ok(spent)
+    Ok(deltas)
 }
 
 /// Cost of one event.
@@ -87,38 +92,39 @@
     pub bytes: f64,
 }
 
-/// Returns the cost of one event for each size: the resources used beyond those of an idle span of the same length,
+/// Returns the cost of one event for each size: the resources used beyond those of an idle interval of the same length,
 /// divided by the number of events.
-pub fn event_costs(spent: &[Spent], idle: &[Spent], requested: u32) -> Vec<EventCost> {
+pub fn event_costs(used: &[UsageDelta], idle: &[UsageDelta], triggered: u32) -> Vec<EventCost> {
     let mut costs = Vec::new();
-    for (spent, idle) in spent.iter().zip(idle) {
-        let events = spent.events(requested);
-        let idle_processor_us = idle.processor_us * spent.seconds / idle.seconds;
+    for (used, idle) in used.iter().zip(idle) {
+        let events = used.events(triggered);
+        let idle_processor_us = idle.processor_us * used.seconds / idle.seconds;
         costs.push(EventCost {
-            x: spent.known,
-            processor_us: (spent.processor_us - idle_processor_us) / events,
-            // A watch that ends with a change has no empty response, so all bytes belong to the events.
-            bytes: spent.bytes() / events,
+            x: used.known_upstreams,
+            processor_us: (used.processor_us - idle_processor_us) / events,
+            // The bytes of idle time are not subtracted: a watch that ends with a change gets no empty response, so all
+            // bytes belong to the events.
+            bytes: used.bytes() / events,
         });
     }
     costs
 }
 
-/// Returns the slopes of processor time, bytes and context switches a second.
-pub fn per_second(name: &str, spent: &[Spent]) -> Vec<Slope> {
-    let slope = |what: &str, unit: &str, value: fn(&Spent) -> f64| {
-        let point = |spent: &Spent| Point { x: spent.known, y: value(spent) / spent.seconds };
-        let points = spent.iter().map(point).collect();
+/// Returns the slopes of processor time, bytes and context switches per second.
+pub fn per_second(name: &str, used: &[UsageDelta]) -> Vec<Slope> {
+    let slope = |what: &str, unit: &str, value: fn(&UsageDelta) -> f64| {
+        let point = |used: &UsageDelta| Point { x: used.known_upstreams, y: value(used) / used.seconds };
+        let points = used.iter().map(point).collect();
         Slope::new(format!("{name}/{what}"), "upstreams known", unit, points)
     };
     vec![
-        slope("processor", "us a second", |spent| spent.processor_us),
-        slope("bytes", "bytes a second", Spent::bytes),
-        slope("switches", "switches a second", |spent| spent.switches),
+        slope("processor", "us a second", |used| used.processor_us),
+        slope("bytes", "bytes a second", UsageDelta::bytes),
+        slope("switches", "switches a second", |used| used.context_switches),
     ]
 }
 
-/// Returns the slopes of processor time and bytes of one event, which `event` names.
+/// Returns the slopes of processor time and bytes per event. `event` is the end of their unit, such as "a change".
 pub fn per_event(name: &str, event: &str, costs: &[EventCost]) -> Vec<Slope> {
     let slope = |what: &str, unit: &str, value: fn(&EventCost) -> f64| {
         let points = costs.iter().map(|cost| Point { x: cost.x, y: value(cost) }).collect();
--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -13,11 +13,11 @@
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
 
-use super::{Bench, MeasurementPlan};
+use super::{MeasurementPlan, Parameters};
 
 /// Number of known upstreams while another quantity is varied.
-const KNOWN: usize = 200;
-/// Numbers of client connections, and of calls in flight, that are measured.
+const KNOWN_UPSTREAMS: usize = 200;
+/// Numbers of client connections that are measured, and numbers of calls in flight.
 const CONNECTIONS: [usize; 4] = [0, 50, 100, 200];
 /// Numbers of request classes that are measured.
 const CLASSES: [usize; 4] = [1, 10, 50, 200];
@@ -26,24 +26,25 @@
 /// Numbers of changed entries after which the memory is measured.
 const CHANGES: [usize; 4] = [0, 1_000, 3_000, 10_000];
 /// Number of entries that change in one version of the list.
-const BULK: usize = 100;
-/// Time between the last event and the measurement of the memory.
-const SETTLING: Duration = Duration::from_millis(300);
+const ENTRIES_PER_VERSION: usize = 100;
+/// Time between the last event and the reading of the memory.
+const SETTLING_TIME: Duration = Duration::from_millis(300);
 /// Response time of the upstreams while calls are in flight.
-const SLOW_RESPONSE: Duration = Duration::from_millis(1500);
-/// Deadline of the calls in flight, in milliseconds. Long enough that none of them is rejected for want of time.
-const SLOW_DEADLINE_MS: u32 = 10_000;
-/// Time after which a wait fails.
+const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(1500);
+/// Deadline of the calls in flight, in milliseconds. Long enough that none of them is rejected for too little
+/// remaining time.
+const LONG_DEADLINE_MS: u32 = 10_000;
+/// Maximum duration of a wait, after which the measurement fails.
 const TIME_LIMIT: Duration = Duration::from_secs(20);
 /// Interval between two checks of the version that the balancer has applied.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Returns what the measurement starts and which resources it needs.
-pub fn plan(bench: &Bench) -> MeasurementPlan {
-    let upstreams = bench.most_upstreams();
+pub fn plan(parameters: &Parameters) -> MeasurementPlan {
+    let upstreams = parameters.max_upstreams();
     let description = format!(
-        "memory: one balancer at a time, some 25 in turn, {} listeners in this process, up to {} connections, 30 s",
-        upstreams.max(KNOWN),
+        "memory: one balancer at a time, about 25 in turn, {} listeners in this process, up to {} connections, 30 s",
+        upstreams.max(KNOWN_UPSTREAMS),
         CONNECTIONS[CONNECTIONS.len() - 1]
     );
     let needs = Needs {
@@ -54,33 +55,33 @@
     MeasurementPlan { description, needs }
 }
 
-/// Measures one quantity after the other. Each point has a balancer of its own, except those by number of changes.
-pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
-    let most = bench.most_upstreams();
+/// Measures one quantity after the other. Each point is measured on a new balancer, except those by number of changes.
+pub async fn measure(parameters: &Parameters) -> Result<Vec<Slope>> {
+    let max_upstreams = parameters.max_upstreams();
     Ok(vec![
-        by_upstreams(bench).await?,
-        by_connections(bench).await?,
-        by_calls_in_flight(bench).await?,
-        by_classes(bench).await?,
-        by_tenants(bench).await?,
-        by_changes(bench, most, "memory/changes-of-state", state_changes).await?,
-        by_changes(bench, most, "memory/replacements", replacements).await?,
+        by_upstreams(parameters).await?,
+        by_connections(parameters).await?,
+        by_calls_in_flight(parameters).await?,
+        by_classes(parameters).await?,
+        by_tenants(parameters).await?,
+        by_changes(parameters, max_upstreams, "memory/changes-of-state", state_changes).await?,
+        by_changes(parameters, max_upstreams, "memory/replacements", replacements).await?,
     ])
 }
 
-async fn by_upstreams(bench: &Bench) -> Result<Slope> {
+async fn by_upstreams(parameters: &Parameters) -> Result<Slope> {
     let mut points = Vec::new();
-    for &known in &bench.upstreams {
-        let testbed = Testbed::start_without_upstreams(bench, known, |_| {}).await?;
-        points.push(testbed.resident_memory(known).await?);
+    for &known_upstreams in &parameters.upstreams {
+        let testbed = Testbed::start_without_upstreams(parameters, known_upstreams, |_| {}).await?;
+        points.push(testbed.resident_memory(known_upstreams).await?);
     }
     Ok(slope("memory/upstreams", "upstreams known", points))
 }
 
-async fn by_connections(bench: &Bench) -> Result<Slope> {
+async fn by_connections(parameters: &Parameters) -> Result<Slope> {
     let mut points = Vec::new();
     for connections in CONNECTIONS {
-        let testbed = Testbed::start_without_upstreams(bench, KNOWN, |_| {}).await?;
+        let testbed = Testbed::start_without_upstreams(parameters, KNOWN_UPSTREAMS, |_| {}).await?;
         // Each connection carries a call first, like persistent connections in production.
         let mut open_connections = OpenConnections::connect(testbed.balancer.address, connections)?;
         open_connections.send()?;
@@ -88,17 +89,17 @@
         points.push(testbed.resident_memory(connections).await?);
         drop(open_connections);
     }
-    let remark = format!("each has carried one call; {KNOWN} upstreams known");
+    let remark = format!("each has carried one call; {KNOWN_UPSTREAMS} upstreams known");
     Ok(slope("memory/connections", "callers' connections", points).remark(remark))
 }
 
-async fn by_calls_in_flight(bench: &Bench) -> Result<Slope> {
+async fn by_calls_in_flight(parameters: &Parameters) -> Result<Slope> {
     let mut points = Vec::new();
     let mut forwarded = Vec::new();
     for calls in CONNECTIONS {
-        let long_deadline = |settings: &mut Settings| settings.deadline_ms = SLOW_DEADLINE_MS;
-        let testbed = Testbed::start(bench, KNOWN, long_deadline).await?;
-        testbed.upstreams()?.respond_after(SLOW_RESPONSE);
+        let long_deadline = |settings: &mut Settings| settings.deadline_ms = LONG_DEADLINE_MS;
+        let testbed = Testbed::start(parameters, KNOWN_UPSTREAMS, long_deadline).await?;
+        testbed.upstreams()?.respond_after(SLOW_RESPONSE_TIME);
         let mut open_connections = OpenConnections::connect(testbed.balancer.address, calls)?;
         open_connections.send()?;
         points.push(testbed.resident_memory(calls).await?);
@@ -110,47 +111,53 @@
     Ok(slope("memory/in-flight", "calls not answered yet, each on its connection", points).remark(remark))
 }
 
-async fn by_classes(bench: &Bench) -> Result<Slope> {
+async fn by_classes(parameters: &Parameters) -> Result<Slope> {
     let mut points = Vec::new();
     for classes in CLASSES {
-        let testbed =
-            Testbed::start_without_upstreams(bench, KNOWN, |settings| settings.classes = classes).await?;
+        let testbed = Testbed::start_without_upstreams(parameters, KNOWN_UPSTREAMS, |settings| {
+            settings.classes = classes;
+        })
+        .await?;
         points.push(testbed.resident_memory(classes).await?);
     }
     Ok(slope("memory/classes", "classes", points))
 }
 
-async fn by_tenants(bench: &Bench) -> Result<Slope> {
+async fn by_tenants(parameters: &Parameters) -> Result<Slope> {
     let mut points = Vec::new();
     for tenants in TENANTS {
-        let testbed =
-            Testbed::start_without_upstreams(bench, KNOWN, |settings| settings.tenants = tenants).await?;
+        let testbed = Testbed::start_without_upstreams(parameters, KNOWN_UPSTREAMS, |settings| {
+            settings.tenants = tenants;
+        })
+        .await?;
         points.push(testbed.resident_memory(tenants).await?);
     }
     Ok(slope("memory/tenants", "tenants", points))
 }
 
-/// Returns the memory by number of entries changed so far. `bulk` makes the entries of one version from the number of
-/// entries changed before and the addresses of the upstreams.
+/// Returns the memory by number of entries changed so far. `version_entries` returns the changed entries of one
+/// version, given the number of entries changed before and the addresses of the upstreams.
 async fn by_changes(
-    bench: &Bench,
-    known: usize,
+    parameters: &Parameters,
+    known_upstreams: usize,
     name: &str,
-    bulk: fn(usize, &[SocketAddr]) -> Vec<Entry>,
+    version_entries: fn(usize, &[SocketAddr]) -> Vec<Entry>,
 ) -> Result<Slope> {
-    let testbed = Testbed::start(bench, known, |_| {}).await?;
+    let testbed = Testbed::start(parameters, known_upstreams, |_| {}).await?;
     let mut changed = 0;
     let mut points = Vec::new();
     for changes in CHANGES {
         while changed < changes {
-            let entries = bulk(changed, &testbed.upstreams()?.addresses);
+            let entries = version_entries(changed, &testbed.upstreams()?.addresses);
             changed += entries.len();
             let version = testbed.discovery.change(entries)?.version;
             testbed.wait_for_version(version).await?;
         }
         points.push(testbed.resident_memory(changes).await?);
     }
-    let remark = format!("{known} upstreams known, {BULK} changes a version; x counts changed entries");
+    let remark = format!(
+        "{known_upstreams} upstreams known, {ENTRIES_PER_VERSION} changes a version; x counts changed entries"
+    );
     Ok(slope(name, "changes so far", points).remark(remark))
 }
 
@@ -158,8 +165,8 @@
     Slope::new(name, quantity, "KB resident", points)
 }
 
-/// Returns the entries of one version after `changed` earlier entries: upstreams that drain, and in the next round serve
-/// again.
+/// Returns the changed entries of one version, after `changed` entries in earlier versions: upstreams alternate between
+/// draining and serving from one round over all upstreams to the next.
 fn state_changes(changed: usize, addresses: &[SocketAddr]) -> Vec<Entry> {
     let round = changed / addresses.len();
     let state = if round.is_multiple_of(2) { Lifecycle::Draining } else { Lifecycle::Serving };
@@ -167,11 +174,11 @@
         let number = (changed + index) % addresses.len();
         Entry::serving(number, 1, addresses[number]).with_lifecycle(state)
     };
-    (0..BULK.min(addresses.len())).map(entry).collect()
+    (0..ENTRIES_PER_VERSION.min(addresses.len())).map(entry).collect()
 }
 
-/// Returns the entries of one version after `changed` earlier entries: upstreams that are removed, and new ones at their
-/// addresses.
+/// Returns the changed entries of one version, after `changed` entries in earlier versions: upstreams that are removed,
+/// and new ones at their addresses.
 fn replacements(changed: usize, addresses: &[SocketAddr]) -> Vec<Entry> {
     let pair = |index: usize| {
         let number = changed / 2 + index;
@@ -180,7 +187,7 @@
         let added = Entry::serving(number + addresses.len(), 1, address);
         [removed, added]
     };
-    (0..BULK.min(addresses.len()) / 2).flat_map(pair).collect()
+    (0..ENTRIES_PER_VERSION.min(addresses.len()) / 2).flat_map(pair).collect()
 }
 
 /// A running balancer with its discovery and its upstreams.
@@ -192,24 +199,28 @@
 }
 
 impl Testbed {
-    /// Starts a balancer that knows `known` upstreams. `adjust` changes its settings.
-    async fn start(bench: &Bench, known: usize, adjust: impl FnOnce(&mut Settings)) -> Result<Testbed> {
-        let upstreams = Upstreams::start(known)?;
+    /// Starts a balancer that knows this number of upstreams. `adjust` changes its settings.
+    async fn start(
+        parameters: &Parameters,
+        known_upstreams: usize,
+        adjust: impl FnOnce(&mut Settings),
+    ) -> Result<Testbed> {
+        let upstreams = Upstreams::start(known_upstreams)?;
         let discovery = Discovery::start()?;
         discovery.replace(upstreams.entries())?;
         let mut settings = Settings::alone(discovery.address());
         adjust(&mut settings);
-        let balancer = Balancer::start(&bench.balancer, &settings).await?;
+        let balancer = Balancer::start(&parameters.balancer, &settings).await?;
         Ok(Testbed { balancer, discovery, upstreams: Some(upstreams) })
     }
 
     /// Starts a balancer as [`start`](Self::start) does, and stops the upstreams afterwards. The balancer still knows them.
     async fn start_without_upstreams(
-        bench: &Bench,
-        known: usize,
+        parameters: &Parameters,
+        known_upstreams: usize,
         adjust: impl FnOnce(&mut Settings),
     ) -> Result<Testbed> {
-        let testbed = Testbed::start(bench, known, adjust).await?;
+        let testbed = Testbed::start(parameters, known_upstreams, adjust).await?;
         Ok(Testbed { upstreams: None, ..testbed })
     }
 
@@ -218,10 +229,10 @@
         self.upstreams.as_ref().context("the upstreams of this balancer have been stopped")
     }
 
-    /// Waits until the balancer watches for versions after `version`, and so has applied it.
+    /// Waits until the balancer watches for versions after `version`, which shows that it has applied that version.
     ///
     /// # Errors
-    /// The balancer has not applied it within [`TIME_LIMIT`].
+    /// The balancer does not apply the version within [`TIME_LIMIT`].
     async fn wait_for_version(&self, version: u64) -> Result<()> {
         let give_up_at = Instant::now() + TIME_LIMIT;
         loop {
@@ -236,13 +247,16 @@
         }
     }
 
-    /// Returns the balancer's memory after [`SETTLING`], as the point at `x`.
+    /// Waits for [`SETTLING_TIME`] and returns the balancer's memory as the point at `x`.
     ///
     /// # Errors
     /// The balancer has ended.
     async fn resident_memory(&self, x: usize) -> Result<Point> {
-        sleep(SETTLING).await;
-        let usage = self.balancer.usage().context("the balancer has ended under measurement")?;
+        sleep(SETTLING_TIME).await;
+        let usage = self
+            .balancer
+            .usage()
+            .context("cannot read the memory of the balancer; its process may have ended")?;
         Ok(Point { x: x as f64, y: usage.resident_kb as f64 })
     }
 }
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! `zincstand scale`: measures the cost of the balancer by size, on loopback sockets. Each measurement is bounded in time
-//! and in number of processes.
+//! `zincstand scale`: measures on loopback sockets how the costs of the balancer grow with the size of the fleet. Each
+//! measurement is bounded in time and in number of processes.
 
 mod added_time;
 mod control;
@@ -21,42 +21,42 @@
 use crate::model::fleet_size;
 use crate::model::output::print;
 
-/// File name of the balancer's program, in the folder of this program.
+/// File name of the balancer's executable, in the directory of this executable.
 const BALANCER_PROGRAM: &str = "zincstand-proxy";
-/// Numbers of known upstreams that are measured unless the command line names others.
-const UPSTREAMS: [u32; 5] = [10, 34, 200, 600, 2_000];
-/// [`UPSTREAMS`] with `--quick`.
-const QUICK_UPSTREAMS: [u32; 3] = [10, 200, 2_000];
+/// Numbers of known upstreams that are measured unless the command line sets others.
+const UPSTREAM_COUNTS: [u32; 5] = [10, 34, 200, 600, 2_000];
+/// [`UPSTREAM_COUNTS`] with `--quick`.
+const QUICK_UPSTREAM_COUNTS: [u32; 3] = [10, 200, 2_000];
 
 #[derive(Args)]
 #[command(
     after_help = "Examples:\n  cargo build --release && cargo run --release -p zincstand -- scale --out \
                   scale.json\n  zincstand scale --quick\n  zincstand scale added-time --upstreams 10,200,2000\n\n\
-                  Everything listens on loopback; at most 300 processes are started, and each is ended by its own \
-                  id, also on Ctrl-C."
+                  All sockets are on loopback. At most 300 processes are started; all of them are stopped at the end \
+                  of the measurement and on Ctrl-C."
 )]
 /// Arguments of `zincstand scale`.
-pub struct Scale {
+pub struct Arguments {
     #[command(flatten)]
     options: Options,
-    /// The measurement to run; without it `model depth`, `model failures` and all measurements on sockets
+    /// The measurement to run; by default `model depth`, `model failures` and all measurements on sockets
     #[command(subcommand)]
-    part: Option<Part>,
+    part: Option<MeasurementKind>,
 }
 
 /// Options of every measurement.
 #[derive(Args)]
 struct Options {
-    /// Fewer points and shorter runs: a first look, without figures for documents
+    /// Measure fewer points in shorter runs; the figures are too rough to be published
     #[arg(long, global = true)]
     quick: bool,
     /// Also write the report as JSON to this file
     #[arg(long, global = true, value_name = "FILE.json")]
     out: Option<PathBuf>,
-    /// Seed of all random numbers
+    /// Seed of the random number generators
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
-    /// The balancer's program; by default `zincstand-proxy` in the folder of this program
+    /// Executable of the balancer; by default `zincstand-proxy` in the directory of this executable
     #[arg(long, global = true, value_name = "PATH")]
     balancer: Option<PathBuf>,
     /// Numbers of known upstreams, separated by commas; by default 10,34,200,600,2000, or 10,200,2000 with --quick
@@ -66,54 +66,60 @@
 
 /// The measurements on sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Subcommand)]
-enum Part {
-    /// Time added to a call, by rate and by known upstreams: at most 2.5 minutes
+enum MeasurementKind {
+    /// Latency added to a call, by call rate and number of known upstreams: at most 2.5 minutes
     AddedTime,
-    /// Memory by upstreams, connections, calls in flight, classes and tenants: at most 1.5 minutes
+    /// Memory by number of upstreams, connections, calls in flight, classes and tenants: at most 1.5 minutes
     Memory,
-    /// Processor time and bytes with no calls at all: at most 1.5 minutes
+    /// Processor time and network traffic of balancers without calls: at most 1.5 minutes
     Control,
-    /// Time from a change at discovery until the last balancer applies it: at most 1 minute
+    /// Time from a change at discovery until the last balancer has applied it: at most 1 minute
     Updates,
-    /// Load of discovery at rest, at a change and after an outage: at most 2 minutes
+    /// Load of discovery when idle, at a change and after an outage: at most 2 minutes
     Watchers,
 }
 
-impl Part {
-    const ALL: [Part; 5] = [Part::AddedTime, Part::Memory, Part::Control, Part::Updates, Part::Watchers];
+impl MeasurementKind {
+    const ALL: [MeasurementKind; 5] = [
+        MeasurementKind::AddedTime,
+        MeasurementKind::Memory,
+        MeasurementKind::Control,
+        MeasurementKind::Updates,
+        MeasurementKind::Watchers,
+    ];
 
-    fn plan(self, bench: &Bench) -> MeasurementPlan {
+    fn plan(self, parameters: &Parameters) -> MeasurementPlan {
         match self {
-            Part::AddedTime => added_time::plan(bench),
-            Part::Memory => memory::plan(bench),
-            Part::Control => control::plan(bench),
-            Part::Updates => updates::plan(bench),
-            Part::Watchers => watchers::plan(bench),
+            MeasurementKind::AddedTime => added_time::plan(parameters),
+            MeasurementKind::Memory => memory::plan(parameters),
+            MeasurementKind::Control => control::plan(parameters),
+            MeasurementKind::Updates => updates::plan(parameters),
+            MeasurementKind::Watchers => watchers::plan(parameters),
         }
     }
 
-    async fn measure(self, bench: &Bench) -> Result<Vec<Slope>> {
+    async fn measure(self, parameters: &Parameters) -> Result<Vec<Slope>> {
         match self {
-            Part::AddedTime => added_time::measure(bench).await,
-            Part::Memory => memory::measure(bench).await,
-            Part::Control => control::measure(bench).await,
-            Part::Updates => updates::measure(bench).await,
-            Part::Watchers => watchers::measure(bench).await,
+            MeasurementKind::AddedTime => added_time::measure(parameters).await,
+            MeasurementKind::Memory => memory::measure(parameters).await,
+            MeasurementKind::Control => control::measure(parameters).await,
+            MeasurementKind::Updates => updates::measure(parameters).await,
+            MeasurementKind::Watchers => watchers::measure(parameters).await,
         }
     }
 }
 
-/// Announcement of a measurement before it starts.
+/// What a measurement will start and use, known before it runs.
 struct MeasurementPlan {
-    /// One line with the processes it starts and how long it takes.
+    /// One line that states the started processes and the duration.
     description: String,
-    /// Resources of the machine that it needs.
+    /// Resources that the machine must have.
     needs: Needs,
 }
 
 /// Parameters of every measurement.
-struct Bench {
-    /// Path of the balancer's program.
+struct Parameters {
+    /// Path of the balancer's executable.
     balancer: PathBuf,
     seed: u64,
     /// Whether to measure fewer points in shorter runs.
@@ -122,12 +128,12 @@
     upstreams: Vec<usize>,
 }
 
-impl Bench {
-    fn new(options: &Options) -> Result<Bench> {
-        let standard: &[u32] = if options.quick { &QUICK_UPSTREAMS } else { &UPSTREAMS };
-        let upstreams = options.upstreams.as_deref().unwrap_or(standard);
-        Ok(Bench {
-            balancer: program(options.balancer.as_deref())?,
+impl Parameters {
+    fn new(options: &Options) -> Result<Parameters> {
+        let default_counts: &[u32] = if options.quick { &QUICK_UPSTREAM_COUNTS } else { &UPSTREAM_COUNTS };
+        let upstreams = options.upstreams.as_deref().unwrap_or(default_counts);
+        Ok(Parameters {
+            balancer: balancer_program(options.balancer.as_deref())?,
             seed: options.seed,
             quick: options.quick,
             upstreams: upstreams.iter().map(|&count| count as usize).collect(),
@@ -135,53 +141,58 @@
     }
 
     /// Returns the largest number of known upstreams.
-    fn most_upstreams(&self) -> usize {
+    fn max_upstreams(&self) -> usize {
         self.upstreams.iter().copied().max().unwrap_or(0)
     }
 }
 
-/// Returns the path of the balancer's program: `named`, or [`BALANCER_PROGRAM`] in the folder of this program.
+/// Returns the path of the balancer's executable: `option`, or [`BALANCER_PROGRAM`] in the directory of this
+/// executable.
 ///
 /// # Errors
 /// There is no such file.
-fn program(named: Option<&Path>) -> Result<PathBuf> {
-    let path = match named {
+fn balancer_program(option: Option<&Path>) -> Result<PathBuf> {
+    let path = match option {
         Some(path) => path.to_owned(),
         None => std::env::current_exe()
-            .context("the path of this program is unknown; name the balancer with --balancer PATH")?
+            .context(
+                "cannot determine the path of this executable; set the balancer's path with --balancer PATH",
+            )?
             .with_file_name(BALANCER_PROGRAM),
     };
     if !path.is_file() {
         bail!(
-            "there is no balancer at {}: build it with `cargo build --release`, or name it with --balancer PATH",
+            "balancer executable not found at {}: build it with `cargo build --release`, or set its path \
+             with --balancer PATH",
             path.display()
         );
     }
     Ok(path)
 }
 
-/// Measures, prints and writes the report.
+/// Runs the measurements, writes the report as JSON if requested, and prints it as a table.
 ///
 /// # Errors
-/// There is no balancer to measure, the machine is too small, a measurement fails or is interrupted, or the file cannot
-/// be written.
-pub fn run(Scale { options, part }: Scale) -> Result<()> {
-    let bench = Bench::new(&options)?;
-    let parts = part.map_or(Part::ALL.to_vec(), |part| vec![part]);
+/// The balancer's executable does not exist, the machine is too small, a measurement fails or is interrupted, or the
+/// file cannot be written.
+pub fn run(Arguments { options, part: measurement }: Arguments) -> Result<()> {
+    let parameters = Parameters::new(&options)?;
+    let kinds = measurement.map_or(MeasurementKind::ALL.to_vec(), |kind| vec![kind]);
     let machine = Machine::here();
-    check_needs(&parts, &bench, &machine)?;
-    if part.is_none() {
-        // The model does not handle Ctrl-C, so it has to run before the runtime starts, which takes over that signal.
+    check_needs(&kinds, &parameters, &machine)?;
+    if measurement.is_none() {
+        // The model does not handle Ctrl-C. It has to run before the measurements on sockets, because these install a
+        // handler that replaces the signal's default action.
         fleet_size::run(options.seed, options.quick, options.out.as_deref())?;
     }
-    let began = Instant::now();
-    let slopes = measure_until_interrupted(parts, &bench)?;
+    let started_at = Instant::now();
+    let slopes = measure_until_interrupted(kinds, &parameters)?;
     let report = Report {
         machine,
         revision: report::revision(),
-        seed: bench.seed,
-        quick: bench.quick,
-        took_s: began.elapsed().as_secs_f64(),
+        seed: parameters.seed,
+        quick: parameters.quick,
+        took_s: started_at.elapsed().as_secs_f64(),
         slopes,
     };
     if let Some(path) = &options.out {
@@ -194,35 +205,35 @@
 ///
 /// # Errors
 /// The machine is too small.
-fn check_needs(parts: &[Part], bench: &Bench, machine: &Machine) -> Result<()> {
+fn check_needs(kinds: &[MeasurementKind], parameters: &Parameters, machine: &Machine) -> Result<()> {
     let mut needs = Needs::default();
-    for part in parts {
-        let plan = part.plan(bench);
+    for kind in kinds {
+        let plan = kind.plan(parameters);
         eprintln!("{}", plan.description);
         needs = needs.or(plan.needs);
     }
     needs.check(machine, raise_descriptor_limit())?;
-    eprintln!("in all at most {} processes at once and {} MB", needs.processes, needs.memory_mb);
+    eprintln!("total: at most {} processes at a time and {} MB", needs.processes, needs.memory_mb);
     Ok(())
 }
 
 /// Runs the measurements until they are complete or the process is interrupted.
-fn measure_until_interrupted(parts: Vec<Part>, bench: &Bench) -> Result<Vec<Slope>> {
-    let runtime = tokio::runtime::Runtime::new().context("no threads for the stand-ins")?;
+fn measure_until_interrupted(kinds: Vec<MeasurementKind>, parameters: &Parameters) -> Result<Vec<Slope>> {
+    let runtime = tokio::runtime::Runtime::new().context("cannot start the runtime of the stand-ins")?;
     runtime.block_on(async {
         tokio::select! {
-            slopes = measure_all(parts, bench) => slopes,
-            // Dropping the measurement ends each child process by its owner.
-            () = interrupted() => Err(anyhow!("interrupted; all that was started has been ended")),
+            slopes = measure_all(kinds, parameters) => slopes,
+            // Dropping the future of the measurement drops the owners of the child processes, which stops them.
+            () = interrupted() => Err(anyhow!("interrupted; all started processes have been stopped")),
         }
     })
 }
 
-async fn measure_all(parts: Vec<Part>, bench: &Bench) -> Result<Vec<Slope>> {
+async fn measure_all(kinds: Vec<MeasurementKind>, parameters: &Parameters) -> Result<Vec<Slope>> {
     let mut slopes = Vec::new();
-    for part in parts {
-        eprintln!("{part:?} ...");
-        slopes.extend(part.measure(bench).await?);
+    for kind in kinds {
+        eprintln!("{kind:?} ...");
+        slopes.extend(kind.measure(parameters).await?);
     }
     Ok(slopes)
 }
--- a/crates/cli/src/scale/report.rs
+++ b/crates/cli/src/scale/report.rs
@@ -10,10 +10,10 @@
 
 use crate::model::columns::new_table;
 
-/// Significant digits of a printed number, minus one.
-const FIGURES_AFTER_FIRST: i32 = 3;
+/// Number of significant digits of a printed number after the first one.
+const SIGNIFICANT_DIGITS_AFTER_FIRST: i32 = 3;
 /// Maximum number of digits after the decimal point.
-const MOST_DECIMALS: i32 = 9;
+const MAX_DECIMALS: i32 = 9;
 
 /// Writes the report as JSON.
 ///
@@ -24,13 +24,13 @@
     std::fs::write(path, text + "\n").with_context(|| format!("cannot write {}", path.display()))
 }
 
-/// Formats the report as a table, followed by remarks and by machine, revision and seed.
+/// Formats the report as a table, followed by the remarks, the machine, the revision, the seed and the duration.
 pub fn table(report: &Report) -> String {
     let header = ["slope", "y", "measured at x", "per x", "at 0", "r2", "bend: low, high"];
     let mut table = new_table(&header, 3);
     let mut remarks = String::new();
     for slope in &report.slopes {
-        table.add_row(cells(slope));
+        table.add_row(slope_cells(slope));
         if !slope.remark.is_empty() {
             remarks.push('\n');
             remarks.push_str(&slope.name);
@@ -43,42 +43,42 @@
         "{table}{remarks}\n\n{cores} cores, {processor}, {memory_mb} MB; revision {}, seed {}{}; {:.0} s",
         report.revision,
         report.seed,
-        if report.quick { ", quick: no figures for documents" } else { "" },
+        if report.quick { ", quick run, not for publication" } else { "" },
         report.took_s
     )
 }
 
-fn cells(slope: &Slope) -> Vec<String> {
+fn slope_cells(slope: &Slope) -> Vec<String> {
     let points: Vec<String> =
-        slope.points.iter().map(|point| format!("{}: {}", point.x, figure(point.y))).collect();
+        slope.points.iter().map(|point| format!("{}: {}", point.x, format_number(point.y))).collect();
     let mut cells = vec![slope.name.clone(), slope.y.clone(), points.join("  ")];
     cells.extend(slope.fit.as_ref().map_or_else(Default::default, fit_cells));
     cells
 }
 
 fn fit_cells(fit: &Fit) -> [String; 4] {
-    let bend = fit.bend.map(|bend| format!("{}, {}", figure(bend.lower), figure(bend.upper)));
+    let bend = fit.bend.map(|bend| format!("{}, {}", format_number(bend.lower), format_number(bend.upper)));
     [
-        figure(fit.line.slope),
-        figure(fit.line.intercept),
+        format_number(fit.line.slope),
+        format_number(fit.line.intercept),
         format!("{:.3}", fit.line.r2),
         bend.unwrap_or_default(),
     ]
 }
 
 /// Formats a number with four significant digits.
-fn figure(value: f64) -> String {
+fn format_number(value: f64) -> String {
     let decimals = if value == 0.0 {
         0
     } else {
         let magnitude = value.abs().log10().floor() as i32;
-        (FIGURES_AFTER_FIRST - magnitude).clamp(0, MOST_DECIMALS)
+        (SIGNIFICANT_DIGITS_AFTER_FIRST - magnitude).clamp(0, MAX_DECIMALS)
     };
     format!("{value:.*}", decimals as usize)
 }
 
-/// Returns the revision of the repository in the current folder, followed by `+` if files differ from it, or `unknown`
-/// outside of a repository.
+/// Returns the revision of the repository in the current directory, followed by `+` if tracked files differ from
+/// it, or `unknown` outside of a repository.
 pub fn revision() -> String {
     let Some(revision) = git(&["rev-parse", "--short=12", "HEAD"]) else {
         return "unknown".to_owned();
--- a/crates/cli/src/scale/updates/mod.rs
+++ b/crates/cli/src/scale/updates/mod.rs
@@ -14,11 +14,11 @@
 use zincstand_testbed::slope::Point;
 
 use self::lag_slopes::LagSlopes;
-use super::watched_discovery::{Lags, SLOW, WatchedDiscovery};
-use super::{Bench, MeasurementPlan};
+use super::watched_discovery::{Lags, SLOW_BALANCERS, WatchedDiscovery};
+use super::{MeasurementPlan, Parameters};
 
 /// Number of changes in a burst.
-const BURST: usize = 200;
+const CHANGES_PER_BURST: usize = 200;
 /// Number of single changes for one number of balancers.
 const ROUNDS: u32 = 9;
 /// [`ROUNDS`] with `--quick`.
@@ -28,12 +28,12 @@
 /// [`BURSTS`] with `--quick`.
 const QUICK_BURSTS: u32 = 1;
 /// Memory of a hollow balancer for each known upstream, in KB.
-const HOLLOW_KB: f64 = 1.0;
-/// Memory of this program with its stand-ins, in MB.
-const PROGRAM_MB: u64 = 200;
+const HOLLOW_BALANCER_KB_PER_UPSTREAM: f64 = 1.0;
+/// Memory of this process, which includes the stand-ins, in MB.
+const MEASURING_PROCESS_MB: u64 = 200;
 
 /// Sizes and repetitions of the measurement with hollow balancers.
-struct Effort {
+struct Workload {
     /// Numbers of balancers.
     balancers: &'static [u32],
     upstreams: usize,
@@ -41,55 +41,56 @@
     bursts: u32,
 }
 
-impl Effort {
-    fn new(bench: &Bench) -> Effort {
-        if bench.quick {
-            return Effort {
+impl Workload {
+    fn new(parameters: &Parameters) -> Workload {
+        if parameters.quick {
+            return Workload {
                 balancers: &[10, 50, 100, 200],
                 upstreams: 500,
                 rounds: QUICK_ROUNDS,
                 bursts: QUICK_BURSTS,
             };
         }
-        Effort { balancers: &[10, 100, 500, 2_000], upstreams: 2_000, rounds: ROUNDS, bursts: BURSTS }
+        Workload { balancers: &[10, 100, 500, 2_000], upstreams: 2_000, rounds: ROUNDS, bursts: BURSTS }
     }
 }
 
 /// Returns the resources that the largest fleet of hollow balancers needs.
-pub fn fleet_needs(bench: &Bench) -> Needs {
-    let Effort { balancers, upstreams, .. } = Effort::new(bench);
-    let most = f64::from(balancers.iter().copied().max().unwrap_or(0));
-    let memory_mb = PROGRAM_MB + (most * upstreams as f64 * HOLLOW_KB / 1024.0) as u64;
+pub fn fleet_needs(parameters: &Parameters) -> Needs {
+    let Workload { balancers, upstreams, .. } = Workload::new(parameters);
+    let max_balancers = f64::from(balancers.iter().copied().max().unwrap_or(0));
+    let memory_mb = MEASURING_PROCESS_MB
+        + (max_balancers * upstreams as f64 * HOLLOW_BALANCER_KB_PER_UPSTREAM / 1024.0) as u64;
     Needs { processes: 0, memory_mb, descriptors: 0 }
 }
 
 /// Returns what the measurement starts and which resources it needs.
-pub fn plan(bench: &Bench) -> MeasurementPlan {
-    let Effort { balancers, upstreams, .. } = Effort::new(bench);
-    let processes = processes::sizes(bench);
+pub fn plan(parameters: &Parameters) -> MeasurementPlan {
+    let Workload { balancers, upstreams, .. } = Workload::new(parameters);
+    let processes = processes::process_counts(parameters);
     let description = format!(
         "updates: {balancers:?} hollow balancers in turn, then {processes:?} processes, with {upstreams} upstreams"
     );
-    MeasurementPlan { description, needs: fleet_needs(bench).or(processes::needs(bench)) }
+    MeasurementPlan { description, needs: fleet_needs(parameters).or(processes::needs(parameters)) }
 }
 
 /// Measures hollow balancers, then processes.
-pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
+pub async fn measure(parameters: &Parameters) -> Result<Vec<Slope>> {
     let _quiet_stderr = QuietStderr::begin()?;
-    let effort = Effort::new(bench);
+    let workload = Workload::new(parameters);
     let mut measured = FleetSlopes::default();
-    for &balancers in effort.balancers {
+    for &balancers in workload.balancers {
         let watched =
-            WatchedDiscovery::start(balancers, effort.upstreams, UpdateMode::Push, bench.seed).await?;
+            WatchedDiscovery::start(balancers, workload.upstreams, UpdateMode::Push, parameters.seed).await?;
         let mut measurement = FleetMeasurement { watched, balancers, measured: &mut measured };
-        measurement.single_changes(effort.rounds).await?;
-        measurement.bursts(effort.bursts).await?;
-        measurement.changes_with_slow_balancers(effort.rounds).await?;
+        measurement.single_changes(workload.rounds).await?;
+        measurement.bursts(workload.bursts).await?;
+        measurement.changes_with_slow_balancers(workload.rounds).await?;
     }
-    let mut slopes = measured.slopes(&effort);
-    let processes = processes::measure(bench, effort.upstreams, effort.rounds).await?;
+    let mut slopes = measured.slopes(&workload);
+    let processes = processes::measure(parameters, workload.upstreams, workload.rounds).await?;
     let remark =
-        format!("processes of their own with {} upstreams, {} changes", effort.upstreams, effort.rounds);
+        format!("processes of their own with {} upstreams, {} changes", workload.upstreams, workload.rounds);
     slopes.extend(processes.slopes("processes, one change", &remark));
     Ok(slopes)
 }
@@ -101,8 +102,8 @@
     burst: LagSlopes,
     /// Lags of all balancers while some of them are slow.
     with_slow: LagSlopes,
-    /// Lags of the balancers that are not slow, while others are.
-    beside_slow: LagSlopes,
+    /// Lags of the balancers that are never slow, while others are.
+    never_slow: LagSlopes,
     /// Number of responses to each balancer in a burst.
     burst_responses: Vec<Point>,
     /// Processor time of a balancer for one change, in microseconds.
@@ -110,15 +111,16 @@
 }
 
 impl FleetSlopes {
-    fn slopes(self, effort: &Effort) -> Vec<Slope> {
-        let Effort { upstreams, rounds, bursts, .. } = effort;
+    fn slopes(self, workload: &Workload) -> Vec<Slope> {
+        let Workload { upstreams, rounds, bursts, .. } = workload;
         let hollow = format!("hollow balancers with {upstreams} upstreams each");
-        let with_burst =
-            format!("{hollow}, {bursts} times {BURST} changes, from the first to all of them in force");
+        let with_burst = format!(
+            "{hollow}, {bursts} times {CHANGES_PER_BURST} changes, from the first to all of them in force"
+        );
         let with_slow = format!(
             "{hollow}; one in twenty stalls for {} of every {} ms",
-            SLOW.stall.as_millis(),
-            SLOW.every.as_millis()
+            SLOW_BALANCERS.stall.as_millis(),
+            SLOW_BALANCERS.every.as_millis()
         );
         let responses = Slope::new(
             "updates: burst of 200, answers a balancer",
@@ -137,7 +139,7 @@
         slopes.extend(self.burst.slopes("burst of 200", &with_burst));
         slopes.push(responses.remark("a busy watcher is notified of several changes in one response"));
         slopes.extend(self.with_slow.slopes("one in twenty slow", &with_slow));
-        slopes.extend(self.beside_slow.slopes("one in twenty slow, the others", &with_slow));
+        slopes.extend(self.never_slow.slopes("one in twenty slow, the others", &with_slow));
         slopes.push(processor.remark(format!(
             "{hollow}: reading the response, notifying the policy, sending the next watch, and its share of idle time"
         )));
@@ -158,33 +160,33 @@
         let before = self.watched.fleet.processor_time();
         let mut lags = Vec::new();
         for _ in 0..rounds {
-            lags.push(self.change_and_rest(1).await?);
+            lags.push(self.change_and_settle(1).await?);
         }
-        let spent = self.watched.fleet.processor_time().saturating_sub(before);
+        let processor_time = self.watched.fleet.processor_time().saturating_sub(before);
         let balancers = f64::from(self.balancers);
-        let micros = spent.as_secs_f64() * 1e6 / balancers / f64::from(rounds);
+        let micros = processor_time.as_secs_f64() * 1e6 / balancers / f64::from(rounds);
         self.measured.processor.push(Point { x: balancers, y: micros });
         self.measured.one_change.add(self.balancers, &lags);
         Ok(())
     }
 
-    /// Measures bursts of changes, as fast as discovery accepts them.
+    /// Measures bursts of changes that are made as fast as discovery accepts them.
     async fn bursts(&mut self, bursts: u32) -> Result<()> {
         let before = self.watched.all_watching().await?.total;
         let mut lags = Vec::new();
         for _ in 0..bursts {
-            lags.push(self.change_and_rest(BURST).await?);
+            lags.push(self.change_and_settle(CHANGES_PER_BURST).await?);
         }
-        let passed = self.watched.all_watching().await?.total.since(&before);
+        let traffic = self.watched.all_watching().await?.total.since(&before);
         let balancers = f64::from(self.balancers);
-        let responses = passed.deltas as f64 / balancers / f64::from(bursts);
+        let responses = traffic.deltas as f64 / balancers / f64::from(bursts);
         self.measured.burst_responses.push(Point { x: balancers, y: responses });
         self.measured.burst.add(self.balancers, &lags);
         Ok(())
     }
 
     /// Makes `times` changes and waits until all balancers watch again. Returns the lags of all balancers.
-    async fn change_and_rest(&mut self, times: usize) -> Result<Lags> {
+    async fn change_and_settle(&mut self, times: usize) -> Result<Lags> {
         let change = self.watched.change(times)?;
         let lags = self.watched.lags(change).await?;
         self.watched.all_watching().await?;
@@ -204,13 +206,13 @@
             never_slow.push(lags.never_slow);
         }
         self.measured.with_slow.add(self.balancers, &all);
-        self.measured.beside_slow.add(self.balancers, &never_slow);
+        self.measured.never_slow.add(self.balancers, &never_slow);
         Ok(())
     }
 }
 
-/// Returns the pause before a round. The round before ended with a stall, and each round has to begin at a different
-/// phase of the next one.
+/// Returns the pause before a round. A round ends together with a stall, so the pauses differ, to make the changes at
+/// different phases of the following stall.
 fn pause_before(round: u32, rounds: u32) -> Duration {
-    SLOW.every + SLOW.every * round / rounds
+    SLOW_BALANCERS.every + SLOW_BALANCERS.every * round / rounds
 }
--- a/crates/cli/src/scale/updates/processes.rs
+++ b/crates/cli/src/scale/updates/processes.rs
@@ -1,4 +1,4 @@
-//! Measures the lag of updates of balancers that are separate processes.
+//! Measures the lag of updates in balancers that run as separate processes.
 //!
 //! A process has applied a version once its next watch asks for later ones, because it passes each list to its policy
 //! before it watches again.
@@ -12,56 +12,56 @@
 use zincstand_testbed::discovery::{Discovery, Lifecycle, VersionChange};
 use zincstand_testbed::machine::Needs;
 
-use super::PROGRAM_MB;
+use super::MEASURING_PROCESS_MB;
 use super::lag_slopes::LagSlopes;
-use crate::scale::Bench;
+use crate::scale::Parameters;
 use crate::scale::watched_discovery::{
     CHECK_INTERVAL, DRAIN_GRACE, Lags, TIME_LIMIT, entry, list, millis_between,
 };
 
-/// Memory limit of a process, in MB.
-const PROCESS_MB: u32 = 32;
-/// Interval between two changes. It is not a multiple of the wait of a watch, so that changes do not coincide with a
-/// fixed phase of it.
-const PAUSE: Duration = Duration::from_millis(130);
+/// Memory limit of a balancer's process, in MB.
+const PROCESS_MEMORY_LIMIT_MB: u32 = 32;
+/// Pause before a change. It is not a multiple of the time that a watch waits, so that the changes do not occur at a
+/// fixed phase of the watch.
+const PAUSE_BEFORE_CHANGE: Duration = Duration::from_millis(130);
 
 /// Returns the numbers of processes that are measured.
-pub fn sizes(bench: &Bench) -> &'static [usize] {
-    if bench.quick { &[5, 10, 15, 20] } else { &[10, 25, 50, 100] }
+pub fn process_counts(parameters: &Parameters) -> &'static [usize] {
+    if parameters.quick { &[5, 10, 15, 20] } else { &[10, 25, 50, 100] }
 }
 
 /// Returns the resources that the largest number of processes needs.
-pub fn needs(bench: &Bench) -> Needs {
-    let processes = sizes(bench).iter().copied().max().unwrap_or(0);
-    let memory_mb = PROGRAM_MB + u64::from(PROCESS_MB) * processes as u64;
+pub fn needs(parameters: &Parameters) -> Needs {
+    let processes = process_counts(parameters).iter().copied().max().unwrap_or(0);
+    let memory_mb = MEASURING_PROCESS_MB + u64::from(PROCESS_MEMORY_LIMIT_MB) * processes as u64;
     Needs { processes, memory_mb, descriptors: 0 }
 }
 
 /// Measures the lag of single changes, for each number of processes.
-pub async fn measure(bench: &Bench, upstreams: usize, rounds: u32) -> Result<LagSlopes> {
+pub async fn measure(parameters: &Parameters, upstreams: usize, rounds: u32) -> Result<LagSlopes> {
     let discovery = Discovery::start()?;
     discovery.replace(list(upstreams))?;
-    let mut running = Vec::new();
+    let mut balancers = Vec::new();
     let mut slopes = LagSlopes::default();
     let mut changes = 0;
-    for &processes in sizes(bench) {
+    for &processes in process_counts(parameters) {
         let mut settings = Settings::alone(discovery.address());
         settings.balancers = processes as u32;
-        settings.memory_mb = PROCESS_MB;
+        settings.memory_mb = PROCESS_MEMORY_LIMIT_MB;
         settings.drain_grace_ms = DRAIN_GRACE.as_millis() as u32;
-        while running.len() < processes {
-            running.push(Balancer::start(&bench.balancer, &settings).await?);
+        while balancers.len() < processes {
+            balancers.push(Balancer::start(&parameters.balancer, &settings).await?);
         }
         let mut lags = Vec::new();
         for _ in 0..rounds {
-            sleep(PAUSE).await;
+            sleep(PAUSE_BEFORE_CHANGE).await;
             let change = discovery.change(vec![entry(changes).with_lifecycle(Lifecycle::Draining)])?;
             changes += 1;
             lags.push(lags_of(&discovery, change, processes).await?);
         }
         slopes.add(processes as u32, &lags);
     }
-    stop(running).await?;
+    stop(balancers).await?;
     Ok(slopes)
 }
 
--- a/crates/cli/src/scale/watched_discovery.rs
+++ b/crates/cli/src/scale/watched_discovery.rs
@@ -12,22 +12,22 @@
 use zincstand_testbed::hollow::{FleetOptions, HollowFleet, ListApplied, SlowBalancers, UpdateMode};
 use zincstand_testbed::machine::ensure_descriptors;
 
-/// Drain grace of the example in the platform's pages. The discovery client derives its waits from it.
+/// Drain grace of the platform's example configuration. The discovery client derives its waits from it.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(2_500);
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// Number of zones of the fleet that the balancer is designed for.
 const ZONES: u32 = 14;
-/// Time after which a wait fails.
+/// Maximum duration of a wait, after which the measurement fails.
 pub const TIME_LIMIT: Duration = Duration::from_secs(30);
-/// Interval between two checks of a condition. It does not limit the resolution of measured times, which are recorded
+/// Interval between two checks of a condition. Measured times are more precise than that, because they are recorded
 /// where the events occur.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// One balancer in twenty stalls for four fifths of its time.
-pub const SLOW: SlowBalancers =
+/// Slow balancers: one in twenty stalls for four fifths of the time.
+pub const SLOW_BALANCERS: SlowBalancers =
     SlowBalancers { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
-/// Number of descriptors beyond those of the connections.
+/// Number of descriptors reserved for other uses than the connections of the watchers.
 const RESERVED_DESCRIPTORS: u64 = 256;
-/// Twice the number of threads of the fleet if the number of cores is unknown.
+/// Assumed number of cores if it cannot be determined. The fleet has half as many threads.
 const DEFAULT_CORES: usize = 4;
 
 /// Returns an entry of the endpoint list. No request is ever sent to its address.
@@ -45,7 +45,8 @@
     to.saturating_duration_since(from).as_secs_f64() * 1e3
 }
 
-/// Lags of the balancers in milliseconds, sorted: the time from a change at discovery until each had applied it.
+/// Lags of the balancers in milliseconds, sorted. A lag is the time from a change at discovery until a balancer has
+/// applied it.
 pub struct Lags(Vec<f64>);
 
 impl Lags {
@@ -61,7 +62,7 @@
     }
 
     /// Returns the longest lag, or 0 without any lag.
-    pub fn last(&self) -> f64 {
+    pub fn max(&self) -> f64 {
         self.0.last().copied().unwrap_or(0.0)
     }
 }
@@ -76,7 +77,7 @@
 
 /// A discovery and its watchers.
 pub struct WatchedDiscovery {
-    /// The watchers. This field comes first so that they end before the discovery that they watch.
+    /// The watchers. This field comes first, so that they are dropped before the discovery that they watch.
     pub fleet: HollowFleet,
     /// The discovery.
     pub discovery: Discovery,
@@ -87,7 +88,7 @@
 }
 
 impl WatchedDiscovery {
-    /// Starts the discovery and its watchers. Returns when each balancer has applied the list and watches.
+    /// Starts the discovery and its watchers. Returns once each balancer has applied the list and watches.
     ///
     /// # Errors
     /// There are too few descriptors or threads, or the fleet is not ready within [`TIME_LIMIT`].
@@ -98,7 +99,7 @@
         seed: u64,
     ) -> Result<WatchedDiscovery> {
         ensure_descriptors(2 * u64::from(balancers) + RESERVED_DESCRIPTORS)?;
-        let discovery = Discovery::start().context("the stand-in discovery")?;
+        let discovery = Discovery::start().context("cannot start the stand-in discovery")?;
         discovery.replace(list(upstreams))?;
         let cores = std::thread::available_parallelism().map_or(DEFAULT_CORES, NonZero::get);
         let options = FleetOptions {
@@ -109,36 +110,40 @@
             drain_grace: DRAIN_GRACE,
             poll_within: MAX_POLL_INTERVAL,
             zones: ZONES,
-            slow: Some(SLOW),
+            slow: Some(SLOW_BALANCERS),
             seed,
         };
-        let fleet = HollowFleet::start(&options).context("the hollow balancers")?;
+        let fleet = HollowFleet::start(&options).context("cannot start the hollow balancers")?;
         let watched = WatchedDiscovery { fleet, discovery, balancers, upstreams, changes: 0 };
         watched.first_lists(|list| list.kind == ListKind::Snapshot && list.entries == upstreams).await?;
         watched.all_watching().await?;
         Ok(watched)
     }
 
-    /// Waits until a list that `is_wanted` accepts has reached every balancer. Returns the time of the first such list by
-    /// balancer.
+    /// Waits until every balancer has applied a list that `is_expected` accepts. Returns the time of the first such list
+    /// by balancer.
     ///
     /// # Errors
-    /// Some balancers have not received such a list within [`TIME_LIMIT`].
+    /// Some balancers do not apply such a list within [`TIME_LIMIT`].
     pub async fn first_lists(
         &self,
-        is_wanted: impl Fn(&ListApplied) -> bool,
+        is_expected: impl Fn(&ListApplied) -> bool,
     ) -> Result<BTreeMap<u32, Instant>> {
         let give_up_at = Instant::now() + TIME_LIMIT;
         let mut first = BTreeMap::new();
         loop {
-            for list in self.fleet.applied().filter(&is_wanted) {
+            for list in self.fleet.applied().filter(&is_expected) {
                 first.entry(list.balancer).or_insert(list.at);
             }
             if first.len() == self.balancers as usize {
                 return Ok(first);
             }
             if Instant::now() > give_up_at {
-                bail!("only {} of {} balancers were told within {TIME_LIMIT:?}", first.len(), self.balancers);
+                bail!(
+                    "only {} of {} balancers have applied the expected list within {TIME_LIMIT:?}",
+                    first.len(),
+                    self.balancers
+                );
             }
             sleep(CHECK_INTERVAL).await;
         }
@@ -150,11 +155,11 @@
     /// Some balancers do not watch within [`TIME_LIMIT`].
     pub async fn all_watching(&self) -> Result<Counters> {
         let give_up_at = Instant::now() + TIME_LIMIT;
-        // Even without changes, a few balancers are always between two watches.
-        let enough = u64::from(self.balancers - self.balancers / 100);
+        // Even without changes, a few balancers are always between two watches, so one in a hundred may be missing.
+        let min_watching = u64::from(self.balancers - self.balancers / 100);
         loop {
             let counters = self.discovery.counters()?;
-            if counters.waiting_watches >= enough {
+            if counters.waiting_watches >= min_watching {
                 return Ok(counters);
             }
             if Instant::now() > give_up_at {
@@ -183,19 +188,19 @@
             let change = self.discovery.change(vec![entry])?;
             first.get_or_insert(change);
         }
-        first.context("no change")
+        first.context("the number of changes must be at least 1")
     }
 
     /// Waits until all balancers have applied the marked entry. Returns their lags after `change`.
     ///
     /// # Errors
-    /// Some balancers have not applied it within [`TIME_LIMIT`].
+    /// Some balancers do not apply it within [`TIME_LIMIT`].
     pub async fn lags(&self, change: VersionChange) -> Result<ChangeLags> {
         let first = self.first_lists(|list| list.is_marked && list.at > change.at).await?;
         let mut all = Vec::new();
         let mut never_slow = Vec::new();
-        for (balancer, reached_at) in first {
-            let lag = millis_between(change.at, reached_at);
+        for (balancer, applied_at) in first {
+            let lag = millis_between(change.at, applied_at);
             all.push(lag);
             if !self.fleet.is_slow(balancer) {
                 never_slow.push(lag);
--- a/crates/cli/src/scale/watchers/mod.rs
+++ b/crates/cli/src/scale/watchers/mod.rs
@@ -1,4 +1,4 @@
-//! Measures the load of discovery by number of watchers: at rest, at a change, and when all watches break at once.
+//! Measures the load of discovery by number of watchers: when idle, at a change, and when all watches break at once.
 
 mod one_machine;
 mod slopes;
@@ -16,98 +16,104 @@
 use self::one_machine::one_machine;
 use self::slopes::Slopes;
 use super::watched_discovery::{WatchedDiscovery, list, millis_between};
-use super::{Bench, MeasurementPlan, updates};
+use super::{MeasurementPlan, Parameters, updates};
 
-/// Part of the remark on every figure of processor time.
-const STAND_IN: &str = "of the stand-in's one thread, not of a product";
+/// Part of the remark on processor time.
+const STAND_IN_REMARK: &str = "of the stand-in's one thread, not of a product";
 /// Number of known upstreams where the length of the list does not matter.
-const SHORT_LIST: usize = 200;
+const SHORT_LIST_UPSTREAMS: usize = 200;
 /// Duration of the measurement without changes.
-const REST: Duration = Duration::from_secs(3);
-/// [`REST`] with `--quick`.
-const QUICK_REST: Duration = Duration::from_secs(1);
+const IDLE_DURATION: Duration = Duration::from_secs(3);
+/// [`IDLE_DURATION`] with `--quick`.
+const QUICK_IDLE_DURATION: Duration = Duration::from_secs(1);
 /// Duration of each outage of discovery. It is longer than a watch waits for a response, which is 1.5 s with the settings
 /// used here.
-const OUTAGE: Duration = Duration::from_secs(2);
-/// [`OUTAGE`] with `--quick`.
-const QUICK_OUTAGE: Duration = Duration::from_millis(600);
+const OUTAGE_DURATION: Duration = Duration::from_secs(2);
+/// [`OUTAGE_DURATION`] with `--quick`.
+const QUICK_OUTAGE_DURATION: Duration = Duration::from_millis(600);
 /// Number of changes whose mean cost is measured.
 const CHANGES: u32 = 10;
 /// [`CHANGES`] with `--quick`.
 const QUICK_CHANGES: u32 = 3;
 
 /// Sizes, durations and repetitions of the measurement.
-struct Effort {
+struct Workload {
     /// Numbers of balancers.
     balancers: &'static [u32],
     upstreams: usize,
-    rest: Duration,
+    idle: Duration,
     outage: Duration,
     changes: u32,
 }
 
-impl Effort {
-    fn new(bench: &Bench) -> Effort {
-        if bench.quick {
-            return Effort {
+impl Workload {
+    fn new(parameters: &Parameters) -> Workload {
+        if parameters.quick {
+            return Workload {
                 balancers: &[25, 50, 100, 200],
                 upstreams: 500,
-                rest: QUICK_REST,
-                outage: QUICK_OUTAGE,
+                idle: QUICK_IDLE_DURATION,
+                outage: QUICK_OUTAGE_DURATION,
                 changes: QUICK_CHANGES,
             };
         }
-        Effort {
+        Workload {
             balancers: &[100, 500, 1_000, 2_000],
             upstreams: 2_000,
-            rest: REST,
-            outage: OUTAGE,
+            idle: IDLE_DURATION,
+            outage: OUTAGE_DURATION,
             changes: CHANGES,
         }
     }
 }
 
 /// Returns what the measurement starts and which resources it needs.
-pub fn plan(bench: &Bench) -> MeasurementPlan {
-    let Effort { balancers, upstreams, .. } = Effort::new(bench);
+pub fn plan(parameters: &Parameters) -> MeasurementPlan {
+    let Workload { balancers, upstreams, .. } = Workload::new(parameters);
     let description =
         format!("watchers: {balancers:?} hollow balancers in turn, each with {upstreams} upstreams");
-    MeasurementPlan { description, needs: updates::fleet_needs(bench) }
+    MeasurementPlan { description, needs: updates::fleet_needs(parameters) }
 }
 
 /// Measures each number of balancers in turn.
-pub async fn measure(bench: &Bench) -> Result<Vec<Slope>> {
+pub async fn measure(parameters: &Parameters) -> Result<Vec<Slope>> {
     let _quiet_stderr = QuietStderr::begin()?;
-    let effort = Effort::new(bench);
+    let workload = Workload::new(parameters);
     let mut slopes = Slopes::default();
-    for &balancers in effort.balancers {
+    for &balancers in workload.balancers {
         let watched =
-            WatchedDiscovery::start(balancers, effort.upstreams, UpdateMode::Push, bench.seed).await?;
+            WatchedDiscovery::start(balancers, workload.upstreams, UpdateMode::Push, parameters.seed).await?;
         let mut measurement =
             FleetMeasurement { watched, balancers: f64::from(balancers), slopes: &mut slopes };
-        measurement.after_start()?;
-        measurement.at_rest(effort.rest).await?;
-        measurement.at_a_change(effort.changes).await?;
-        measurement.complete_list(effort.upstreams).await?;
+        measurement.startup()?;
+        measurement.idle(workload.idle).await?;
+        measurement.single_changes(workload.changes).await?;
+        measurement.complete_list(workload.upstreams).await?;
         measurement.broken_watches("all watches broken").await?;
-        measurement.outage(effort.outage).await?;
-        measurement.silence(effort.outage).await?;
+        measurement.outage(workload.outage).await?;
+        measurement.silence(workload.outage).await?;
     }
-    if !bench.quick {
-        let most = effort.balancers.iter().copied().max().unwrap_or(0);
-        let watched = WatchedDiscovery::start(most, SHORT_LIST, UpdateMode::Poll, bench.seed).await?;
-        let mut measurement = FleetMeasurement { watched, balancers: f64::from(most), slopes: &mut slopes };
+    if !parameters.quick {
+        let max_balancers = workload.balancers.iter().copied().max().unwrap_or(0);
+        let watched =
+            WatchedDiscovery::start(max_balancers, SHORT_LIST_UPSTREAMS, UpdateMode::Poll, parameters.seed)
+                .await?;
+        let mut measurement =
+            FleetMeasurement { watched, balancers: f64::from(max_balancers), slopes: &mut slopes };
         measurement.broken_watches("all watches broken, asking").await?;
     }
-    add_remarks(&mut slopes, &effort);
+    add_remarks(&mut slopes, &workload);
     let mut slopes = slopes.fitted();
     slopes.extend(one_machine(&slopes));
     Ok(slopes)
 }
 
-fn add_remarks(slopes: &mut Slopes, effort: &Effort) {
-    let outage = effort.outage;
-    slopes.remark("at rest", format!("{} upstreams; processor time is that {STAND_IN}", effort.upstreams));
+fn add_remarks(slopes: &mut Slopes, workload: &Workload) {
+    let outage = workload.outage;
+    slopes.remark(
+        "at rest",
+        format!("{} upstreams; processor time is that {STAND_IN_REMARK}", workload.upstreams),
+    );
     slopes.remark(
         "all started together",
         "more than one each if a response took longer than a balancer waits for it",
@@ -132,8 +138,8 @@
         self.slopes.add(name, unit, self.balancers, value);
     }
 
-    /// Records the connections and lists that the start of all balancers took.
-    fn after_start(&mut self) -> Result<()> {
+    /// Records the connections that all balancers opened during their start, and the complete lists that they received.
+    fn startup(&mut self) -> Result<()> {
         let started = self.watched.discovery.counters()?.total;
         self.add("all started together", "connections", started.connections as f64);
         self.add("all started together", "whole lists", started.snapshots as f64);
@@ -141,28 +147,28 @@
     }
 
     /// Measures the traffic and processor time while nothing changes.
-    async fn at_rest(&mut self, rest: Duration) -> Result<()> {
+    async fn idle(&mut self, idle: Duration) -> Result<()> {
         let before = self.watched.discovery.counters()?;
         let fleet_before = self.watched.fleet.processor_time();
-        let began = Instant::now();
-        sleep(rest).await;
+        let started_at = Instant::now();
+        sleep(idle).await;
         let after = self.watched.discovery.counters()?;
-        let seconds = began.elapsed().as_secs_f64();
-        let passed = after.total.since(&before.total);
+        let seconds = started_at.elapsed().as_secs_f64();
+        let traffic = after.total.since(&before.total);
         self.add("at rest", "connections open", after.open_connections as f64);
-        self.add("at rest", "calls a second", passed.requests as f64 / seconds);
-        self.add("at rest", "bytes in a second", passed.bytes_in as f64 / seconds);
-        self.add("at rest", "bytes out a second", passed.bytes_out as f64 / seconds);
-        let percent_of_core = |spent: Duration| spent.as_secs_f64() / seconds * 100.0;
-        let discovery_spent = after.processor_time.saturating_sub(before.processor_time);
-        self.add("at rest", "% of a core", percent_of_core(discovery_spent));
-        let fleet_spent = self.watched.fleet.processor_time().saturating_sub(fleet_before);
-        self.add("at rest, all balancers", "% of a core", percent_of_core(fleet_spent));
+        self.add("at rest", "calls a second", traffic.requests as f64 / seconds);
+        self.add("at rest", "bytes in a second", traffic.bytes_in as f64 / seconds);
+        self.add("at rest", "bytes out a second", traffic.bytes_out as f64 / seconds);
+        let percent_of_core = |processor_time: Duration| processor_time.as_secs_f64() / seconds * 100.0;
+        let discovery_processor_time = after.processor_time.saturating_sub(before.processor_time);
+        self.add("at rest", "% of a core", percent_of_core(discovery_processor_time));
+        let fleet_processor_time = self.watched.fleet.processor_time().saturating_sub(fleet_before);
+        self.add("at rest, all balancers", "% of a core", percent_of_core(fleet_processor_time));
         Ok(())
     }
 
     /// Measures the mean cost of a change of one entry.
-    async fn at_a_change(&mut self, changes: u32) -> Result<()> {
+    async fn single_changes(&mut self, changes: u32) -> Result<()> {
         let before = self.watched.all_watching().await?;
         for _ in 0..changes {
             let change = self.watched.change(1)?;
@@ -170,14 +176,14 @@
             self.watched.all_watching().await?;
         }
         let after = self.watched.discovery.counters()?;
-        let passed = after.total.since(&before.total);
+        let traffic = after.total.since(&before.total);
         let changes = f64::from(changes);
-        self.add("at a change", "calls", passed.requests as f64 / changes);
-        self.add("at a change", "bytes in", passed.bytes_in as f64 / changes);
-        self.add("at a change", "bytes out", passed.bytes_out as f64 / changes);
-        self.add("at a change", "whole lists", passed.snapshots as f64 / changes);
-        let spent = after.processor_time.saturating_sub(before.processor_time);
-        self.add("at a change", "ms of processor", spent.as_secs_f64() * 1e3 / changes);
+        self.add("at a change", "calls", traffic.requests as f64 / changes);
+        self.add("at a change", "bytes in", traffic.bytes_in as f64 / changes);
+        self.add("at a change", "bytes out", traffic.bytes_out as f64 / changes);
+        self.add("at a change", "whole lists", traffic.snapshots as f64 / changes);
+        let processor_time = after.processor_time.saturating_sub(before.processor_time);
+        self.add("at a change", "ms of processor", processor_time.as_secs_f64() * 1e3 / changes);
         Ok(())
     }
 
@@ -186,20 +192,20 @@
         let before = self.watched.all_watching().await?;
         let fleet_before = self.watched.fleet.processor_time();
         let change = self.watched.discovery.replace(list(upstreams))?;
-        let reached =
+        let applied_at =
             self.watched.first_lists(|list| list.kind == ListKind::Snapshot && list.at > change.at).await?;
         let after = self.watched.all_watching().await?;
-        let passed = after.total.since(&before.total);
-        let bytes_per_list = passed.bytes_out as f64 / passed.snapshots.max(1) as f64;
-        self.add("whole list to all", "whole lists", passed.snapshots as f64);
-        self.add("whole list to all", "bytes out", passed.bytes_out as f64);
+        let traffic = after.total.since(&before.total);
+        let bytes_per_list = traffic.bytes_out as f64 / traffic.snapshots.max(1) as f64;
+        self.add("whole list to all", "whole lists", traffic.snapshots as f64);
+        self.add("whole list to all", "bytes out", traffic.bytes_out as f64);
         self.add("whole list to all", "bytes a list", bytes_per_list);
-        let spent = after.processor_time.saturating_sub(before.processor_time);
-        self.add("whole list to all", "ms of processor", spent.as_secs_f64() * 1e3);
-        let last = reached.values().max().map_or(0.0, |last| millis_between(change.at, *last));
+        let processor_time = after.processor_time.saturating_sub(before.processor_time);
+        self.add("whole list to all", "ms of processor", processor_time.as_secs_f64() * 1e3);
+        let last = applied_at.values().max().map_or(0.0, |last| millis_between(change.at, *last));
         self.add("whole list to all", "ms until the last acts on it", last);
-        let fleet_spent = self.watched.fleet.processor_time().saturating_sub(fleet_before);
-        let millis_per_balancer = fleet_spent.as_secs_f64() * 1e3 / self.balancers;
+        let fleet_processor_time = self.watched.fleet.processor_time().saturating_sub(fleet_before);
+        let millis_per_balancer = fleet_processor_time.as_secs_f64() * 1e3 / self.balancers;
         self.add("whole list, a balancer", "ms of processor", millis_per_balancer);
         Ok(())
     }
@@ -220,7 +226,7 @@
         self.recovery("back from an outage", up.at, before).await
     }
 
-    /// Measures the recovery after discovery did not respond for a while.
+    /// Measures the connections while discovery does not respond, and the recovery afterwards.
     async fn silence(&mut self, silence: Duration) -> Result<()> {
         let before = self.watched.all_watching().await?.total;
         self.watched.discovery.set_mode(Mode::Silent)?;
@@ -231,22 +237,23 @@
         self.recovery("back from silence", up.at, silent).await
     }
 
-    /// Measures how all balancers recover from an outage that ended at `from`. `before` is the traffic up to its end.
+    /// Measures how all balancers recover from an outage that ended at `from`. `before` is the total traffic at
+    /// its end.
     async fn recovery(&mut self, name: &str, from: Instant, before: Traffic) -> Result<()> {
-        // Everything sent before `from` has arrived. A balancer has recovered once it applies a change made now.
+        // Everything sent before `from` has arrived, so a balancer that applies a change made now has recovered.
         let change = self.watched.change(1)?;
         let lags = self.watched.lags(change).await?;
         let counters = self.watched.all_watching().await?;
-        let passed = counters.total.since(&before);
+        let traffic = counters.total.since(&before);
         let busiest = busiest_bucket(counters.buckets_from(from));
         let millis_to_busiest = busiest.index as f64 * TRAFFIC_BUCKET.as_secs_f64() * 1e3;
-        self.add(name, "connections", passed.connections as f64);
+        self.add(name, "connections", traffic.connections as f64);
         self.add(name, "connections in the busiest 100 ms", busiest.connections as f64);
         self.add(name, "ms to the start of the busiest 100 ms", millis_to_busiest);
-        self.add(name, "calls", passed.requests as f64);
-        self.add(name, "whole lists", passed.snapshots as f64);
-        self.add(name, "bytes out", passed.bytes_out as f64);
-        self.add(name, "ms until the last acts on a change made at once", lags.all.last());
+        self.add(name, "calls", traffic.requests as f64);
+        self.add(name, "whole lists", traffic.snapshots as f64);
+        self.add(name, "bytes out", traffic.bytes_out as f64);
+        self.add(name, "ms until the last acts on a change made at once", lags.all.max());
         Ok(())
     }
 }
@@ -259,7 +266,7 @@
     connections: u64,
 }
 
-/// Returns the interval with the most connections, the first one of equals.
+/// Returns the interval with the most connections, the first one if several have equally many.
 fn busiest_bucket(buckets: &[Traffic]) -> BusiestBucket {
     let mut busiest = BusiestBucket::default();
     for (index, bucket) in buckets.iter().enumerate() {
--- a/crates/cli/src/scale/watchers/slopes.rs
+++ b/crates/cli/src/scale/watchers/slopes.rs
@@ -1,14 +1,14 @@
-//! Slopes whose points are added one size after the other.
+//! Slopes whose points are added one at a time.
 
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 
-/// Slopes with the points added so far, in the order in which they were first named.
+/// Slopes with the points added so far, in the order in which their first points were added.
 #[derive(Default)]
 pub struct Slopes(Vec<Slope>);
 
 impl Slopes {
-    /// Adds the point of one quantity, measured in `unit`, in the situation `name`.
+    /// Adds a point to the slope of a situation and a measured quantity. `unit` names the quantity with its unit.
     pub fn add(&mut self, name: &str, unit: &str, x: f64, y: f64) {
         let name = format!("watchers: {name}, {unit}");
         let point = Point { x, y };
