--- a/crates/cli/src/scale/memory.rs
+++ b/crates/cli/src/scale/memory.rs
@@ -6,9 +6,9 @@
 use anyhow::{Context, Result, bail};
 use tokio::time::{Instant, sleep};
 use zincstand_testbed::balancer::{Balancer, Settings};
-use zincstand_testbed::callers::OpenConnections;
+use zincstand_testbed::clients::OpenConnections;
 use zincstand_testbed::discovery::{Discovery, Entry, Lifecycle};
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
 use zincstand_testbed::upstreams::Upstreams;
@@ -47,7 +47,7 @@
         upstreams.max(KNOWN_UPSTREAMS),
         CONNECTIONS[CONNECTIONS.len() - 1]
     );
-    let needs = Needs {
+    let needs = ResourceNeeds {
         processes: 1,
         memory_mb: (100 + upstreams / 10) as u64,
         descriptors: (upstreams + 2000) as u64,
@@ -99,7 +99,7 @@
     for calls in CONNECTIONS {
         let long_deadline = |settings: &mut Settings| settings.deadline_ms = LONG_DEADLINE_MS;
         let testbed = Testbed::start(parameters, KNOWN_UPSTREAMS, long_deadline).await?;
-        testbed.upstreams()?.respond_after(SLOW_RESPONSE_TIME);
+        testbed.upstreams()?.set_response_delay(SLOW_RESPONSE_TIME);
         let mut open_connections = OpenConnections::connect(testbed.balancer.address, calls)?;
         open_connections.send()?;
         points.push(testbed.resident_memory(calls).await?);
@@ -208,7 +208,7 @@
         let upstreams = Upstreams::start(known_upstreams)?;
         let discovery = Discovery::start()?;
         discovery.replace(upstreams.entries())?;
-        let mut settings = Settings::alone(discovery.address());
+        let mut settings = Settings::for_single_balancer(discovery.address());
         adjust(&mut settings);
         let balancer = Balancer::start(&parameters.balancer, &settings).await?;
         Ok(Testbed { balancer, discovery, upstreams: Some(upstreams) })
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -15,7 +15,7 @@
 use anyhow::{Context, Result, anyhow, bail};
 use clap::{Args, Subcommand};
 use tokio::signal::unix::{SignalKind, signal};
-use zincstand_testbed::machine::{Machine, Needs, raise_descriptor_limit};
+use zincstand_testbed::machine::{Machine, ResourceNeeds, raise_descriptor_limit};
 use zincstand_testbed::report::{Report, Slope};
 
 use crate::model::fleet_size;
@@ -114,7 +114,7 @@
     /// One line that states the started processes and the duration.
     description: String,
     /// Resources that the machine must have.
-    needs: Needs,
+    needs: ResourceNeeds,
 }
 
 /// Parameters of every measurement.
@@ -178,7 +178,7 @@
 pub fn run(Arguments { options, part: measurement }: Arguments) -> Result<()> {
     let parameters = Parameters::new(&options)?;
     let kinds = measurement.map_or(MeasurementKind::ALL.to_vec(), |kind| vec![kind]);
-    let machine = Machine::here();
+    let machine = Machine::detect();
     check_needs(&kinds, &parameters, &machine)?;
     if measurement.is_none() {
         // The model does not handle Ctrl-C. It has to run before the measurements on sockets, because these install a
@@ -192,7 +192,7 @@
         revision: report::revision(),
         seed: parameters.seed,
         quick: parameters.quick,
-        took_s: started_at.elapsed().as_secs_f64(),
+        duration_s: started_at.elapsed().as_secs_f64(),
         slopes,
     };
     if let Some(path) = &options.out {
@@ -206,11 +206,11 @@
 /// # Errors
 /// The machine is too small.
 fn check_needs(kinds: &[MeasurementKind], parameters: &Parameters, machine: &Machine) -> Result<()> {
-    let mut needs = Needs::default();
+    let mut needs = ResourceNeeds::default();
     for kind in kinds {
         let plan = kind.plan(parameters);
         eprintln!("{}", plan.description);
-        needs = needs.or(plan.needs);
+        needs = needs.max(plan.needs);
     }
     needs.check(machine, raise_descriptor_limit())?;
     eprintln!("total: at most {} processes at a time and {} MB", needs.processes, needs.memory_mb);
--- a/crates/cli/src/scale/report.rs
+++ b/crates/cli/src/scale/report.rs
@@ -44,7 +44,7 @@
         report.revision,
         report.seed,
         if report.quick { ", quick run, not for publication" } else { "" },
-        report.took_s
+        report.duration_s
     )
 }
 
--- a/crates/cli/src/scale/updates/mod.rs
+++ b/crates/cli/src/scale/updates/mod.rs
@@ -8,7 +8,7 @@
 use anyhow::Result;
 use tokio::time::sleep;
 use zincstand_testbed::hollow::UpdateMode;
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 use zincstand_testbed::quiet_stderr::QuietStderr;
 use zincstand_testbed::report::Slope;
 use zincstand_testbed::slope::Point;
@@ -56,12 +56,12 @@
 }
 
 /// Returns the resources that the largest fleet of hollow balancers needs.
-pub fn fleet_needs(parameters: &Parameters) -> Needs {
+pub fn fleet_needs(parameters: &Parameters) -> ResourceNeeds {
     let Workload { balancers, upstreams, .. } = Workload::new(parameters);
     let max_balancers = f64::from(balancers.iter().copied().max().unwrap_or(0));
     let memory_mb = MEASURING_PROCESS_MB
         + (max_balancers * upstreams as f64 * HOLLOW_BALANCER_KB_PER_UPSTREAM / 1024.0) as u64;
-    Needs { processes: 0, memory_mb, descriptors: 0 }
+    ResourceNeeds { processes: 0, memory_mb, descriptors: 0 }
 }
 
 /// Returns what the measurement starts and which resources it needs.
@@ -71,7 +71,7 @@
     let description = format!(
         "updates: {balancers:?} hollow balancers in turn, then {processes:?} processes, with {upstreams} upstreams"
     );
-    MeasurementPlan { description, needs: fleet_needs(parameters).or(processes::needs(parameters)) }
+    MeasurementPlan { description, needs: fleet_needs(parameters).max(processes::needs(parameters)) }
 }
 
 /// Measures hollow balancers, then processes.
@@ -120,7 +120,7 @@
         let with_slow = format!(
             "{hollow}; one in twenty stalls for {} of every {} ms",
             SLOW_BALANCERS.stall.as_millis(),
-            SLOW_BALANCERS.every.as_millis()
+            SLOW_BALANCERS.interval.as_millis()
         );
         let responses = Slope::new(
             "updates: burst of 200, answers a balancer",
@@ -214,5 +214,5 @@
 /// Returns the pause before a round. A round ends together with a stall, so the pauses differ, to make the changes at
 /// different phases of the following stall.
 fn pause_before(round: u32, rounds: u32) -> Duration {
-    SLOW_BALANCERS.every + SLOW_BALANCERS.every * round / rounds
+    SLOW_BALANCERS.interval + SLOW_BALANCERS.interval * round / rounds
 }
--- a/crates/cli/src/scale/updates/processes.rs
+++ b/crates/cli/src/scale/updates/processes.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 use zincstand_testbed::balancer::{Balancer, Settings, stop};
 use zincstand_testbed::discovery::{Discovery, Lifecycle, VersionChange};
-use zincstand_testbed::machine::Needs;
+use zincstand_testbed::machine::ResourceNeeds;
 
 use super::MEASURING_PROCESS_MB;
 use super::lag_slopes::LagSlopes;
@@ -31,10 +31,10 @@
 }
 
 /// Returns the resources that the largest number of processes needs.
-pub fn needs(parameters: &Parameters) -> Needs {
+pub fn needs(parameters: &Parameters) -> ResourceNeeds {
     let processes = process_counts(parameters).iter().copied().max().unwrap_or(0);
     let memory_mb = MEASURING_PROCESS_MB + u64::from(PROCESS_MEMORY_LIMIT_MB) * processes as u64;
-    Needs { processes, memory_mb, descriptors: 0 }
+    ResourceNeeds { processes, memory_mb, descriptors: 0 }
 }
 
 /// Measures the lag of single changes, for each number of processes.
@@ -45,7 +45,7 @@
     let mut slopes = LagSlopes::default();
     let mut changes = 0;
     for &processes in process_counts(parameters) {
-        let mut settings = Settings::alone(discovery.address());
+        let mut settings = Settings::for_single_balancer(discovery.address());
         settings.balancers = processes as u32;
         settings.memory_mb = PROCESS_MEMORY_LIMIT_MB;
         settings.drain_grace_ms = DRAIN_GRACE.as_millis() as u32;
--- a/crates/cli/src/scale/watched_discovery.rs
+++ b/crates/cli/src/scale/watched_discovery.rs
@@ -24,7 +24,7 @@
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// Slow balancers: one in twenty stalls for four fifths of the time.
 pub const SLOW_BALANCERS: SlowBalancers =
-    SlowBalancers { one_in: 20, stall: Duration::from_millis(200), every: Duration::from_millis(250) };
+    SlowBalancers { one_in: 20, stall: Duration::from_millis(200), interval: Duration::from_millis(250) };
 /// Number of descriptors reserved for other uses than the connections of the watchers.
 const RESERVED_DESCRIPTORS: u64 = 256;
 /// Assumed number of cores if it cannot be determined. The fleet has half as many threads.
--- a/crates/testbed/src/slope.rs
+++ b/crates/testbed/src/slope.rs
@@ -27,7 +27,7 @@
     pub r2: f64,
 }
 
-/// A fitted line, with the slopes of both halves of the points if they differ.
+/// A line fitted to points, and its bend if the slopes of the two halves of the points differ.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// The line through all points.
@@ -54,7 +54,7 @@
 }
 
 /// Fits a line by least squares. Returns `None` for fewer than two points or if x does not vary.
-pub fn line(points: &[Point]) -> Option<Line> {
+pub fn fit_line(points: &[Point]) -> Option<Line> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
@@ -69,22 +69,23 @@
     Some(Line { slope, intercept: mean_y - slope * mean_x, r2 })
 }
 
-/// Fits a line to points in any order, and compares the slopes of their halves if there are at least four. Returns `None`
-/// if there is no line.
+/// Fits a line to points in any order, and compares the slopes of their halves if there are at least four. Returns
+/// `None` if no line can be fitted.
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let mut sorted = points.to_vec();
     sorted.sort_by(|left, right| left.x.total_cmp(&right.x));
-    Some(Fit { line: line(&sorted)?, bend: bend(&sorted) })
+    Some(Fit { line: fit_line(&sorted)?, bend: find_bend(&sorted) })
 }
 
-/// Returns the slopes of the two halves of sorted points if they differ by more than [`BEND_THRESHOLD`].
-fn bend(sorted: &[Point]) -> Option<Bend> {
+/// Returns the slopes of the two halves of sorted points if they differ by more than [`BEND_THRESHOLD`] of the larger
+/// one.
+fn find_bend(sorted: &[Point]) -> Option<Bend> {
     if sorted.len() < MIN_POINTS_FOR_BEND {
         return None;
     }
     let half = sorted.len().div_ceil(2);
-    let lower = line(&sorted[..half])?.slope;
-    let upper = line(&sorted[sorted.len() - half..])?.slope;
-    let larger = lower.abs().max(upper.abs());
-    ((lower - upper).abs() > BEND_THRESHOLD * larger).then_some(Bend { lower, upper })
+    let lower = fit_line(&sorted[..half])?.slope;
+    let upper = fit_line(&sorted[sorted.len() - half..])?.slope;
+    let larger_slope = lower.abs().max(upper.abs());
+    ((lower - upper).abs() > BEND_THRESHOLD * larger_slope).then_some(Bend { lower, upper })
 }
