--- a/crates/cli/src/model/arguments.rs
+++ b/crates/cli/src/model/arguments.rs
@@ -1,4 +1,4 @@
-//! Parsers of arguments that several commands have in common.
+//! Parsers of arguments that several commands share.
 
 use std::ops::RangeInclusive;
 
@@ -12,10 +12,10 @@
 #[derive(Clone)]
 pub struct Policies(pub Vec<Kind>);
 
-/// Parses names of policies joined by commas, or `all`.
+/// Parses the names of policies, joined by commas, or `all`.
 ///
 /// # Errors
-/// Fails if no policy has one of the names; the message lists the policies.
+/// Fails if a name is not the name of a policy; the message lists the policies.
 pub fn parse_policies(names: &str) -> Result<Policies> {
     if names == ALL_POLICIES {
         return Ok(Policies(Kind::ALL.to_vec()));
@@ -38,7 +38,7 @@
         None => 1..=parse_seed(text)?,
     };
     if seeds.is_empty() {
-        bail!("the range contains no seed");
+        bail!("the range contains no seed: its first seed must not exceed its last");
     }
     Ok(seeds)
 }
--- a/crates/cli/src/model/columns.rs
+++ b/crates/cli/src/model/columns.rs
@@ -1,4 +1,4 @@
-//! Layout of tables: alignment, and columns that are declared with their title and their cell.
+//! Layout of tables: alignment, and columns that are declared with a title and a cell formatter.
 
 use comfy_table::{CellAlignment, Table, presets};
 
@@ -10,7 +10,7 @@
     pub cell: fn(&Row) -> String,
 }
 
-/// Returns a table without ruled lines. All columns but the first `text_columns` are aligned to the right.
+/// Returns a table without borders. All columns but the first `text_columns` are aligned to the right.
 pub fn new_table(header: &[&str], text_columns: usize) -> Table {
     let mut table = Table::new();
     table.load_style(presets::NOTHING).set_header(header.iter().copied());
--- a/crates/cli/src/model/compare.rs
+++ b/crates/cli/src/model/compare.rs
@@ -15,7 +15,7 @@
 
 /// Arguments of `zincstand model compare`.
 #[derive(Args)]
-pub struct Compare {
+pub struct CompareArgs {
     /// Rows of the baseline experiment
     #[arg(value_name = "A")]
     baseline: PathBuf,
@@ -28,7 +28,7 @@
     /// Policy whose rows of B are compared
     #[arg(long, default_value = "module")]
     policy_b: String,
-    /// Compare counted results: a result is zero if a rule was broken
+    /// Compare the counted results, which are zero for a scenario in which a rule was broken
     #[arg(long)]
     counted: bool,
     /// Print the comparison as JSON
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// Fails if a file has no rows of its policy, or if the rows cannot be compared.
-pub fn run(args: &Compare) -> Result<()> {
+pub fn run(args: &CompareArgs) -> Result<()> {
     let baseline = read_rows_of_policy(&args.baseline, &args.policy_a)?;
     let candidate = read_rows_of_policy(&args.candidate, &args.policy_b)?;
     let value = |row: &Row| if args.counted { row.counted } else { row.g };
@@ -48,11 +48,11 @@
     if args.json {
         return print(&serde_json::to_string(&comparison)?);
     }
-    print(&text(&comparison))
+    print(&format_comparison(&comparison))
 }
 
 /// Formats the comparison as tables of the differences by kind and of the largest differences.
-pub fn text(comparison: &Comparison) -> String {
+pub fn format_comparison(comparison: &Comparison) -> String {
     let unpaired = match comparison.unpaired {
         0 => String::new(),
         rows => format!("; {rows} rows are in only one of the files"),
--- a/crates/cli/src/model/depth.rs
+++ b/crates/cli/src/model/depth.rs
@@ -32,7 +32,7 @@
     /// Run shorter scenarios and fewer seeds
     #[arg(long)]
     pub quick: bool,
-    /// File for the complete result as JSON, with machine, revision and seed
+    /// Write the complete result to this file as JSON, with machine, revision and seed
     #[arg(long)]
     pub out: Option<PathBuf>,
 }
@@ -40,7 +40,7 @@
 /// Runs the depths, writes the result and prints it.
 ///
 /// # Errors
-/// Fails if the depths give no slope, if a scenario is invalid, or if the result cannot be written.
+/// Fails if the depths are too few or too small, if a scenario is invalid, or if the result cannot be written.
 pub fn run(args: &DepthArgs) -> Result<()> {
     let sizes = sizes(args)?;
     let scenarios = (sizes.tiers.len() * sizes.conditions.len()) as u64 * sizes.seeds;
@@ -60,11 +60,11 @@
     tiers.sort_unstable();
     tiers.dedup();
     if tiers.len() < MIN_DEPTHS || tiers[0] < MIN_TIERS {
-        bail!("--tiers needs at least four different depths of at least two tiers");
+        bail!("--tiers must have at least four different depths, each of at least two tiers");
     }
-    let standard = if args.quick { Sizes::quick() } else { Sizes::default() };
-    let seeds = args.seeds.unwrap_or(standard.seeds).clamp(1, MAX_SEEDS);
-    Ok(Sizes { tiers, seeds, ..standard })
+    let defaults = if args.quick { Sizes::quick() } else { Sizes::default() };
+    let seeds = args.seeds.unwrap_or(defaults.seeds).clamp(1, MAX_SEEDS);
+    Ok(Sizes { tiers, seeds, ..defaults })
 }
 
 /// Columns of the table of conditions and depths.
@@ -92,7 +92,7 @@
     },
     Column { title: "intercept", cell: |slope| format!("{:.4}", slope.amplification.intercept) },
     Column { title: "r2", cell: |slope| format!("{:.3}", slope.amplification.r2) },
-    Column { title: "lower, upper half", cell: |slope| halves(&slope.amplification) },
+    Column { title: "lower, upper half", cell: |slope| half_slopes(&slope.amplification) },
     Column { title: "goodput per tier", cell: |slope| format!("{:.5}", slope.goodput.slope) },
     Column { title: "r2", cell: |slope| format!("{:.3}", slope.goodput.r2) },
 ];
@@ -122,14 +122,14 @@
          time left             {}\n  wasted work           {}",
         row.condition.name(),
         row.tiers,
-        joined(&row.amplification),
-        joined(&row.time_left),
-        joined(&row.wasted)
+        join_values(&row.amplification),
+        join_values(&row.time_left),
+        join_values(&row.wasted)
     )
 }
 
 /// Formats values with two decimals, separated by spaces.
-fn joined(values: &[f64]) -> String {
+fn join_values(values: &[f64]) -> String {
     let values: Vec<String> = values.iter().map(|value| format!("{value:.2}")).collect();
     values.join(" ")
 }
@@ -139,7 +139,7 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
-/// Formats a value with three decimals; a missing value is 0.
+/// Formats a value with three decimals, or 0 if it is missing.
 fn or_zero(value: Option<&f64>) -> String {
     format!("{:.3}", value.copied().unwrap_or(0.0))
 }
@@ -150,6 +150,6 @@
 }
 
 /// Formats the slopes of the lower and the upper half of the points.
-fn halves(fit: &Fit) -> String {
+fn half_slopes(fit: &Fit) -> String {
     format!("{:.5}, {:.5}", fit.lower, fit.upper)
 }
--- a/crates/cli/src/model/experiment.rs
+++ b/crates/cli/src/model/experiment.rs
@@ -1,4 +1,4 @@
-//! `zincstand model experiment`: runs many scenarios, and writes and reads the file of their rows.
+//! `zincstand model experiment`: runs many scenarios, writes their result rows to a file, and reads such files.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, BufWriter, Write};
@@ -17,7 +17,7 @@
 
 /// Arguments of `zincstand model experiment`.
 #[derive(Args)]
-pub struct Experiment {
+pub struct ExperimentArgs {
     /// Kinds of scenarios, joined by commas
     #[arg(long, value_delimiter = ',', default_values = catalog::STANDARD)]
     kinds: Vec<String>,
@@ -33,7 +33,7 @@
     /// Label of the rows, such as a revision or the name of a variation
     #[arg(long, default_value = "here")]
     label: String,
-    /// File for the rows; without it only the table is printed
+    /// Write the rows to this file; without it only the table is printed
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -41,25 +41,25 @@
 /// Runs the scenarios on all cores, writes their rows and prints a summary.
 ///
 /// # Errors
-/// Fails if no kind has one of the names, if a scenario is invalid, or if the rows cannot be written.
-pub fn run(args: &Experiment) -> Result<()> {
+/// Fails if a kind does not exist, if a scenario is invalid, or if the rows cannot be written.
+pub fn run(args: &ExperimentArgs) -> Result<()> {
     let cells = cells(args)?;
     // The file is opened before the scenarios run: otherwise a bad path would discard the results of the experiment.
-    let output = args.out.as_deref().map(create).transpose()?;
+    let output = args.out.as_deref().map(create_file).transpose()?;
     let bar = progress_bar(cells.len() as u64);
-    let began = Instant::now();
+    let started = Instant::now();
     let rows = experiment::run(&args.label, &cells, || bar.inc(1))?;
     bar.finish_and_clear();
     if let Some(file) = output {
-        write_rows(file, &rows).context("cannot write the rows")?;
+        write_rows(file, &rows).context("cannot write the rows of the experiment")?;
     }
     print(&experiment_table(&rows))?;
-    eprintln!("{} scenarios in {:.1} s", rows.len(), began.elapsed().as_secs_f64());
+    eprintln!("{} scenarios in {:.1} s", rows.len(), started.elapsed().as_secs_f64());
     Ok(())
 }
 
-/// Returns every combination of kind, seed and policy.
-fn cells(args: &Experiment) -> Result<Vec<Cell>> {
+/// Returns the cells of the experiment: every combination of kind, seed and policy.
+fn cells(args: &ExperimentArgs) -> Result<Vec<Cell>> {
     let mut cells = Vec::new();
     for kind in &args.kinds {
         // An unknown kind must be rejected before any scenario runs.
@@ -74,7 +74,7 @@
 }
 
 /// Creates the file for the rows.
-fn create(path: &Path) -> Result<File> {
+fn create_file(path: &Path) -> Result<File> {
     File::create(path).with_context(|| format!("cannot write {}", path.display()))
 }
 
@@ -89,10 +89,10 @@
     Ok(())
 }
 
-/// Reads the rows of an experiment's file.
+/// Reads the rows from the file of an experiment.
 ///
 /// # Errors
-/// Fails if the file cannot be read or has no rows, or if a line is not a row; the message has the line's number.
+/// Fails if the file cannot be read or has no rows, or if a line is not a row; the message has the line number.
 pub fn read_rows(path: &Path) -> Result<Vec<Row>> {
     let cannot_read = || format!("cannot read {}", path.display());
     let file = File::open(path).with_context(cannot_read)?;
@@ -102,9 +102,9 @@
         if line.trim().is_empty() {
             continue;
         }
-        let number = index + 1;
+        let line_number = index + 1;
         let row = serde_json::from_str(&line).map_err(|error| {
-            anyhow!("{}, line {number}: not a row of an experiment: {error}", path.display())
+            anyhow!("{}, line {line_number}: not a row of an experiment: {error}", path.display())
         })?;
         rows.push(row);
     }
@@ -114,7 +114,7 @@
     Ok(rows)
 }
 
-/// Reads the rows of one policy from an experiment's file.
+/// Reads the rows of one policy from the file of an experiment.
 ///
 /// # Errors
 /// Fails like [`read_rows`], or if the policy has no rows.
--- a/crates/cli/src/model/experiment_table.rs
+++ b/crates/cli/src/model/experiment_table.rs
@@ -6,9 +6,9 @@
 
 use crate::model::columns::new_table;
 
-/// Policy that an experiment scores.
+/// Policy whose results are scored.
 const SCORED_POLICY: &str = "module";
-/// Name of the last line, which covers all kinds.
+/// Name of the table's last line, which covers all kinds.
 const ALL_KINDS: &str = "all";
 /// Scores below this value are counted as low.
 const LOW_SCORE: f64 = 0.5;
--- a/crates/cli/src/model/explain.rs
+++ b/crates/cli/src/model/explain.rs
@@ -15,13 +15,13 @@
 
 /// Arguments of `zincstand model explain`.
 #[derive(Args)]
-pub struct Explain {
+pub struct ExplainArgs {
     #[command(flatten)]
     source: ScenarioSource,
     /// Policy of every balancer
     #[arg(long, default_value = "module")]
     policy: Kind,
-    /// Maximum number of lines of the tables of servers and seconds
+    /// Maximum number of lines in each of the tables of servers and seconds
     #[arg(long, default_value_t = 12)]
     lines: usize,
 }
@@ -30,11 +30,11 @@
 ///
 /// # Errors
 /// Fails if the scenario cannot be read or is invalid.
-pub fn run(args: &Explain) -> Result<()> {
+pub fn run(args: &ExplainArgs) -> Result<()> {
     let scenario = args.source.scenario()?;
     let run = run_scenario(&scenario, args.policy, true)?;
     let result = tables::result_of_run(&scenario, args.policy, &run);
-    print(&format!("{result}\n{}", losses(&run, args.lines)))
+    print(&format!("{result}\n{}", loss_tables(&run, args.lines)))
 }
 
 /// Sum of the losses that have the same key.
@@ -45,7 +45,7 @@
     pub utility: f64,
 }
 
-/// Sums losses by a key. The largest sum is first.
+/// Sums losses by key, and returns the sums in descending order.
 pub fn sum_by<'a, K: Ord>(
     losses: impl IntoIterator<Item = &'a Loss>,
     key: impl Fn(&Loss) -> K,
@@ -61,7 +61,7 @@
 }
 
 /// Formats the losses by cause, server and second.
-fn losses(run: &ScenarioRun, lines: usize) -> String {
+fn loss_tables(run: &ScenarioRun, lines: usize) -> String {
     format!(
         "Utility lost, as a share of the utility offered:\n{}\n\n{}\n\nSeconds with the largest losses:\n{}",
         causes_table(run),
@@ -83,8 +83,8 @@
 fn servers_table(run: &ScenarioRun, lines: usize) -> String {
     let losses = &run.detail.losses;
     let mut table = new_table(&["server", "main cause", "utility lost"], 2);
-    let at_servers = losses.iter().filter(|loss| loss.server.is_some());
-    for sum in sum_by(at_servers, |loss| loss.server).into_iter().take(lines) {
+    let losses_at_servers = losses.iter().filter(|loss| loss.server.is_some());
+    for sum in sum_by(losses_at_servers, |loss| loss.server).into_iter().take(lines) {
         let cause = main_cause(losses.iter().filter(|loss| loss.server == sum.key));
         let tier = sum
             .key
@@ -106,15 +106,15 @@
     worst_seconds.sort_unstable_by_key(|sum| sum.key);
     for sum in worst_seconds {
         let cause = main_cause(losses.iter().filter(|loss| loss.second == sum.key));
-        let ends = run.detail.seconds.get(sum.key).copied().unwrap_or_default();
+        let outcomes = run.detail.seconds.get(sum.key).copied().unwrap_or_default();
         table.add_row([
             sum.key.to_string(),
             cause.name().to_owned(),
             percent(sum.utility),
-            ends.served.to_string(),
-            ends.late.to_string(),
-            ends.rejected.to_string(),
-            ends.failed.to_string(),
+            outcomes.served.to_string(),
+            outcomes.late.to_string(),
+            outcomes.rejected.to_string(),
+            outcomes.failed.to_string(),
         ]);
     }
     table.to_string()
--- a/crates/cli/src/model/failures.rs
+++ b/crates/cli/src/model/failures.rs
@@ -11,16 +11,16 @@
 use crate::model::output::print;
 use crate::model::provenance::Measured;
 
-/// Numbers of servers in the scenarios that measure the cost of an event.
-const KNOWN_SERVERS: [u32; 5] = [10, 34, 200, 600, 2_000];
+/// Numbers of servers that each balancer knows in the scenarios that measure the cost of an event.
+const KNOWN_SERVER_COUNTS: [u32; 5] = [10, 34, 200, 600, 2_000];
 /// Largest of these numbers that `--quick` runs.
-const MAX_KNOWN_IF_QUICK: u32 = 600;
+const MAX_KNOWN_SERVERS_IF_QUICK: u32 = 600;
 /// Maximum number of servers. Memory grows with its square: each server has a balancer that knows all servers.
 const MAX_SERVERS: u32 = 4_000;
-/// Valid rates, in calls per second to a balancer. The design plans for the upper bound.
-const RATES: std::ops::RangeInclusive<f64> = 0.5..=225.0;
-/// Smallest run time by which a share of time is divided, in seconds.
-const MIN_SECONDS: f64 = 1e-9;
+/// Valid rates, in calls per second to each balancer. The design plans for the upper bound.
+const VALID_CALLS_PER_S: std::ops::RangeInclusive<f64> = 0.5..=225.0;
+/// Minimum run time as a divisor, in seconds: it prevents a division by zero.
+const MIN_RUN_TIME_S: f64 = 1e-9;
 
 /// Arguments of `zincstand model failures`.
 #[derive(Args)]
@@ -37,20 +37,21 @@
     /// Run a tenth of the fleet, and measure the cost of an event at the smaller sizes only
     #[arg(long)]
     pub quick: bool,
-    /// File for the complete result as JSON, with machine, revision and seed
+    /// Write the complete result to this file as JSON, with machine, revision and seed
     #[arg(long)]
     pub out: Option<PathBuf>,
 }
 
-/// Runs the failures, writes the result and prints it.
+/// Runs the scenarios of failures, writes the result and prints it.
 ///
 /// # Errors
 /// Fails if the rate is out of range, if a scenario is invalid, or if the result cannot be written.
 pub fn run(args: &FailuresArgs) -> Result<()> {
     let sizes = sizes(args)?;
-    let known = known_servers(args.quick);
-    let scenarios = (known.len() + sizes.failures.len()) as u64;
-    let measured = Measured::run(scenarios, |bar| failures::run(args.seed, &sizes, &known, || bar.inc(1)))?;
+    let known_servers = known_server_counts(args.quick);
+    let scenarios = (known_servers.len() + sizes.failures.len()) as u64;
+    let measured =
+        Measured::run(scenarios, |bar| failures::run(args.seed, &sizes, &known_servers, || bar.inc(1)))?;
     if let Some(path) = &args.out {
         measured.write(path, "failures")?;
     }
@@ -62,21 +63,25 @@
 
 /// Returns the sizes to run, from the arguments and the defaults of the model.
 fn sizes(args: &FailuresArgs) -> Result<Sizes> {
-    let standard = if args.quick { Sizes::quick() } else { Sizes::default() };
-    let rate = args.rate.unwrap_or(standard.rate);
-    if !RATES.contains(&rate) {
-        bail!("--rate must be between {} and {} calls per second", RATES.start(), RATES.end());
+    let defaults = if args.quick { Sizes::quick() } else { Sizes::default() };
+    let rate = args.rate.unwrap_or(defaults.rate);
+    if !VALID_CALLS_PER_S.contains(&rate) {
+        bail!(
+            "--rate must be between {} and {} calls per second, but it is {rate}",
+            VALID_CALLS_PER_S.start(),
+            VALID_CALLS_PER_S.end()
+        );
     }
-    Ok(Sizes { servers: args.servers.unwrap_or(standard.servers), rate, ..standard })
+    Ok(Sizes { servers: args.servers.unwrap_or(defaults.servers), rate, ..defaults })
 }
 
 /// Returns the numbers of servers at which the cost of an event is measured.
-fn known_servers(quick: bool) -> Vec<u32> {
-    let mut known = KNOWN_SERVERS.to_vec();
+fn known_server_counts(quick: bool) -> Vec<u32> {
+    let mut counts = KNOWN_SERVER_COUNTS.to_vec();
     if quick {
-        known.retain(|servers| *servers <= MAX_KNOWN_IF_QUICK);
+        counts.retain(|servers| *servers <= MAX_KNOWN_SERVERS_IF_QUICK);
     }
-    known
+    counts
 }
 
 /// Columns of the table of failures.
@@ -87,8 +92,8 @@
     Column { title: "goodput before", cell: |row| format!("{:.3}", row.goodput_before) },
     Column { title: "lowest goodput", cell: |row| format!("{:.3}", row.lowest_goodput) },
     Column { title: "at", cell: |row| format!("{} s", row.lowest_at) },
-    Column { title: "s to 90%", cell: |row| seconds(row.recovered) },
-    Column { title: "s to 90% after its end", cell: |row| seconds(row.recovered_after_end) },
+    Column { title: "s to 90%", cell: |row| recovery_time(row.recovered) },
+    Column { title: "s to 90% after its end", cell: |row| recovery_time(row.recovered_after_end) },
     Column { title: "collapsed", cell: |row| row.collapsed.to_string() },
     Column { title: "rules broken", cell: |row| format!("{} {:?}", row.broken, row.rules) },
     Column { title: "discovery messages, busiest second", cell: |row| row.messages.to_string() },
@@ -123,11 +128,11 @@
 
 /// Returns the percentage of the run time that the decision module took.
 fn module_percent(row: &Row) -> f64 {
-    100.0 * row.module_seconds / row.seconds.max(MIN_SECONDS)
+    100.0 * row.module_seconds / row.seconds.max(MIN_RUN_TIME_S)
 }
 
-/// Formats a time until recovery.
-fn seconds(seconds: Option<f64>) -> String {
+/// Formats the time until recovery, in seconds.
+fn recovery_time(seconds: Option<f64>) -> String {
     seconds.map_or("never".to_owned(), |seconds| format!("{seconds:.0}"))
 }
 
--- a/crates/cli/src/model/plots/canvas.rs
+++ b/crates/cli/src/model/plots/canvas.rs
@@ -42,10 +42,10 @@
 /// A chart whose horizontal axis is continuous; `Vertical` is the type of the other axis.
 pub type Chart<'a, 'b, Vertical> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, Vertical>>;
 
-/// Draws an SVG on a white ground; `width` and `height` are in pixels.
+/// Draws an SVG on a white background; `width` and `height` are in pixels.
 ///
 /// # Errors
-/// The error of `draw`, or of the canvas.
+/// Fails with the error of `draw` or of the canvas.
 pub fn svg(width: u32, height: u32, draw: impl FnOnce(&Canvas<'_>) -> Result<()>) -> Result<String> {
     let mut text = String::new();
     {
--- a/crates/cli/src/model/plots/comparison.rs
+++ b/crates/cli/src/model/plots/comparison.rs
@@ -24,27 +24,27 @@
 const NAME_TOP_TO_MIDDLE: i32 = 6;
 /// Half the height of the bar that marks a mean, as a fraction of a line.
 const MEAN_BAR_HALF_HEIGHT: f64 = 0.35;
-/// Smallest half of the range of differences. An axis cannot be drawn over an empty range.
+/// Minimum bound of the range of differences, which is symmetric around zero: an axis cannot have an empty range.
 const MIN_DIFFERENCE_RANGE: f64 = 0.001;
 
 /// Values of one kind of scenario.
-pub struct Group {
+pub struct KindValues {
     /// Name of the kind.
-    pub name: String,
+    pub kind: String,
     /// One value for each scenario.
     pub values: Vec<f64>,
 }
 
-/// Draws a line for each group, with a dot for each value and a bar at the mean.
+/// Draws a line for each kind of scenario, with a dot for each value and a bar at the mean.
 ///
 /// Values outside of `range` are drawn at its nearer end.
-pub fn spread(caption: &str, groups: &[Group], range: Range<f64>) -> Result<String> {
-    svg(WIDTH, plot_height(groups.len()), |canvas| {
-        let mut chart = line_chart(canvas, caption, range.clone(), groups.len().max(1))?;
-        for (line, Group { name, values }) in groups.iter().enumerate() {
-            let middle = line_middle(groups.len(), line);
+pub fn spread(caption: &str, kinds: &[KindValues], range: Range<f64>) -> Result<String> {
+    svg(WIDTH, plot_height(kinds.len()), |canvas| {
+        let mut chart = line_chart(canvas, caption, range.clone(), kinds.len().max(1))?;
+        for (line, KindValues { kind, values }) in kinds.iter().enumerate() {
+            let middle = line_middle(kinds.len(), line);
             let clamped = |value: f64| value.clamp(range.start, range.end);
-            draw_name(canvas, &chart, name, range.start, middle)?;
+            draw_name(canvas, &chart, kind, range.start, middle)?;
             let dot = |value: &f64| Circle::new((clamped(*value), middle), 3, BLUE.mix(0.35).filled());
             chart.draw_series(values.iter().map(dot)).map_err(draw_error)?;
             let mean = clamped(values.iter().sum::<f64>() / values.len().max(1) as f64);
@@ -55,7 +55,7 @@
     })
 }
 
-/// The difference of one kind of scenario, or of all.
+/// Mean difference of one kind of scenario, or of all kinds.
 struct NamedEstimate<'a> {
     name: &'a str,
     estimate: Estimate,
--- a/crates/cli/src/model/plots/concurrency_limits.rs
+++ b/crates/cli/src/model/plots/concurrency_limits.rs
@@ -1,4 +1,4 @@
-//! The plot of concurrency limits beside the requests in flight, by tier.
+//! The plot of concurrency limits and requests in flight, by tier.
 
 use anyhow::Result;
 use plotters::element::PathElement;
@@ -11,11 +11,11 @@
 
 /// Width of a line, in pixels.
 const LINE_WIDTH: u32 = 2;
-/// Length of the line beside each name in the legend, in pixels.
+/// Length of the line next to each name in the legend, in pixels.
 const LEGEND_LINE_LENGTH: i32 = 14;
 
-/// A line over time.
-struct TimeLine {
+/// A named series of values over time.
+struct TimeSeries {
     name: String,
     colour: RGBColor,
     /// One value for each second.
@@ -24,15 +24,15 @@
 
 /// Draws, for a mean server of each tier, the sum of all balancers' concurrency limits and the requests in flight.
 pub fn concurrency_limits(samples: &[Vec<Sample>]) -> Result<String> {
-    let lines = lines_by_tier(samples);
-    let highest = lines.iter().flat_map(|line| &line.values).copied().fold(1.0, f64::max);
+    let all_series = series_by_tier(samples);
+    let highest = all_series.iter().flat_map(|series| &series.values).copied().fold(1.0, f64::max);
     let timeline = Timeline {
         caption: "Mean server by tier: sum of the balancers' concurrency limits, and requests in flight",
         seconds: samples.len(),
         requests: 0.0..highest * 1.25,
     };
     timeline.draw(|chart| {
-        for TimeLine { name, colour, values } in &lines {
+        for TimeSeries { name, colour, values } in &all_series {
             let style = colour.stroke_width(LINE_WIDTH);
             let points = values.iter().enumerate().map(|(second, value)| (second as f64 + 0.5, *value));
             chart
@@ -47,23 +47,23 @@
     })
 }
 
-/// Returns the two lines of each tier: concurrency limit and requests in flight.
-fn lines_by_tier(samples: &[Vec<Sample>]) -> Vec<TimeLine> {
+/// Returns the two series of each tier: concurrency limit and requests in flight.
+fn series_by_tier(samples: &[Vec<Sample>]) -> Vec<TimeSeries> {
     let tiers = samples.iter().flatten().map(|sample| sample.tier + 1).max().unwrap_or(0);
-    let mut lines = Vec::new();
+    let mut all_series = Vec::new();
     for tier in 0..tiers {
-        lines.push(TimeLine {
+        all_series.push(TimeSeries {
             name: format!("concurrency limit, tier {tier}"),
             colour: tier_shade(BLUE, tier),
             values: tier_means(samples, tier, |sample| sample.window),
         });
-        lines.push(TimeLine {
+        all_series.push(TimeSeries {
             name: format!("in flight, tier {tier}"),
             colour: tier_shade(GREEN, tier),
             values: tier_means(samples, tier, |sample| f64::from(sample.in_flight)),
         });
     }
-    lines
+    all_series
 }
 
 /// Returns, for each second, the mean of `value` over the servers of the tier that are up.
@@ -76,7 +76,7 @@
     samples.iter().map(mean).collect()
 }
 
-/// Returns the full colour for the first tier and a paler shade for the tiers below.
+/// Returns the full colour for the first tier, and a paler shade for all other tiers.
 fn tier_shade(colour: RGBColor, tier: usize) -> RGBColor {
     if tier == 0 {
         return colour;
--- a/crates/cli/src/model/plots/mod.rs
+++ b/crates/cli/src/model/plots/mod.rs
@@ -7,7 +7,7 @@
 mod servers;
 mod timeline;
 
-pub use comparison::{Group, differences, spread};
+pub use comparison::{KindValues, differences, spread};
 pub use concurrency_limits::concurrency_limits;
-pub use requests::seconds;
+pub use requests::requests_by_outcome;
 pub use servers::{circuit_breakers, latencies, servers};
--- a/crates/cli/src/model/plots/requests.rs
+++ b/crates/cli/src/model/plots/requests.rs
@@ -13,24 +13,24 @@
 /// Width of a colour sample in the legend, in pixels.
 const LEGEND_WIDTH: i32 = 12;
 
-/// One outcome of requests, as a part of each second's bar.
-struct BarPart {
+/// Segment of each second's bar: the requests of one outcome.
+struct BarSegment {
     name: &'static str,
     colour: RGBColor,
     count: fn(&Second) -> u32,
 }
 
-/// The parts of a bar, from bottom to top.
-const BAR_PARTS: [BarPart; 4] = [
-    BarPart { name: "served", colour: GREEN, count: |second| second.served },
-    BarPart { name: "late", colour: YELLOW, count: |second| second.late },
-    BarPart { name: "rejected", colour: BLUE, count: |second| second.rejected },
-    BarPart { name: "failed", colour: RED, count: |second| second.failed },
+/// Segments of a bar, from bottom to top.
+const BAR_SEGMENTS: [BarSegment; 4] = [
+    BarSegment { name: "served", colour: GREEN, count: |second| second.served },
+    BarSegment { name: "late", colour: YELLOW, count: |second| second.late },
+    BarSegment { name: "rejected", colour: BLUE, count: |second| second.rejected },
+    BarSegment { name: "failed", colour: RED, count: |second| second.failed },
 ];
 
-/// Draws a bar for each second, stacked from the number of requests of each outcome.
-pub fn seconds(seconds: &[Second]) -> Result<String> {
-    let total = |second: &Second| BAR_PARTS.iter().map(|part| (part.count)(second)).sum::<u32>();
+/// Draws a bar for each second: the numbers of requests by outcome, stacked.
+pub fn requests_by_outcome(seconds: &[Second]) -> Result<String> {
+    let total = |second: &Second| BAR_SEGMENTS.iter().map(|segment| (segment.count)(second)).sum::<u32>();
     let highest = seconds.iter().map(total).max().unwrap_or(1).max(1);
     let timeline = Timeline {
         caption: "Requests by the second in which they arrived",
@@ -39,7 +39,7 @@
     };
     timeline.draw(|chart| {
         let mut tops = vec![0; seconds.len()];
-        for BarPart { name, colour, count } in BAR_PARTS {
+        for BarSegment { name, colour, count } in BAR_SEGMENTS {
             let bars = seconds.iter().zip(&mut tops).enumerate().map(|(index, (second, top))| {
                 let bottom = *top;
                 *top += count(second);
--- a/crates/cli/src/model/plots/timeline.rs
+++ b/crates/cli/src/model/plots/timeline.rs
@@ -1,4 +1,4 @@
-//! The frame that the plots over the seconds of a scenario share: axes, titles and legend.
+//! Frame of the plots over the seconds of a scenario: caption, axes and legend.
 
 use std::ops::Range;
 
--- a/crates/cli/src/model/provenance.rs
+++ b/crates/cli/src/model/provenance.rs
@@ -27,14 +27,14 @@
 }
 
 impl Provenance {
-    /// Returns the origin of a result whose computation began at `began` and has just ended.
-    pub fn since(began: Instant) -> Provenance {
+    /// Returns the origin of a result whose computation started at `started` and has just ended.
+    pub fn since(started: Instant) -> Provenance {
         Provenance {
             cores: std::thread::available_parallelism().map_or(1, usize::from),
             cpu: proc_value("/proc/cpuinfo", "model name").unwrap_or_else(|| "unknown".to_owned()),
             revision: revision(),
             peak_memory: peak_memory(),
-            seconds: began.elapsed().as_secs_f64(),
+            seconds: started.elapsed().as_secs_f64(),
         }
     }
 
@@ -53,35 +53,35 @@
 }
 
 impl<T: Serialize> Measured<T> {
-    /// Runs a measurement, which advances the given progress bar by each of its `scenarios`.
+    /// Runs a measurement, which advances the progress bar once for each of its `scenarios`.
     ///
     /// # Errors
-    /// The error of the measurement.
+    /// Fails with the error of the measurement.
     pub fn run<E>(
         scenarios: u64,
         measurement: impl FnOnce(&ProgressBar) -> Result<T, E>,
     ) -> Result<Measured<T>, E> {
         let bar = progress_bar(scenarios);
-        let began = Instant::now();
+        let started = Instant::now();
         let result = measurement(&bar)?;
         bar.finish_and_clear();
-        Ok(Measured { result, provenance: Provenance::since(began) })
+        Ok(Measured { result, provenance: Provenance::since(started) })
     }
 
-    /// Writes the result with its origin as JSON; `name` says which measurement it is.
+    /// Writes the result with its origin as JSON; `name` is the name of the measurement.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Fails if the file cannot be written.
     pub fn write(&self, path: &Path, name: &str) -> Result<()> {
         let cannot_write = || format!("cannot write {}", path.display());
         let file = File::create(path).with_context(cannot_write)?;
-        // Stored results fix the keys of the document.
+        // Stored results have these keys, so they must not change.
         let document = serde_json::json!({ "what": name, "source": self.provenance, "result": self.result });
         serde_json::to_writer_pretty(file, &document).with_context(cannot_write)
     }
 }
 
-/// Returns the value of the first line `key: value` of a file of the kernel; `None` if there is no such line.
+/// Returns the value of the first line `key: value` of a file in `/proc`, or `None` if there is no such line.
 fn proc_value(file: &str, key: &str) -> Option<String> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text.lines().find(|line| line.starts_with(key))?;
--- a/crates/cli/src/model/report.rs
+++ b/crates/cli/src/model/report.rs
@@ -13,18 +13,18 @@
 use crate::model::experiment::{read_rows, read_rows_of_policy};
 use crate::model::experiment_table::experiment_table;
 use crate::model::output::print;
-use crate::model::plots::{self, Group};
+use crate::model::plots::{self, KindValues};
 use crate::model::source::ScenarioSource;
 use crate::model::{compare, explain, tables};
 
 /// Policy whose rows are drawn and compared.
 const REPORTED_POLICY: &str = "module";
-/// Range of scores and results.
+/// Range of the axis of scores and results.
 const SCORE_RANGE: std::ops::Range<f64> = 0.0..1.0;
 
 /// Arguments of `zincstand model report`.
 #[derive(Args)]
-pub struct Report {
+pub struct ReportArgs {
     #[command(flatten)]
     source: ScenarioSource,
     /// Policy of every balancer
@@ -36,12 +36,12 @@
     /// Rows of the baseline that the experiment is compared with
     #[arg(long, requires = "experiment")]
     against: Option<PathBuf>,
-    /// File for the page
+    /// Write the page to this file
     #[arg(long, default_value = "report.html")]
     out: PathBuf,
 }
 
-/// Style sheet of the page, which must not depend on any other file.
+/// Style sheet that is embedded in the page, so that the page does not depend on another file.
 const STYLE: &str = "body{font:15px/1.45 sans-serif;max-width:940px;margin:2em auto;padding:0 1em;color:#222}\
 pre{font:13px/1.35 monospace;overflow-x:auto;background:#f6f6f4;padding:.8em}svg{max-width:100%;height:auto}\
 h1{font-size:1.5em}h2{font-size:1.15em;margin-top:2em}";
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// Fails if the scenario or a file of rows cannot be read, or if the page cannot be written.
-pub fn run(args: &Report) -> Result<()> {
+pub fn run(args: &ReportArgs) -> Result<()> {
     let scenario = args.source.scenario()?;
     let run = run_scenario(&scenario, args.policy, true)?;
     let title = escape(&format!("{}, {}", scenario.name, args.policy.name()));
@@ -83,7 +83,7 @@
     for sum in explain::sum_by(&run.detail.losses, |loss| loss.cause) {
         losses.push(format!("{:<22}{}", sum.key.name(), explain::percent(sum.utility)));
     }
-    let mut sections = section("The scenario", result, &[plots::seconds(&run.detail.seconds)?]);
+    let mut sections = section("The scenario", result, &[plots::requests_by_outcome(&run.detail.seconds)?]);
     sections.push_str(&section("Servers, concurrency limits, circuit breakers", "", &server_plots));
     sections.push_str(&section("Utility lost by cause", &losses.join("\n"), &[]));
     Ok(sections)
@@ -101,41 +101,41 @@
     let candidate = read_rows_of_policy(candidate, REPORTED_POLICY)?;
     let comparison = Comparison::of(&baseline, &candidate, |row| row.g).map_err(|error| anyhow!(error))?;
     let plot = plots::differences(&comparison)?;
-    Ok(section("Scenario by scenario", &compare::text(&comparison), &[plot]))
+    Ok(section("Scenario by scenario", &compare::format_comparison(&comparison), &[plot]))
 }
 
 /// Draws the scores by kind, if the rows have both bounds of a score, and the results by kind.
 fn score_plots(rows: &[Row]) -> Result<Vec<String>> {
     let scores = scores(rows);
-    let scores = groups_by_kind(&scores, |score| score.kind, |score| score.score);
+    let scores = values_by_kind(&scores, |score| score.kind, |score| score.score);
     let reported = rows.iter().filter(|row| row.policy == REPORTED_POLICY);
-    let results = groups_by_kind(reported, |row| &row.kind, |row| row.g);
-    let mut drawn = Vec::new();
+    let results = values_by_kind(reported, |row| &row.kind, |row| row.g);
+    let mut svgs = Vec::new();
     if !scores.is_empty() {
-        drawn.push(plots::spread(
+        svgs.push(plots::spread(
             "Score of the module: its position between lower and upper bound",
             &scores,
             SCORE_RANGE,
         )?);
     }
     if !results.is_empty() {
-        drawn.push(plots::spread("Result G of the module", &results, SCORE_RANGE)?);
+        svgs.push(plots::spread("Result G of the module", &results, SCORE_RANGE)?);
     }
-    Ok(drawn)
+    Ok(svgs)
 }
 
 /// Groups the values of the entries by their kind, in alphabetical order of the kinds.
-fn groups_by_kind<'a, Entry: 'a>(
+fn values_by_kind<'a, Entry: 'a>(
     entries: impl IntoIterator<Item = &'a Entry>,
     kind: fn(&'a Entry) -> &'a str,
     value: fn(&Entry) -> f64,
-) -> Vec<Group> {
-    let mut groups: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+) -> Vec<KindValues> {
+    let mut by_kind: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for entry in entries {
-        groups.entry(kind(entry)).or_default().push(value(entry));
+        by_kind.entry(kind(entry)).or_default().push(value(entry));
     }
-    let group = |(kind, values): (&str, Vec<f64>)| Group { name: kind.to_owned(), values };
-    groups.into_iter().map(group).collect()
+    let named = |(kind, values): (&str, Vec<f64>)| KindValues { kind: kind.to_owned(), values };
+    by_kind.into_iter().map(named).collect()
 }
 
 /// Formats a section of the page: a heading, preformatted text unless it is empty, and plots.
@@ -152,7 +152,7 @@
     section
 }
 
-/// Escapes the characters that have a meaning in HTML text.
+/// Escapes the characters that have a special meaning in HTML text.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/crates/cli/src/model/run.rs
+++ b/crates/cli/src/model/run.rs
@@ -11,7 +11,7 @@
 
 /// Arguments of `zincstand model run`.
 #[derive(Args)]
-pub struct Run {
+pub struct RunArgs {
     #[command(flatten)]
     source: ScenarioSource,
     /// Policies joined by commas: module, random, round-robin, two-choices, least-in-flight, oracle; or all
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Fails if the scenario cannot be read or is invalid.
-pub fn run(args: &Run) -> Result<()> {
+pub fn run(args: &RunArgs) -> Result<()> {
     let scenario = args.source.scenario()?;
     let mut results = Vec::new();
     for policy in &args.policy.0 {
@@ -37,7 +37,7 @@
         return print(&tables::results(&scenario, &results));
     }
     for PolicyResult { policy, result } in results {
-        // Stored results fix the keys of the line; `day` is the former word for a scenario.
+        // Stored results have these keys, so they must not change; `day` is the former word for a scenario.
         let line = serde_json::json!({ "day": scenario.name, "policy": policy, "result": result });
         print(&line.to_string())?;
     }
--- a/crates/cli/src/model/slow_start.rs
+++ b/crates/cli/src/model/slow_start.rs
@@ -12,21 +12,21 @@
 
 /// Arguments of `zincstand model slow-start`.
 #[derive(Args)]
-pub struct SlowStart {
+pub struct SlowStartArgs {
     /// Numbers of balancers, joined by commas
     #[arg(long, value_delimiter = ',', default_values_t = [2, 8, 30, 100, 300])]
     balancers: Vec<u32>,
-    /// Scenarios for each shape and number of balancers
+    /// Number of scenarios for each shape and number of balancers
     #[arg(long, default_value_t = 200)]
     seeds: u64,
-    /// Multiple of its capacity at which a server that is warming up collapses, in place of the site's value
+    /// Multiple of its capacity at which a server that is warming up collapses, instead of the value in the site's rules
     #[arg(long)]
     overload_factor: Option<f64>,
-    /// Share of its capacity with which a server starts, in place of the site's value
+    /// Share of its capacity at which a server starts to warm up, instead of the value in the site's rules
     // `--cold-from` is the argument's former name.
     #[arg(long, alias = "cold-from")]
     initial_capacity: Option<f64>,
-    /// File for the lines as JSON
+    /// Write the lines to this file as JSON
     #[arg(long)]
     out: Option<PathBuf>,
 }
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Fails if a scenario is invalid, or if the lines cannot be written.
-pub fn run(args: &SlowStart) -> Result<()> {
+pub fn run(args: &SlowStartArgs) -> Result<()> {
     let rules =
         RuleOverrides { overload_factor: args.overload_factor, initial_capacity: args.initial_capacity };
     let scenarios = args.balancers.len() as u64 * Shape::ALL.len() as u64 * args.seeds;
--- a/crates/cli/src/model/source.rs
+++ b/crates/cli/src/model/source.rs
@@ -1,4 +1,4 @@
-//! Source of a command's scenario: a file, or a draw from a kind and a seed.
+//! Source of a command's scenario: a scenario file, or a random draw from a kind and a seed.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 /// File argument that selects standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Arguments of a scenario that is drawn from a kind and a seed.
+/// Arguments of a scenario that is drawn at random from a kind and a seed.
 #[derive(Args, Clone)]
 pub struct DrawnScenario {
     /// Kind of the scenario: parts joined by +, as `kinds` lists them
@@ -48,8 +48,8 @@
     /// Reads or draws the scenario.
     ///
     /// # Errors
-    /// Fails if the file cannot be read or is not a valid scenario, with the file's name and the line, or if the kind
-    /// does not exist.
+    /// Fails if the file cannot be read or is not a valid scenario, or if the kind does not exist. The message names the
+    /// file, and the line that is not valid.
     pub fn scenario(&self) -> Result<Scenario> {
         match &self.file {
             Some(path) => {
--- a/crates/cli/src/model/tables.rs
+++ b/crates/cli/src/model/tables.rs
@@ -54,7 +54,7 @@
     Column { title: "rules broken", cell: |row| row.result.broken.to_string() },
 ];
 
-/// Returns the requests and the retries of clients, divided by the requests.
+/// Returns the number of requests and clients' retries together, divided by the number of requests.
 fn attempts_per_request(result: &scoring::Score) -> f64 {
     let attempts = result.requests + result.client_retries;
     attempts as f64 / result.requests.max(1) as f64
@@ -82,9 +82,9 @@
     let Some(breach) = result.breaches.first() else {
         return String::new();
     };
-    let (tier, number) = breach.balancer;
+    let (tier, balancer) = breach.balancer;
     format!(
-        "\n{policy}, at {:.3} s, balancer {number} of tier {tier}: rule {:?}: {}\n  {}\n",
+        "\n{policy}, at {:.3} s, balancer {balancer} of tier {tier}: rule {:?}: {}\n  {}\n",
         breach.at as f64 / 1e6,
         breach.rule,
         breach.what,
--- a/crates/cli/tests/stored_formats.rs
+++ b/crates/cli/tests/stored_formats.rs
@@ -1,9 +1,10 @@
-//! Compatibility of stored files: files of the version in service stay readable, and each format keeps its keys.
+//! Compatibility of stored files: files of the version in service must stay readable, and each format must keep its
+//! keys.
 //!
 //! The fixtures were written by revision a4f1f98: a scenario file, the JSON of `model run` for it and for a scenario
 //! in which rules are broken, and the rows of an experiment. The JSON of a comparison and the files that `ramp`,
 //! `depth`, `failures` and `scale` write with `--out` are from revision cf5f55c. Names in the source may change, names
-//! in these files may not.
+//! in these files must not.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -15,13 +16,13 @@
 use zincstand_testbed::slope::Point;
 
 /// Kind from which `fixtures/day.toml` was drawn.
-const KIND_OF_THE_FIXTURE: &str = "errors+heavy+deploy+slowclass+zone+hand+upgrade";
+const SCENARIO_FIXTURE_KIND: &str = "errors+heavy+deploy+slowclass+zone+hand+upgrade";
 
-fn fixture(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-fn model(args: &[&str]) -> String {
+fn run_model(args: &[&str]) -> String {
     let program = env!("CARGO_BIN_EXE_zincstand");
     let output = Command::new(program).arg("model").args(args).output().unwrap();
     assert!(output.status.success(), "{args:?}: {}", String::from_utf8_lossy(&output.stderr));
@@ -74,7 +75,7 @@
 /// Runs a command of the model that writes a file with `--out`, and returns the keys of the file.
 fn keys_written(name: &str, args: &[&str]) -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    model(&[args, &["--out", path.to_str().unwrap()]].concat());
+    run_model(&[args, &["--out", path.to_str().unwrap()]].concat());
     let mut keys = keys_of_document(&std::fs::read_to_string(&path).unwrap());
     // Outside of a repository the commit is unknown and its value is null.
     if keys.remove(".source.revision: null") {
@@ -83,61 +84,61 @@
     keys
 }
 
-fn stored(name: &str) -> String {
-    std::fs::read_to_string(fixture(name)).unwrap()
+fn read_fixture(name: &str) -> String {
+    std::fs::read_to_string(fixture_path(name)).unwrap()
 }
 
 #[test]
-fn a_drawn_scenario_is_written_to_the_byte_as_before() {
-    let drawn = ["--kind", KIND_OF_THE_FIXTURE, "--seed", "2", "--size", "small"];
+fn a_drawn_scenario_is_identical_to_the_stored_file() {
+    let drawn = ["--kind", SCENARIO_FIXTURE_KIND, "--seed", "2", "--size", "small"];
     for command in ["scenario", "day"] {
-        let written = model(&[&[command], &drawn[..]].concat());
-        assert_eq!(written, stored("day.toml"), "model {command}");
+        let printed = run_model(&[&[command], &drawn[..]].concat());
+        assert_eq!(printed, read_fixture("day.toml"), "model {command}");
     }
 }
 
 #[test]
 fn a_stored_scenario_runs_and_its_result_has_the_same_keys() {
-    let scenario = fixture("day.toml");
-    let result = model(&["run", scenario.to_str().unwrap(), "--policy", "module,random", "--json"]);
+    let scenario = fixture_path("day.toml");
+    let result = run_model(&["run", scenario.to_str().unwrap(), "--policy", "module,random", "--json"]);
     let keys = keys_of_lines(&result);
     assert!(keys.len() > 20, "{keys:?}");
-    assert_eq!(keys, keys_of_lines(&stored("run.jsonl")));
+    assert_eq!(keys, keys_of_lines(&read_fixture("run.jsonl")));
 }
 
 #[test]
 fn broken_rules_are_reported_under_the_same_keys() {
-    let scenario = fixture("broken_rules.toml");
-    let result = model(&["run", scenario.to_str().unwrap(), "--policy", "random", "--json"]);
+    let scenario = fixture_path("broken_rules.toml");
+    let result = run_model(&["run", scenario.to_str().unwrap(), "--policy", "random", "--json"]);
     let keys = keys_of_lines(&result);
     assert!(keys.contains(".result.breaches[].rule: text"), "{keys:?}");
-    assert_eq!(keys, keys_of_lines(&stored("broken_rules.jsonl")));
+    assert_eq!(keys, keys_of_lines(&read_fixture("broken_rules.jsonl")));
 }
 
 #[test]
-fn an_experiments_rows_have_the_same_keys_and_old_rows_are_still_compared() {
+fn the_rows_of_an_experiment_have_the_same_keys_and_stored_rows_can_be_compared() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stored_formats_rows.jsonl");
     let new = path.to_str().unwrap();
     let policies = ["--policies", "module,random,oracle", "--label", "base", "--out", new];
     let scenarios = ["experiment", "--kinds", "calm,silent", "--seeds", "2", "--size", "small"];
-    model(&[&scenarios[..], &policies[..]].concat());
+    run_model(&[&scenarios[..], &policies[..]].concat());
     let written = std::fs::read_to_string(&path).unwrap();
-    assert_eq!(keys_of_lines(&written), keys_of_lines(&stored("experiment.jsonl")));
-    assert_eq!(written.lines().count(), stored("experiment.jsonl").lines().count());
+    assert_eq!(keys_of_lines(&written), keys_of_lines(&read_fixture("experiment.jsonl")));
+    assert_eq!(written.lines().count(), read_fixture("experiment.jsonl").lines().count());
 
-    let old = fixture("experiment.jsonl");
+    let old = fixture_path("experiment.jsonl");
     let old = old.to_str().unwrap();
-    let table = model(&["compare", old, new, "--policy-a", "random", "--policy-b", "random"]);
+    let table = run_model(&["compare", old, new, "--policy-a", "random", "--policy-b", "random"]);
     assert!(table.contains("calm") && table.contains("silent"), "{table}");
 }
 
 #[test]
 fn a_comparison_has_the_same_keys() {
-    let rows = fixture("experiment.jsonl");
+    let rows = fixture_path("experiment.jsonl");
     let rows = rows.to_str().unwrap();
     let comparison =
-        model(&["compare", "--json", rows, rows, "--policy-a", "random", "--policy-b", "module"]);
-    assert_eq!(keys_of_document(&comparison), keys_of_document(&stored("compare.json")));
+        run_model(&["compare", "--json", rows, rows, "--policy-a", "random", "--policy-b", "module"]);
+    assert_eq!(keys_of_document(&comparison), keys_of_document(&read_fixture("compare.json")));
 }
 
 #[test]
@@ -146,7 +147,7 @@
         let args = [command, "--balancers", "2", "--seeds", "2", "--cold-from", "0.4"];
         let keys = keys_written("stored_formats_ramp.json", &args);
         assert!(keys.contains("[].excess_told[]: number"), "{keys:?}");
-        assert_eq!(keys, keys_of_document(&stored("ramp.json")), "model {command}");
+        assert_eq!(keys, keys_of_document(&read_fixture("ramp.json")), "model {command}");
     }
 }
 
@@ -155,10 +156,10 @@
     let args = ["depth", "--quick", "--seeds", "1", "--tiers", "2,3,4,5"];
     let keys = keys_written("stored_formats_depth.json", &args);
     assert!(keys.contains(".result.rows[].trouble: text"), "{keys:?}");
-    assert_eq!(keys, keys_of_document(&stored("depth.json")));
+    assert_eq!(keys, keys_of_document(&read_fixture("depth.json")));
 }
 
-/// Adds all texts under a key of the document, such as the names of conditions, failures or shapes.
+/// Adds all texts under a key anywhere in the document, such as the names of conditions, failures or shapes.
 fn texts_under(value: &Value, key: &str, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -182,7 +183,7 @@
 fn the_names_of_conditions_failures_and_shapes_are_the_stored_ones() {
     let names = |file: &str, key: &str| -> Vec<String> {
         let mut found = BTreeSet::new();
-        texts_under(&serde_json::from_str(&stored(file)).unwrap(), key, &mut found);
+        texts_under(&serde_json::from_str(&read_fixture(file)).unwrap(), key, &mut found);
         found.into_iter().collect()
     };
     let all = |values: Vec<Value>| -> Vec<String> {
@@ -203,10 +204,10 @@
     let args = ["failures", "--quick", "--servers", "28", "--rate", "0.5"];
     let keys = keys_written("stored_formats_failures.json", &args);
     assert!(keys.contains(".result.rows[].dip: number"), "{keys:?}");
-    assert_eq!(keys, keys_of_document(&stored("failures.json")));
+    assert_eq!(keys, keys_of_document(&read_fixture("failures.json")));
 }
 
-/// Builds the report in the same way as the measurements, which would need sockets and minutes.
+/// Builds the report as the measurements do, without running them: they need sockets and take minutes.
 #[test]
 fn the_report_of_scale_has_the_same_keys() {
     let points = (1..=5).map(|x| Point { x: f64::from(x), y: f64::from(x * x) }).collect();
@@ -215,5 +216,5 @@
     let revision = "0123456789ab".to_owned();
     let report = Report { machine, revision, seed: 1, quick: true, duration_s: 1.5, slopes: vec![slope] };
     let written = serde_json::to_string(&report).unwrap();
-    assert_eq!(keys_of_document(&written), keys_of_document(&stored("scale.json")));
+    assert_eq!(keys_of_document(&written), keys_of_document(&read_fixture("scale.json")));
 }
