--- a/crates/cli/src/model/plots/concurrency_limits.rs
+++ b/crates/cli/src/model/plots/concurrency_limits.rs
@@ -55,7 +55,7 @@
         all_series.push(TimeSeries {
             name: format!("concurrency limit, tier {tier}"),
             colour: tier_shade(BLUE, tier),
-            values: tier_means(samples, tier, |sample| sample.window),
+            values: tier_means(samples, tier, |sample| sample.concurrency_limit),
         });
         all_series.push(TimeSeries {
             name: format!("in flight, tier {tier}"),
