--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// What a measurement will start and use, known before it runs.
+/// Description and resource needs of a measurement, known before it runs.
 struct MeasurementPlan {
     /// One line that states the started processes and the duration.
     description: String,
--- a/crates/fleet-model/src/scenario/error.rs
+++ b/crates/fleet-model/src/scenario/error.rs
@@ -22,7 +22,7 @@
         location: Location,
         /// The path of the key, such as `load.rate` or `tier[0].cores`.
         key: String,
-        /// What is wrong with the value, or which values are valid.
+        /// The reason why the value is invalid, or the valid values.
         problem: &'static str,
     },
     /// A kind contains a part that is not in the catalog.
--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -131,7 +131,7 @@
         assert!(text.contains("EDGE_FD") && text.contains(reason) && text.lines().count() == 1, "{text}");
     }
     let taken = free_listener();
-    let address = taken.local_addr().expect("the local address").to_string();
+    let address = taken.local_addr().expect("the local address is known").to_string();
     for (value, reason) in [("here", "not an address"), (&address[..], "in use")] {
         let output = run_until_exit(Some(&valid_config()), &[("EDGE_MANAGEMENT", value)]);
         let text = String::from_utf8_lossy(&output.stderr);
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -22,7 +22,7 @@
     );
     client.write_all(&[head.as_bytes(), &body].concat()).expect("the balancer reads");
     let mut stream = upstream.accept();
-    let received = read_message(&mut stream).expect("a request");
+    let received = read_message(&mut stream).expect("a request arrives");
     assert_eq!(received.first_line(), "POST /api?key=a%20b&x=1 HTTP/1.1");
     assert!(received.body == body, "the body differs");
     for (name, value) in [("req-id", "r-1"), ("idempotency-key", "k-1"), ("x-other", "2"), ("x-hop", "")] {
@@ -30,7 +30,7 @@
     }
     assert!(received.deadline_ms() <= 9_000, "more than the client waits");
     respond(&mut stream, "200 OK", "Content-Type: x/y\r\n", &body);
-    let response = read_message(&mut client).expect("a response");
+    let response = read_message(&mut client).expect("a response arrives");
     assert_eq!((response.status(), response.header("content-type")), (200, Some("x/y")));
     assert!(response.body == body, "the body of the response differs");
 }
@@ -48,7 +48,7 @@
         let mut in_flight = fixture.start_request(&request("pay", "r-1", ""));
         respond(&mut in_flight.upstream, status, "Srv-Declined: 1\r\n", b"");
         // The response was read to its end, so the connection is reused.
-        read_message(&mut in_flight.upstream).expect("a second attempt");
+        read_message(&mut in_flight.upstream).expect("a second attempt arrives");
         in_flight.complete();
     }
 }
@@ -100,9 +100,9 @@
     send(&mut client, &request("look", "r-1", ""));
     drop(read_message(&mut upstream.accept()));
     let mut stream = upstream.accept();
-    assert_eq!(read_message(&mut stream).expect("a retry").header("req-id"), Some("r-1"));
+    assert_eq!(read_message(&mut stream).expect("a retry arrives").header("req-id"), Some("r-1"));
     respond_ok(&mut stream);
-    assert_eq!(read_message(&mut client).expect("a response").body, b"done");
+    assert_eq!(read_message(&mut client).expect("a response arrives").body, b"done");
 }
 
 #[test]
@@ -110,14 +110,14 @@
     let fixture = SingleUpstream::start();
     let in_flight = fixture.start_request(&request("pay", "r-1", "Req-Deadline-Ms: 1500\r\n"));
     let RequestInFlight { mut client, upstream: mut stream } = in_flight;
-    assert_eq!(read_message(&mut client).expect("a response").status(), 504);
+    assert_eq!(read_message(&mut client).expect("a response arrives").status(), 504);
     assert!(peer_closed(&mut stream), "the connection stays open");
     // The client's connection stays open.
     send(&mut client, &request("pay", "r-2", ""));
     let mut stream = fixture.upstream.accept();
-    assert_eq!(read_message(&mut stream).expect("an attempt").header("req-id"), Some("r-2"));
+    assert_eq!(read_message(&mut stream).expect("an attempt arrives").header("req-id"), Some("r-2"));
     respond_ok(&mut stream);
-    assert_eq!(read_message(&mut client).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200);
     assert!(fixture.upstream.has_no_new_connection());
 }
 
@@ -134,9 +134,9 @@
     let mut other = fixture.balancer.connect();
     std::thread::sleep(Duration::from_millis(100));
     send(&mut other, &request("look", "r-2", ""));
-    assert_eq!(read_message(&mut stream).expect("the next request").header("req-id"), Some("r-2"));
+    assert_eq!(read_message(&mut stream).expect("the next request arrives").header("req-id"), Some("r-2"));
     respond_ok(&mut stream);
-    assert_eq!(read_message(&mut other).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut other).expect("a response arrives").status(), 200);
     assert!(fixture.upstream.has_no_new_connection());
 }
 
@@ -148,7 +148,7 @@
     for id in ["r-2", "r-3"] {
         in_flight.complete();
         send(&mut in_flight.client, &request("pay", id, ""));
-        read_message(&mut in_flight.upstream).expect("an attempt");
+        read_message(&mut in_flight.upstream).expect("an attempt arrives");
     }
     in_flight.complete();
     assert!(upstream.has_no_new_connection(), "a second connection");
@@ -162,12 +162,12 @@
         for id in ["r-1", "r-2", "r-3"] {
             send(&mut client, &request("pay", id, ""));
             let mut stream = upstream.accept();
-            assert_eq!(read_message(&mut stream).expect("an attempt").header("req-id"), Some(id));
+            assert_eq!(read_message(&mut stream).expect("an attempt arrives").header("req-id"), Some(id));
             respond(&mut stream, "200 OK", close_header, b"done");
             // The connection closes just before or just after the client receives its response. The next request must
             // not be lost on it.
             drop(stream);
-            assert_eq!(read_message(&mut client).expect("a response").status(), 200);
+            assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200);
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -182,7 +182,7 @@
         send(&mut stream, head);
         let line = format!("X-Pad: {}\r\n", "p".repeat(1000));
         while stream.write_all(line.as_bytes()).is_ok() {}
-        assert_eq!(read_message(&mut client).expect("a response").status(), 502);
+        assert_eq!(read_message(&mut client).expect("a response arrives").status(), 502);
     }
 }
 
@@ -197,7 +197,7 @@
             send(&mut client, &request("pay", id, ""));
             // Each request takes a new connection, because the previous one cannot be reused.
             let mut stream = upstream.accept();
-            assert_eq!(read_message(&mut stream).expect("an attempt").header("req-id"), Some(id));
+            assert_eq!(read_message(&mut stream).expect("an attempt arrives").header("req-id"), Some(id));
             let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
             if is_sent_later {
                 send(&mut stream, &response);
@@ -205,7 +205,7 @@
             } else {
                 send(&mut stream, &(response + surplus));
             }
-            let forwarded = read_message(&mut client).expect("a response");
+            let forwarded = read_message(&mut client).expect("a response arrives");
             assert_eq!((forwarded.status(), &forwarded.body[..]), (200, id.as_bytes()), "{surplus:?}");
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -235,7 +235,7 @@
     second.complete();
     first.complete();
     send(&mut second.client, &request("pay", "r-3", ""));
-    assert_eq!(read_message(&mut first.upstream).expect("an attempt").header("req-id"), Some("r-3"));
+    assert_eq!(read_message(&mut first.upstream).expect("an attempt arrives").header("req-id"), Some("r-3"));
 }
 
 /// Number of responses with which the upstream of [`close_reused_connections`] announces that it closes the connection.
@@ -251,7 +251,7 @@
         let mut stream = upstream.accept();
         let requests = requests.clone();
         std::thread::spawn(move || {
-            read_message(&mut stream).expect("a request");
+            read_message(&mut stream).expect("a request arrives");
             let number = requests.fetch_add(1, Ordering::SeqCst);
             // The delay is long compared with the time in which a reused connection fails. A retry, whose response is
             // not delayed, ends well within the median latency.
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -65,7 +65,7 @@
 
 /// Reads the head of a message. Panics if it is incomplete.
 fn expect_head(stream: &mut TcpStream) -> Message {
-    read_head(stream).expect("a complete head")
+    read_head(stream).expect("the head is complete")
 }
 
 /// Reads a chunked body; `None` if the connection ends before the body does.
@@ -99,16 +99,16 @@
     let mut stream = upstream.accept();
     assert_eq!(expect_head(&mut stream).header("content-length"), Some(&LARGE_BODY_BYTES.to_string()[..]));
     let mut received = vec![0; LARGE_BODY_BYTES / 2];
-    stream.read_exact(&mut received).expect("the part that was sent so far");
+    stream.read_exact(&mut received).expect("the part that was sent so far arrives");
     send_bytes(&mut client, &body[LARGE_BODY_BYTES / 2..]);
     received.resize(LARGE_BODY_BYTES, 0);
-    stream.read_exact(&mut received[LARGE_BODY_BYTES / 2..]).expect("the rest");
+    stream.read_exact(&mut received[LARGE_BODY_BYTES / 2..]).expect("the rest of the body arrives");
     assert!(received == body, "the body differs");
     let mut in_flight = RequestInFlight { client, upstream: stream };
     in_flight.complete();
     // Both connections are reused for the next request.
     send(&mut in_flight.client, &request("pay", "r-2", ""));
-    read_message(&mut in_flight.upstream).expect("an attempt");
+    read_message(&mut in_flight.upstream).expect("an attempt arrives");
     in_flight.complete();
 }
 
@@ -120,7 +120,7 @@
     send(&mut client, &request_head("pull", headers));
     let interim = expect_head(&mut client);
     assert!(interim.first_line().starts_with("HTTP/1.1 100 "), "no interim response to Expect");
-    let mut writer = client.try_clone().expect("a copy of the descriptor");
+    let mut writer = client.try_clone().expect("the descriptor is duplicated");
     let sent = body.clone();
     let writer_thread = std::thread::spawn(move || {
         for part in sent.chunks(9_999) {
@@ -130,7 +130,7 @@
     });
     let mut stream = upstream.accept();
     assert_eq!(expect_head(&mut stream).header("transfer-encoding"), Some("chunked"));
-    assert!(read_chunked_body(&mut stream).expect("a complete body") == body, "the body differs");
+    assert!(read_chunked_body(&mut stream).expect("the body is complete") == body, "the body differs");
     writer_thread.join().expect("the body was read");
     RequestInFlight { client, upstream: stream }.complete();
 }
@@ -144,8 +144,8 @@
         send_bytes(&mut client, &[7; 10_000]);
         std::thread::sleep(Duration::from_millis(60));
     }
-    assert_eq!(read_message(&mut client).expect("a response").status(), 200);
-    assert_eq!(requests.recv_timeout(EVENT_TIMEOUT).expect("a request").body.len(), 300_000);
+    assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200);
+    assert_eq!(requests.recv_timeout(EVENT_TIMEOUT).expect("a request arrives").body.len(), 300_000);
 }
 
 #[test]
@@ -173,10 +173,10 @@
     send_bytes(&mut client, &pattern(400_000));
     let mut stream = upstream.accept();
     expect_head(&mut stream);
-    stream.read_exact(&mut vec![0; 300_000]).expect("more than is buffered");
+    stream.read_exact(&mut vec![0; 300_000]).expect("more bytes arrive than are buffered");
     drop(stream);
     // The request never ran, so the client may retry it.
-    let rejected = read_message(&mut client).expect("a response");
+    let rejected = read_message(&mut client).expect("a response arrives");
     assert_eq!((rejected.status(), rejected.header("connection")), (503, Some("close")));
     assert!(upstream.has_no_new_connection(), "the request was retried");
 }
@@ -189,7 +189,7 @@
     let mut stream = upstream.accept();
     expect_head(&mut stream);
     respond(&mut stream, "503 Busy", "Srv-Declined: 1\r\n", b"");
-    assert_eq!(read_message(&mut client).expect("a response").status(), 503);
+    assert_eq!(read_message(&mut client).expect("a response arrives").status(), 503);
 }
 
 #[test]
@@ -226,7 +226,7 @@
 fn read_large_body(client: &mut TcpStream, head: &Message, framing: Framing) -> Vec<u8> {
     if head.header("content-length").is_some() {
         let mut body = vec![0; LARGE_BODY_BYTES];
-        client.read_exact(&mut body).expect("a complete body");
+        client.read_exact(&mut body).expect("the body is complete");
         return body;
     }
     read_chunked_body(client).unwrap_or_else(|| panic!("{framing:?}: the body is truncated"))
@@ -296,7 +296,7 @@
     assert!(resident < 20_000, "{resident} kB for six responses of 30 MB");
     for mut client in slow {
         let mut received = vec![0; long.len()];
-        client.read_exact(&mut received).expect("the rest");
+        client.read_exact(&mut received).expect("the rest of the body arrives");
         assert!(received == long, "the response differs");
     }
 }
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -169,7 +169,7 @@
         wait_until_input_processed(&balancer);
         upstream.release();
         for client in &mut staying {
-            assert_eq!(read_message(client).expect("a response").status(), 200);
+            assert_eq!(read_message(client).expect("a response arrives").status(), 200);
         }
         assert_eq!(balancer.send(&request("look", "w-1", "")).status(), 200);
         upstream.assert_none_disconnected(staying.len() + 1, &format!("round {round}"));
@@ -195,7 +195,7 @@
         }
         upstream.release();
         for client in &mut staying {
-            assert_eq!(read_message(client).expect("a response").status(), 200);
+            assert_eq!(read_message(client).expect("a response arrives").status(), 200);
         }
         drop(staying);
         // While no permit is free, requests may be rejected.
@@ -227,7 +227,7 @@
         wait_until_input_processed(&balancer);
         let upstream = WithholdingUpstream::serving(stalled.open());
         upstream.release();
-        assert_eq!(read_message(&mut staying).expect("a response").status(), 200);
+        assert_eq!(read_message(&mut staying).expect("a response arrives").status(), 200);
         assert_eq!(balancer.send(&request("look", "w-2", "")).status(), 200);
         upstream.assert_none_disconnected(2, &format!("{how:?}"));
     }
@@ -254,7 +254,7 @@
         let mut retried = balancer.connect();
         send(&mut retried, &request("pay", "v-again", ""));
         let mut attempt = removed.accept();
-        assert_eq!(read_message(&mut attempt).expect("an attempt").header("req-id"), Some("v-again"));
+        assert_eq!(read_message(&mut attempt).expect("an attempt arrives").header("req-id"), Some("v-again"));
         send_list(42, &[]);
         send_list(43, &[]);
         respond(&mut attempt, "503 Busy", "Srv-Declined: 1\r\n", b"");
@@ -270,7 +270,7 @@
         send_list(44, &[endpoint("s-9", added.address, "SERVING")]);
         let upstream = WithholdingUpstream::serving(added);
         upstream.release();
-        assert_eq!(read_message(&mut staying).expect("a response").status(), 200);
+        assert_eq!(read_message(&mut staying).expect("a response arrives").status(), 200);
         assert_eq!(balancer.send(&request("pay", "w-2", "")).status(), 200);
         upstream.assert_none_disconnected(2, &format!("{how:?}"));
     }
--- a/crates/proxy/tests/client_limits.rs
+++ b/crates/proxy/tests/client_limits.rs
@@ -23,7 +23,7 @@
     let first = &mut in_flight[0];
     first.complete();
     send(&mut first.client, &large_request("r-5"));
-    read_message(&mut first.upstream).expect("an attempt");
+    read_message(&mut first.upstream).expect("an attempt arrives");
     first.complete();
 }
 
@@ -75,7 +75,7 @@
         // A connection whose request came late may have been evicted for another one. Its client then retries.
         let retries = (0..5).map(|_| send_request(number));
         let mut responses = std::iter::once(client).chain(retries).map(|client| read_message(&mut client?));
-        assert_eq!(responses.find_map(|response| response).expect("a response").status(), 200);
+        assert_eq!(responses.find_map(|response| response).expect("a response arrives").status(), 200);
     }
 }
 
@@ -106,7 +106,7 @@
     let mut waiting = balancer.connect();
     send(&mut waiting, &request("look", "r-1", ""));
     drop(idle);
-    assert_eq!(read_message(&mut waiting).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut waiting).expect("a response arrives").status(), 200);
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
 }
 
@@ -132,7 +132,7 @@
         }
     });
     for client in reused.iter_mut().take(2).chain(&mut ninth) {
-        assert_eq!(read_message(client).expect("a response").status(), 200);
+        assert_eq!(read_message(client).expect("a response arrives").status(), 200);
     }
 }
 
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -46,7 +46,7 @@
     let requests = upstream.serve_ok();
     for deadline in ["", "Req-Deadline-Ms: 99999999\r\n"] {
         assert_eq!(balancer.send(&request("pay", "r-1", deadline)).status(), 200, "{deadline:?}");
-        let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt");
+        let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt arrives");
         let left = attempt.deadline_ms();
         assert!((10_000..=20_000).contains(&left), "{deadline:?}: {left}");
     }
@@ -94,7 +94,7 @@
     first.complete();
     // After the response the id may be used again.
     send(&mut first.client, &request("pay", "r-1", ""));
-    read_message(&mut first.upstream).expect("an attempt");
+    read_message(&mut first.upstream).expect("an attempt arrives");
     first.complete();
 }
 
@@ -130,8 +130,8 @@
     let pipelined = request("pay", "r-1", "") + &request("look", "r-2", "") + &request("pull", "r-3", "");
     send(&mut client, &pipelined);
     for id in ["r-1", "r-2", "r-3"] {
-        assert_eq!(read_message(&mut client).expect("a response").status(), 200);
-        let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt");
+        assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200);
+        let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt arrives");
         assert_eq!(attempt.header("req-id"), Some(id));
     }
     // The connection is closed after a chunked body, because only hyper knows where the body ends.
@@ -140,7 +140,7 @@
     let response = exchange(&mut client, &text);
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(peer_closed(&mut client));
-    assert_eq!(requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt").body, b"ab");
+    assert_eq!(requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt arrives").body, b"ab");
 }
 
 #[test]
@@ -158,7 +158,7 @@
     let mut idle = [balancer.connect(), balancer.connect()];
     assert_eq!(exchange(&mut idle[1], READINESS_CHECK).status(), 200);
     for client in &mut unfinished {
-        assert_eq!(read_message(client).expect("a response").status(), 408);
+        assert_eq!(read_message(client).expect("a response arrives").status(), 408);
     }
     for client in &mut idle {
         assert!(peer_closed(client), "the connection stays open");
@@ -197,7 +197,7 @@
     let requests = upstream.serve_ok();
     let absolute = request("look", "r-1", "").replace("GET /api", "GET http://backend.local/api");
     assert_eq!(balancer.send(&absolute).status(), 200);
-    let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt");
+    let attempt = requests.recv_timeout(EVENT_TIMEOUT).expect("an attempt arrives");
     assert_eq!(attempt.first_line(), "GET /api?key=7f3a HTTP/1.1");
 }
 
--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -113,7 +113,7 @@
     /// Asserts that the process exits with success, and waits for it.
     #[track_caller]
     pub fn assert_exits_cleanly(&mut self) {
-        assert!(self.process.wait().expect("the exit status").success());
+        assert!(self.process.wait().expect("the exit status is read").success());
     }
 
     /// Replaces the configuration file and sends SIGHUP.
@@ -135,12 +135,12 @@
             let _lock = lock_process_start();
             Command::new("kill").args([name, &id]).spawn().expect("kill starts")
         };
-        assert!(kill.wait().expect("the exit status of kill").success());
+        assert!(kill.wait().expect("the exit status of kill is read").success());
     }
 
     /// Waits for a log line that contains `text`.
     pub fn wait_for_log(&self, text: &str) {
-        while !self.log.recv_timeout(EVENT_TIMEOUT).expect("a log line").contains(text) {}
+        while !self.log.recv_timeout(EVENT_TIMEOUT).expect("a log line arrives").contains(text) {}
     }
 
     /// Returns the number of descriptors that the process has open.
@@ -160,7 +160,7 @@
 
     fn memory_kb(&self, field: &str) -> usize {
         let path = format!("/proc/{}/status", self.process.id());
-        let status = std::fs::read_to_string(path).expect("the status of the process");
+        let status = std::fs::read_to_string(path).expect("the status of the process is read");
         let value =
             status.lines().find_map(|line| line.strip_prefix(field)).expect("the status has the field");
         value.trim().trim_end_matches(" kB").parse().expect("the value is a number of kB")
--- a/crates/proxy/tests/common/config.rs
+++ b/crates/proxy/tests/common/config.rs
@@ -140,7 +140,7 @@
         });
         if !self.cached_endpoints.is_empty() {
             let list = endpoint_list(CACHED_LIST_GENERATION, true, &self.cached_endpoints);
-            config["known"] = serde_json::from_str(&list).expect("an endpoint list in JSON");
+            config["known"] = serde_json::from_str(&list).expect("the endpoint list is valid JSON");
         }
         config.to_string()
     }
--- a/crates/proxy/tests/common/endpoint_list.rs
+++ b/crates/proxy/tests/common/endpoint_list.rs
@@ -22,7 +22,7 @@
 /// Waits for the next request to discovery on a connection.
 #[track_caller]
 pub fn read_poll(stream: &mut TcpStream) -> Message {
-    read_message(stream).expect("a request to discovery")
+    read_message(stream).expect("a request to discovery arrives")
 }
 
 /// Responds to a request to discovery with a snapshot.
--- a/crates/proxy/tests/common/in_flight.rs
+++ b/crates/proxy/tests/common/in_flight.rs
@@ -17,7 +17,7 @@
     pub fn start(mut client: TcpStream, upstream: &Peer, request: &str) -> RequestInFlight {
         send(&mut client, request);
         let mut upstream = upstream.accept();
-        read_message(&mut upstream).expect("an attempt");
+        read_message(&mut upstream).expect("an attempt arrives");
         RequestInFlight { client, upstream }
     }
 
@@ -25,6 +25,6 @@
     #[track_caller]
     pub fn complete(&mut self) {
         respond_ok(&mut self.upstream);
-        assert_eq!(read_message(&mut self.client).expect("a response").status(), 200);
+        assert_eq!(read_message(&mut self.client).expect("a response arrives").status(), 200);
     }
 }
--- a/crates/proxy/tests/common/launch.rs
+++ b/crates/proxy/tests/common/launch.rs
@@ -50,7 +50,7 @@
             command.spawn().expect("the program starts")
         };
         if is_log_redirected {
-            let address = listen.parse().expect("a fixed address");
+            let address = listen.parse().expect("the address is valid");
             return Balancer { process, address, admin_address: None, log: channel().1, config_path };
         }
         let mut log = read_log(&mut process);
@@ -101,14 +101,14 @@
 }
 
 fn read_log(process: &mut Child) -> BufReader<ChildStderr> {
-    BufReader::new(process.stderr.take().expect("a pipe to standard error"))
+    BufReader::new(process.stderr.take().expect("standard error is piped"))
 }
 
 /// Reads the log up to the next line that ends with an address, and returns the address. Other lines may come first.
 fn next_address(log: &mut BufReader<ChildStderr>) -> SocketAddr {
     loop {
         let mut line = String::new();
-        assert_ne!(log.read_line(&mut line).expect("a log line"), 0, "the log ends without an address");
+        assert_ne!(log.read_line(&mut line).expect("the log is read"), 0, "the log ends without an address");
         let last_word = line.trim().rsplit(' ').next();
         if let Some(address) = last_word.and_then(|word| word.parse().ok()) {
             return address;
--- a/crates/proxy/tests/common/message.rs
+++ b/crates/proxy/tests/common/message.rs
@@ -40,7 +40,7 @@
     /// The header is absent or is not a number.
     pub fn deadline_ms(&self) -> u64 {
         let deadline = self.header("req-deadline-ms").and_then(|value| value.parse().ok());
-        deadline.expect("a deadline in milliseconds")
+        deadline.expect("the header is a deadline in milliseconds")
     }
 }
 
@@ -109,7 +109,7 @@
 #[track_caller]
 pub fn exchange(stream: &mut TcpStream, request: &str) -> Message {
     send(stream, request);
-    read_message(stream).expect("a response")
+    read_message(stream).expect("a response arrives")
 }
 
 /// Returns a request of a class with the given id; each line of `headers` ends with CRLF. The class `look` may be
--- a/crates/proxy/tests/common/peer.rs
+++ b/crates/proxy/tests/common/peer.rs
@@ -16,11 +16,11 @@
 impl Peer {
     /// Listens on a free port.
     pub fn new() -> Peer {
-        Peer::from_listener(TcpListener::bind("127.0.0.1:0").expect("a free port"))
+        Peer::from_listener(TcpListener::bind("127.0.0.1:0").expect("a port is free"))
     }
 
     fn from_listener(listener: TcpListener) -> Peer {
-        let address = listener.local_addr().expect("the local address");
+        let address = listener.local_addr().expect("the local address is known");
         let (sender, connections) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -36,7 +36,7 @@
 
     /// Waits for the next connection.
     pub fn accept(&self) -> TcpStream {
-        self.connections.recv_timeout(EVENT_TIMEOUT).expect("a connection")
+        self.connections.recv_timeout(EVENT_TIMEOUT).expect("a connection arrives")
     }
 
     /// Returns the channel that delivers all further connections.
@@ -109,11 +109,11 @@
     /// Listens on a free port and fills the backlog.
     pub fn new() -> StalledListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-        let socket = socket.expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+        let socket = socket.expect("the socket is created");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port is free");
         socket.listen(0).expect("the socket listens");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("the local address");
+        let address = listener.local_addr().expect("the local address is known");
         let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
         let backlog_connections = (0..4).map_while(connect).collect();
         StalledListener { address, listener, backlog_connections }
@@ -123,7 +123,7 @@
     /// kernel retries a second after its last attempt.
     pub fn open(self) -> Peer {
         for _ in &self.backlog_connections {
-            self.listener.accept().expect("a connection that filled the backlog");
+            self.listener.accept().expect("a connection of the backlog is accepted");
         }
         Peer::from_listener(self.listener)
     }
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -44,7 +44,7 @@
 
 /// Binds a listener to a free port.
 pub fn free_listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+    TcpListener::bind("127.0.0.1:0").expect("a port is free")
 }
 
 /// Writes a temporary file and returns its path.
--- a/crates/proxy/tests/common/setup.rs
+++ b/crates/proxy/tests/common/setup.rs
@@ -144,7 +144,7 @@
 
     /// Passes on a listening socket as the platform does (`EDGE_FD`).
     pub fn inherited_listener(mut self, listener: &TcpListener) -> Setup {
-        self.launch.inherited_listener = Some(listener.try_clone().expect("a copy of the descriptor"));
+        self.launch.inherited_listener = Some(listener.try_clone().expect("the descriptor is duplicated"));
         self
     }
 
--- a/crates/proxy/tests/concurrency_limit.rs
+++ b/crates/proxy/tests/concurrency_limit.rs
@@ -98,7 +98,7 @@
         streams.iter_mut().for_each(respond_ok);
     }
     for client in &mut clients {
-        assert_eq!(read_message(client).expect("a response").status(), 200);
+        assert_eq!(read_message(client).expect("a response arrives").status(), 200);
     }
 }
 
@@ -122,11 +122,11 @@
         (0..12).map(send_request).collect::<Vec<_>>()
     };
     let clients = send_twelve_requests("a");
-    (0..12).for_each(|_| drop(requests.recv_timeout(EVENT_TIMEOUT).expect("a request")));
+    (0..12).for_each(|_| drop(requests.recv_timeout(EVENT_TIMEOUT).expect("a request arrives")));
     drop(clients);
     std::thread::sleep(Duration::from_millis(2500));
     for client in &mut send_twelve_requests("b") {
-        assert_ne!(read_message(client).expect("a response").status(), 200);
+        assert_ne!(read_message(client).expect("a response arrives").status(), 200);
     }
     let count = requests
         .try_iter()
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -134,9 +134,9 @@
 fn forward_to(upstream: &Peer, client: &mut TcpStream, id: &str) -> TcpStream {
     send(client, &request("pay", id, ""));
     let mut stream = upstream.accept();
-    assert_eq!(read_message(&mut stream).expect("an attempt").header("req-id"), Some(id));
+    assert_eq!(read_message(&mut stream).expect("an attempt arrives").header("req-id"), Some(id));
     respond_ok(&mut stream);
-    assert_eq!(read_message(client).expect("a response").status(), 200);
+    assert_eq!(read_message(client).expect("a response arrives").status(), 200);
     stream
 }
 
@@ -215,7 +215,7 @@
             read_poll(&mut watch);
             assert_eq!(balancer.admin_status("POST", "/api/exclude/s-0"), 200);
         }
-        assert_eq!(read_message(&mut client).expect("a response").status(), 200, "{change:?}");
+        assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200, "{change:?}");
     }
 }
 
@@ -270,7 +270,7 @@
     let balancer = setup.polled_discovery(address).start();
     // At most two requests to discovery are open at the same time.
     for _ in 0..6 {
-        polls.recv_timeout(EVENT_TIMEOUT).expect("a request to discovery");
+        polls.recv_timeout(EVENT_TIMEOUT).expect("a request to discovery arrives");
     }
     balancer.peak_memory_kb()
 }
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -238,7 +238,7 @@
         }
     });
     for client in &mut requesting {
-        assert_eq!(read_message(client).expect("a response").status(), 200);
+        assert_eq!(read_message(client).expect("a response arrives").status(), 200);
     }
     balancer.assert_exits_cleanly();
     let elapsed = shutdown.elapsed();
--- a/crates/proxy/tests/messages.rs
+++ b/crates/proxy/tests/messages.rs
@@ -120,7 +120,7 @@
     let balancer = start_with_admin();
     let mut stream = balancer.connect_admin();
     send(&mut stream, "HEAD /api/ready HTTP/1.1\r\nHost: b\r\n\r\n");
-    let head = without_date(&read_head(&mut stream).expect("a head"));
+    let head = without_date(&read_head(&mut stream).expect("a response head arrives"));
     // The length is that of the text that is left out.
     let expected = admin_response("405 Method Not Allowed", "allow: GET\r\n", "another method");
     assert_eq!(head, expected.replace("another method\n", ""));
@@ -226,7 +226,7 @@
         let mut client = balancer.connect();
         // The balancer may close the connection before all of the request is written.
         let _ = client.write_all(request.as_bytes());
-        let response = read_message(&mut client).expect("a response");
+        let response = read_message(&mut client).expect("a response arrives");
         let expected = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(without_date(&response), expected, "{}", &request[..20.min(request.len())]);
     }
--- a/crates/proxy/tests/override_faults.rs
+++ b/crates/proxy/tests/override_faults.rs
@@ -32,7 +32,7 @@
         assert!(start.elapsed() < Duration::from_millis(300), "{:?}", start.elapsed());
         std::thread::sleep(Duration::from_millis(5));
     }
-    let status = read_message(&mut admin).expect("a response").status();
+    let status = read_message(&mut admin).expect("a response arrives").status();
     assert!(status >= 500, "{status}");
     assert!(sent.elapsed() < Duration::from_secs(1), "{:?}", sent.elapsed());
     drop(lock);
--- a/crates/proxy/tests/pipelined.rs
+++ b/crates/proxy/tests/pipelined.rs
@@ -32,7 +32,8 @@
     }
     let start = Instant::now();
     send(&mut client, &pipelined);
-    let statuses: Vec<_> = (0..10).map(|_| read_message(&mut client).expect("a response").status()).collect();
+    let statuses: Vec<_> =
+        (0..10).map(|_| read_message(&mut client).expect("a response arrives").status()).collect();
     assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
     assert_eq!(statuses, [200, 200, 400, 200, 200, 200, 400, 200, 200, 200]);
     assert_eq!(requests.try_iter().count(), 8);
@@ -54,10 +55,10 @@
         let deadline = format!("Req-Deadline-Ms: {deadline_ms}\r\n");
         send(&mut client, &(request("pay", "r-1", "") + &request("pay", "r-2", &deadline)));
         let mut first = upstream.accept();
-        read_message(&mut first).expect("an attempt");
+        read_message(&mut first).expect("an attempt arrives");
         std::thread::sleep(delay);
         respond(&mut first, "200 OK", "Connection: close\r\n", b"done");
-        assert_eq!(read_message(&mut client).expect("a response").status(), 200);
+        assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200);
         SecondPipelinedRequest { upstream, _balancer: balancer, client }
     }
 }
@@ -68,7 +69,7 @@
     let SecondPipelinedRequest { upstream, _balancer, client } =
         SecondPipelinedRequest::start(5000, Duration::from_millis(600));
     let mut attempt = upstream.accept();
-    let forwarded = read_message(&mut attempt).expect("an attempt").deadline_ms();
+    let forwarded = read_message(&mut attempt).expect("an attempt arrives").deadline_ms();
     let left = millis_left_of_5s(sent);
     assert!(forwarded <= left + DEADLINE_SLACK_MS, "forwarded {forwarded}, left {left}");
     RequestInFlight { client, upstream: attempt }.complete();
@@ -78,7 +79,7 @@
 fn a_pipelined_request_whose_deadline_has_expired_is_answered_and_not_forwarded() {
     let SecondPipelinedRequest { upstream, _balancer, mut client } =
         SecondPipelinedRequest::start(300, Duration::from_millis(600));
-    let status = read_message(&mut client).expect("a response").status();
+    let status = read_message(&mut client).expect("a response arrives").status();
     assert!([503, 504].contains(&status), "{status}");
     assert!(upstream.has_no_new_connection());
 }
@@ -95,9 +96,9 @@
     send(&mut client, &request("pay", "r-2", "Req-Deadline-Ms: 5000\r\n"));
     std::thread::sleep(Duration::from_millis(220));
     respond(&mut first, "200 OK", "Connection: close\r\n", b"done");
-    assert_eq!(read_message(&mut permit_holder).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut permit_holder).expect("a response arrives").status(), 200);
     let mut second = upstream.accept();
-    let forwarded = read_message(&mut second).expect("an attempt").deadline_ms();
+    let forwarded = read_message(&mut second).expect("an attempt arrives").deadline_ms();
     // No slack: the balancer reserves a margin for the response to reach the client.
     let left = millis_left_of_5s(sent);
     assert!(forwarded <= left, "forwarded {forwarded}, left {left}");
--- a/crates/proxy/tests/scale.rs
+++ b/crates/proxy/tests/scale.rs
@@ -64,7 +64,7 @@
         let mut clients = OpenConnections::connect(balancer.address, 1).expect("the client connects");
         for _ in 0..20 {
             clients.send().expect("the request is sent");
-            assert_eq!(clients.receive(EVENT_TIMEOUT).expect("a response"), [200]);
+            assert_eq!(clients.receive(EVENT_TIMEOUT).expect("a response arrives"), [200]);
         }
         let requests = upstreams.requests();
         assert_eq!(requests.iter().sum::<u64>(), 20, "{known} known upstreams");
--- a/crates/proxy/tests/settings.rs
+++ b/crates/proxy/tests/settings.rs
@@ -92,7 +92,7 @@
             "discovery": closed_address().to_string(),
             "seed": "1f",
             "limits": {"sockets": self.sockets, "memory_mb": self.memory_mb},
-            "known": serde_json::from_str::<Value>(&list).expect("an endpoint list in JSON"),
+            "known": serde_json::from_str::<Value>(&list).expect("the endpoint list is valid JSON"),
             "settings": settings,
         })
     }
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -76,7 +76,7 @@
 /// Asserts that a client receives a successful response and that its connection is closed after it.
 #[track_caller]
 fn assert_last_response(client: &mut TcpStream) {
-    assert_eq!(read_message(client).expect("a response").status(), 200);
+    assert_eq!(read_message(client).expect("a response arrives").status(), 200);
     assert!(peer_closed(client), "the connection stays open although no more requests are accepted");
 }
 
@@ -95,21 +95,21 @@
         if shutdown.elapsed() > Duration::from_millis(600) {
             return false;
         }
-        assert_eq!(late.readiness.expect("a response").status(), 503);
+        assert_eq!(late.readiness.expect("a response arrives").status(), 503);
         for _ in &late.clients {
             let mut upstream = upstream.accept();
-            read_message(&mut upstream).expect("an attempt");
+            read_message(&mut upstream).expect("an attempt arrives");
             respond_ok(&mut upstream);
         }
         for client in late.clients {
-            assert_last_response(&mut client.expect("a connection"));
+            assert_last_response(&mut client.expect("the connection is established"));
         }
         // The request in flight keeps the process running after its listener is closed.
         balancer.wait_for_closed_listener();
         let status = balancer.process.try_wait().expect("the exit status is read");
         assert!(status.is_none(), "the process exited with a request in flight");
         respond_ok(&mut in_flight.upstream);
-        let response = read_message(&mut in_flight.client).expect("a response");
+        let response = read_message(&mut in_flight.client).expect("a response arrives");
         assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
         balancer.assert_exits_cleanly();
         true
@@ -131,8 +131,8 @@
         }
         written.expect("the bytes are written");
         let mut upstream = upstream.accept();
-        read_message(&mut upstream).expect("an attempt");
-        assert_eq!(read_message(&mut client).expect("a response").status(), 504);
+        read_message(&mut upstream).expect("an attempt arrives");
+        assert_eq!(read_message(&mut client).expect("a response arrives").status(), 504);
         balancer.assert_exits_cleanly();
         // The deadline of the class is 20 s.
         assert!(
@@ -165,7 +165,7 @@
     send(&mut unfinished, "GET /api HTTP/1.1\r\nHost:");
     assert_eq!(balancer.send(READINESS_CHECK).status(), 200);
     balancer.terminate();
-    let response = read_message(&mut unfinished).expect("a response");
+    let response = read_message(&mut unfinished).expect("a response arrives");
     assert_eq!((response.status(), peer_closed(&mut unfinished)), (408, true));
     balancer.assert_exits_cleanly();
 }
@@ -194,7 +194,7 @@
     });
     clients.iter_mut().for_each(assert_last_response);
     send(&mut unfinished, rest);
-    assert_eq!(read_message(&mut unfinished).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut unfinished).expect("a response arrives").status(), 200);
     balancer.assert_exits_cleanly();
 }
 
@@ -230,7 +230,7 @@
         send(&mut client, &request("pay", "r-1", ""));
         std::thread::sleep(Duration::from_millis(2100));
     });
-    assert_eq!(read_message(&mut client).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut client).expect("a response arrives").status(), 200);
 }
 
 #[test]
@@ -242,23 +242,23 @@
         "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: r-up\r\nReq-Kind: pay\r\nContent-Length: 200000\r\n\r\n";
     uploader.write_all(&[head.as_bytes(), first].concat()).expect("the bytes are written");
     let mut upload = upstream.accept();
-    let mut uploaded = read_head(&mut upload).expect("an attempt");
+    let mut uploaded = read_head(&mut upload).expect("an attempt arrives");
 
     let mut downloader = balancer.connect();
     send(&mut downloader, &request("pay", "r-down", ""));
     let mut download = upstream.accept();
-    assert_eq!(read_message(&mut download).expect("an attempt").header("req-id"), Some("r-down"));
+    assert_eq!(read_message(&mut download).expect("an attempt arrives").header("req-id"), Some("r-down"));
     let head = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
     download.write_all(&[head.as_bytes(), first].concat()).expect("the bytes are written");
-    let mut downloaded = read_head(&mut downloader).expect("a response");
+    let mut downloaded = read_head(&mut downloader).expect("a response arrives");
 
     balancer.start_shutdown();
     balancer.wait_for_closed_listener();
     download.write_all(rest).expect("the bytes are written");
-    read_body(&mut downloader, &mut downloaded).expect("the rest of the response");
+    read_body(&mut downloader, &mut downloaded).expect("the rest of the response arrives");
     assert_eq!((downloaded.status(), downloaded.body == body), (200, true));
     uploader.write_all(rest).expect("the bytes are written");
-    read_body(&mut upload, &mut uploaded).expect("the rest of the request");
+    read_body(&mut upload, &mut uploaded).expect("the rest of the request arrives");
     assert!(uploaded.body == body);
     RequestInFlight { client: uploader, upstream: upload }.complete();
     balancer.assert_exits_cleanly();
@@ -280,7 +280,7 @@
         }
     });
     for client in &mut waiting {
-        let response = read_message(client).expect("a response");
+        let response = read_message(client).expect("a response arrives");
         // Rejected because no permit is free, before the request reaches the policy.
         assert_eq!((response.status(), &response.body[..]), (503, &b"no place"[..]));
     }
--- a/crates/proxy/tests/soak/fleet.rs
+++ b/crates/proxy/tests/soak/fleet.rs
@@ -76,7 +76,7 @@
     /// Starts the balancer with this number and returns its address.
     pub fn start_balancer(&mut self, seed: u64, number: usize) -> SocketAddr {
         let listener = free_listener();
-        let address = listener.local_addr().expect("the local address");
+        let address = listener.local_addr().expect("the local address is known");
         let folder = SharedFolder::new(&format!("soak-{seed}-{number}"));
         let fault_plan = FAULT_PLANS[number];
         let process = start_process(&self.upstreams, &listener, &folder, fault_plan);
--- a/crates/proxy/tests/soak/invariants.rs
+++ b/crates/proxy/tests/soak/invariants.rs
@@ -54,14 +54,14 @@
 
 /// Checks that a process has not exited.
 pub fn check_is_running(record: &Record, balancer: &mut Balancer, fault_plan: &str) {
-    if let Some(status) = balancer.process.try_wait().expect("the exit status") {
+    if let Some(status) = balancer.process.try_wait().expect("the exit status is read") {
         record.add_violation(format!("crash with {fault_plan:?}: {status}"));
     }
 }
 
 /// Waits for the exit of a process that is shutting down and checks that it succeeds.
 pub fn check_exit(record: &Record, balancer: &mut Balancer, fault_plan: &str) {
-    let status = balancer.process.wait().expect("the exit status");
+    let status = balancer.process.wait().expect("the exit status is read");
     if !status.success() {
         record.add_violation(format!("crash at shutdown with {fault_plan:?}: {status}"));
     }
--- a/crates/proxy/tests/stored_state.rs
+++ b/crates/proxy/tests/stored_state.rs
@@ -76,8 +76,8 @@
 
 /// Returns the current time in microseconds since 1970.
 fn unix_micros() -> u64 {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970");
-    u64::try_from(since_epoch.as_micros()).expect("microseconds that fit into 64 bits")
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is past 1970");
+    u64::try_from(since_epoch.as_micros()).expect("the microseconds fit into 64 bits")
 }
 
 /// Starts a process with an inherited listener and a shared folder, as during a hot restart.
@@ -265,7 +265,7 @@
     earlier.write_overrides(&parse(r#"{"out":["s-0","s-9"],"back":{"s-1":5},"evacuated":false}"#));
     drop(lock);
     stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("the read timeout is set");
-    assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut stream).expect("a response arrives").status(), 200);
     let written = read_json(&folder.path, OVERRIDES_FILE);
     assert_eq!(written, parse(r#"{"out":["s-0","s-9"],"back":{"s-1":5},"evacuated":true}"#));
 }
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -112,8 +112,7 @@
 
 #[test]
 fn a_log_that_cannot_be_written_stops_no_request() {
-    let full_device =
-        std::fs::OpenOptions::new().write(true).open("/dev/full").expect("the device /dev/full");
+    let full_device = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("/dev/full is opened");
     check_with_log(Stdio::from(full_device));
 }
 
--- a/crates/testbed/tests/machine.rs
+++ b/crates/testbed/tests/machine.rs
@@ -6,9 +6,9 @@
 fn needs_that_exceed_the_machine_are_rejected_with_advice() {
     let machine = Machine { cores: 1, processor: String::new(), memory_mb: 1000 };
     let fits = ResourceNeeds { processes: MAX_PROCESSES, memory_mb: 500, descriptors: 64 };
-    fits.check(&machine, 64).expect("needs that just fit");
+    fits.check(&machine, 64).expect("the needs just fit");
     let error =
-        |needs: ResourceNeeds| needs.check(&machine, 64).expect_err("needs that do not fit").to_string();
+        |needs: ResourceNeeds| needs.check(&machine, 64).expect_err("the needs do not fit").to_string();
     for needs in [
         ResourceNeeds { processes: MAX_PROCESSES + 1, ..fits },
         ResourceNeeds { memory_mb: 501, ..fits },
--- a/crates/testbed/tests/slope.rs
+++ b/crates/testbed/tests/slope.rs
@@ -14,7 +14,7 @@
     assert!(straight.line.r2 > 0.999_999 && straight.bend.is_none());
     let bent =
         fit(&points(|x| if x <= 200.0 { 1.0 } else { x - 199.0 })).expect("a line is fitted to five points");
-    let bend = bent.bend.expect("a bend at 200");
+    let bend = bent.bend.expect("a bend is found");
     assert!(bend.lower.abs() < 1e-9 && bend.upper > 0.9);
     assert_eq!(fit_line(&[Point { x: 1.0, y: 1.0 }, Point { x: 1.0, y: 2.0 }]), None);
 }
