--- a/crates/proxy/src/lifecycle/state_folder.rs
+++ b/crates/proxy/src/lifecycle/state_folder.rs
@@ -6,10 +6,7 @@
 
 /// `TMPDIR` does not name a folder that this process can use.
 #[derive(Debug, thiserror::Error)]
-#[error(
-    "TMPDIR {}: not a usable folder; name a folder that this process may write to, or unset TMPDIR",
-    path.display()
-)]
+#[error("TMPDIR {}: not a usable folder; name a writable folder, or unset TMPDIR", path.display())]
 pub struct StateFolderError {
     path: PathBuf,
     source: io::Error,
